--- a/benchmarks/waiting/ageing.py
+++ b/benchmarks/waiting/ageing.py
@@ -96,10 +96,14 @@
     def older(module: balance.Balancer, job: records.Job) -> float:
         # `worth`: what a report is worth doubles with each tenth of its bound
         entry = room.book.find("lab", exchange._jobs[job.id].order.id)
-        age = (module.now - entry.came) / (BOUND * 100) if entry is not None and job.cls == 1 else 0.0
-        return (job.late - module.now + picking.SOON) * module.took[job.cls] / (CLASSES[job.cls].worth * 2.0**age)
-
-    with mock.patch.object(balance.Balancer, "_urgent", older) if way == "worth" else mock.MagicMock():
+        age = (module.now - entry.came) / (BOUND * 100) if entry is not None and job.job_class == 1 else 0.0
+        return (
+            (job.latest_start - module.now + picking.URGENCY_SLACK_MS)
+            * module.mean_times[job.job_class]
+            / (CLASSES[job.job_class].worth * 2.0**age)
+        )
+
+    with mock.patch.object(balance.Balancer, "_urgency", older) if way == "worth" else mock.MagicMock():
         clock.run(start + (seconds + BOUND + 30) * 1000)
     row: dict[str, object] = {
         "way": way,
--- a/millethead/decide/carry.py
+++ b/millethead/decide/carry.py
@@ -1,7 +1,8 @@
-"""What of the module's state goes to a successor: figures learned, what is known of workers, tags, and single jobs.
+"""State of the decision module that a process hands over to its successor: learned values, workers, tags and jobs.
 
-Plain values by worker number, fit for JSON. Nothing here decides: what is read from one module is put into another.
-A value that is missing is left as a new module has it. Infinite ones are written as Python's JSON has them.
+The functions convert between a module and plain values that fit JSON (infinite numbers in the form that Python's json
+module uses). The keys are part of the protocol between the two processes, so that both may run different versions:
+the tables below map each key to the attribute that holds its value. A missing key leaves the value of a new module.
 """
 
 from __future__ import annotations
@@ -10,127 +11,155 @@
 from typing import Any
 
 from millethead.decide import interface as api
-from millethead.decide.balance import DEADLINE, Balancer
+from millethead.decide.balance import DEADLINE_TIMER, Balancer
 from millethead.decide.records import Flow, Job, Worker
 
-FIGURES = ("work", "slots", "period", "trust", "shift")
-BY_NUMBER = ("pace", "held", "busy", "size", "alarm")
-OF_WORKER = (
-    "free",
-    "queued",
-    "memory",
-    "stamp",
-    "heard",
-    "luck",
-    "slow",
-    "bad",
-    "avoid",
-    "turn",
-    "shy",
-    "full",
-    "fulls",
-    "odd",
-)
-OF_FLOW = ("local", "glob", "lowered")
-OF_JOB = ("slots", "memory", "local", "glob", "end", "late", "own", "came", "tries", "ran", "group")
-
-
-def figures(module: Balancer) -> dict[str, Any]:
-    """What was learned of the whole fleet, and the tenants' tags."""
+LEARNED_NUMBERS = {
+    "work": "mean_work",
+    "slots": "mean_slots",
+    "period": "report_period",
+    "trust": "report_trust",
+    "shift": "weight_tag_shift",
+}
+NUMBERS_BY_INDEX = {
+    "pace": "kind_pace",
+    "held": "kind_capacity",
+    "busy": "zone_full",
+    "size": "kind_slots",
+    "alarm": "class_lost_at",
+}
+WORKER_FIELDS = {
+    "free": "free_slots",
+    "queued": "queued",
+    "memory": "free_memory",
+    "stamp": "report_time",
+    "heard": "received_at",
+    "luck": "rounding",
+    "slow": "slowdown",
+    "bad": "failures",
+    "avoid": "avoid_until",
+    "turn": "cold_turn",
+    "shy": "backoff_until",
+    "full": "rejected_at",
+    "fulls": "rejections",
+    "odd": "unusable_streak",
+}
+FLOW_FIELDS = ("reservation_tag", "weight_tag", "reservation_offset")  # values go without keys, in this order
+JOB_FIELDS = {
+    "slots": "slots",
+    "memory": "memory",
+    "local": "reservation_tag",
+    "glob": "weight_tag",
+    "end": "deadline",
+    "late": "latest_start",
+    "own": "running_time",
+    "came": "arrived_at",
+    "tries": "attempts",
+    "ran": "first_sent",
+    "group": "group",
+}
+RESTORED_JOB_TIMES = ("local", "glob", "end", "late", "came", "ran")
+
+
+def learned_state(module: Balancer) -> dict[str, Any]:
+    """The values learned from the whole fleet, and the tenants' tags."""
     return {
-        **{name: getattr(module, name) for name in FIGURES},
-        "took": module.took,
-        **{name: list(getattr(module, name).items()) for name in BY_NUMBER},
-        "flows": [[getattr(flow, name) for name in OF_FLOW] for flow in module.flows],
+        **{key: getattr(module, name) for key, name in LEARNED_NUMBERS.items()},
+        "took": module.mean_times,
+        **{key: list(getattr(module, name).items()) for key, name in NUMBERS_BY_INDEX.items()},
+        "flows": [[getattr(flow, name) for name in FLOW_FIELDS] for flow in module.flows],
     }
 
 
-def take_figures(module: Balancer, said: dict[str, Any]) -> None:
-    for name in FIGURES:
-        if isinstance(value := said.get(name), int | float) and isfinite(value):
+def restore_learned_state(module: Balancer, state: dict[str, Any]) -> None:
+    """Set the values of `learned_state` in a new module."""
+    for key, name in LEARNED_NUMBERS.items():
+        if isinstance(value := state.get(key), int | float) and isfinite(value):
             setattr(module, name, value)
-    if len(took := said.get("took") or ()) == len(module.took):
-        module.took = [float(x) for x in took]
-    for name in BY_NUMBER:
-        getattr(module, name).update({int(key): float(value) for key, value in said.get(name) or ()})
-    for flow, values in zip(module.flows, said.get("flows") or (), strict=False):
-        for name, value in zip(OF_FLOW, values, strict=True):
+    if len(mean_times := state.get("took") or ()) == len(module.mean_times):
+        module.mean_times = [float(x) for x in mean_times]
+    for key, name in NUMBERS_BY_INDEX.items():
+        getattr(module, name).update({int(index): float(value) for index, value in state.get(key) or ()})
+    for flow, values in zip(module.flows, state.get("flows") or (), strict=False):
+        for name, value in zip(FLOW_FIELDS, values, strict=True):
             setattr(flow, name, float(value))
 
 
-def workers(module: Balancer) -> list[dict[str, Any]]:
-    """What is known of each worker: its reports, its faults, and how far a cold one's turns are used."""
+def worker_states(module: Balancer) -> list[dict[str, Any]]:
+    """The state of each worker: its last report, its failures, and the last turn used while it is cold."""
     return [
         {
-            "id": w.id,
-            "started": w.started,
-            "good": list(w.good.items()),
-            "shun": list(w.shun.items()),
-            **{name: getattr(w, name) for name in OF_WORKER},
+            "id": worker.id,
+            "started": worker.started,
+            "good": list(worker.class_succeeded.items()),
+            "shun": list(worker.class_avoided.items()),
+            **{key: getattr(worker, name) for key, name in WORKER_FIELDS.items()},
         }
-        for w in module.workers.values()
+        for worker in module.workers.values()
     ]
 
 
-def take_worker(module: Balancer, said: dict[str, Any]) -> None:
-    """Put in what is said of a worker, if it is known here and has not started anew since."""
-    w = module.workers.get(int(said["id"]))
-    if w is None or w.started != said["started"]:
+def restore_worker(module: Balancer, state: dict[str, Any]) -> None:
+    """Set the state of a worker, unless it is not listed here or has restarted since."""
+    worker = module.workers.get(int(state["id"]))
+    if worker is None or worker.started != state["started"]:
         return
-    for name in OF_WORKER:
-        if (value := said.get(name)) is not None:
-            setattr(w, name, type(getattr(w, name))(value))
-    w.good.update({int(key): float(value) for key, value in said["good"]})
-    w.shun.update({int(key): float(value) for key, value in said["shun"]})
+    for key, name in WORKER_FIELDS.items():
+        if (value := state.get(key)) is not None:
+            setattr(worker, name, type(getattr(worker, name))(value))
+    worker.class_succeeded.update({int(index): float(value) for index, value in state["good"]})
+    worker.class_avoided.update({int(index): float(value) for index, value in state["shun"]})
 
 
-def release(module: Balancer, number: int) -> dict[str, Any] | None:
-    """Take a job out of the module, with all that it holds at workers; None if it is not there or ended."""
+def remove_job(module: Balancer, number: int) -> dict[str, Any] | None:
+    """Remove a job with all its attempts and return its state; None if it is unknown or has its final answer."""
     job = module.jobs.get(number)
     if job is None or job.done:
         return None
-    module._unwait(job)
+    module._dequeue(job)
     job.done = True
     del module.jobs[number]
-    said: dict[str, Any] = {name: float(getattr(job, name)) for name in OF_JOB}
-    said.update(
-        out=[(n, w.id, sent) for n, (w, sent) in job.out.items()],
-        taken=sorted(job.taken),
-        left=sorted(job.left),
-        cls=job.cls,
+    state: dict[str, Any] = {key: float(getattr(job, name)) for key, name in JOB_FIELDS.items()}
+    state.update(
+        out=[(attempt, worker.id, sent) for attempt, (worker, sent) in job.in_flight.items()],
+        taken=sorted(job.confirmed),
+        left=sorted(job.unconfirmed),
+        cls=job.job_class,
         key=job.key,
         flow=job.flow.index,
         shape=job.shape[2],
     )
-    for w, sent in job.out.values():
-        module.put_away(job, w, sent)
-    return said
+    for worker, sent in job.in_flight.values():
+        module.remove_attempt(job, worker, sent)
+    return state
 
 
-def adopt(module: Balancer, number: int, said: dict[str, Any], now: float) -> list[api.Action]:
-    """Put a job of the predecessor in under a new number, with its attempts; returns what the module does next."""
-    flow: Flow = module.flows[min(int(said["flow"]), len(module.flows) - 1)]
-    module.seq += 1
+def adopt_job(module: Balancer, number: int, state: dict[str, Any], now: float) -> list[api.Action]:
+    """Add a job of the predecessor under a new number, with its attempts; returns the module's next actions."""
+    flow: Flow = module.flows[min(int(state["flow"]), len(module.flows) - 1)]
+    module.sequence += 1
     event = api.JobArrived(
-        number, int(said["cls"]), 0.0, float(said["slots"]), float(said["memory"]), 0, int(said["key"])
+        number, int(state["cls"]), 0.0, float(state["slots"]), float(state["memory"]), 0, int(state["key"])
     )
-    job = Job(event, flow, module.seq, now, float(said["own"]))
-    for name in ("local", "glob", "end", "late", "came", "ran"):
-        setattr(job, name, float(said[name]))
-    job.tries, job.group = int(said["tries"]), int(said["group"])
-    job.shape = (job.cls, job.slots, int(said["shape"]), job.group)
-    job.taken, job.left = set(map(int, said["taken"])), set(map(int, said["left"]))
+    job = Job(event, flow, module.sequence, now, float(state["own"]))
+    for key in RESTORED_JOB_TIMES:
+        setattr(job, JOB_FIELDS[key], float(state[key]))
+    job.attempts, job.group = int(state["tries"]), int(state["group"])
+    job.shape = (job.job_class, job.slots, int(state["shape"]), job.group)
+    job.confirmed, job.unconfirmed = set(map(int, state["taken"])), set(map(int, state["left"]))
     module.jobs[number] = job
-    for n, worker, sent in said["out"]:
-        w = module.workers.get(worker)
-        if w is None:  # it is in no list any more, and may still tell how the job ended
-            w = Worker(api.WorkerEntry(worker))
-            w.open = False
-        module.put_out(job, int(n), w, float(sent))
+    for attempt, worker_id, sent in state["out"]:
+        worker = module.workers.get(worker_id)
+        if worker is None:  # no longer listed, but the outcome of the attempt may still arrive
+            worker = Worker(api.WorkerEntry(worker_id))
+            worker.available = False
+        module.add_attempt(job, int(attempt), worker, float(sent))
     module.now = now
-    out: list[api.Action] = [api.SetTimer(number << 3 | DEADLINE, max(0.0, job.end - now - 2 * module.set.tick))]
-    if not job.out:
-        module._wait(job)
-        module._offer(job, out)
-        module._sweep_later(out)
+    out: list[api.Action] = [
+        api.SetTimer(number << 3 | DEADLINE_TIMER, max(0.0, job.deadline - now - 2 * module.settings.tick))
+    ]
+    if not job.in_flight:
+        module._enqueue(job)
+        module._place(job, out)
+        module._schedule_sweep(out)
     return out
--- a/millethead/exchange/core.py
+++ b/millethead/exchange/core.py
@@ -185,7 +185,7 @@
     @property
     def down(self) -> int:
         """How many of them get nothing new now, by hand or by the module's choice."""
-        return self._module.down(self.clock.now())
+        return self._module.avoided_count(self.clock.now())
 
     @property
     def out(self) -> frozenset[str]:
--- a/millethead/lab/cold.py
+++ b/millethead/lab/cold.py
@@ -101,7 +101,7 @@
             settings = replace(SETTINGS, nodes=len(here), node=here.index(name))
         else:
             settings = replace(SETTINGS, nodes=len(names), node=names.index(name))
-        if settings != node.set:
+        if settings != node.settings:
             node.reconfigure(settings)
 
     def _later(self, at: float, name: str, event: api.Event) -> None:
--- a/millethead/succession/succession.py
+++ b/millethead/succession/succession.py
@@ -115,9 +115,9 @@
         """Put what the predecessor's module had learned into this one's, once the list stands."""
         module = self.exchange._module
         try:
-            carry.take_figures(module, self.inherited.figures)
+            carry.restore_learned_state(module, self.inherited.figures)
             for said in self.inherited.workers:
-                carry.take_worker(module, said)
+                carry.restore_worker(module, said)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             log.warning("inherited_figures_unusable", why=repr(error))
 
@@ -170,8 +170,15 @@
         _send_rows(link, "workers", "lines", lines)
         link.send("out", {"names": sorted(self.exchange.out)})
         module = self.exchange._module
-        _send_rows(link, "known", "workers", carry.workers(module))
-        link.send("end", {"index": self.discovery.index, "offset": self.clock.offset, "figures": carry.figures(module)})
+        _send_rows(link, "known", "workers", carry.worker_states(module))
+        link.send(
+            "end",
+            {
+                "index": self.discovery.index,
+                "offset": self.clock.offset,
+                "figures": carry.learned_state(module),
+            },
+        )
 
     async def hand_over(self, until: float) -> None:
         """Give all connections and jobs to the successor; returns when nothing is left, when it is gone, or at
--- a/tests/play.py
+++ b/tests/play.py
@@ -141,8 +141,8 @@
         self.patches: list[Any] = [mock.patch(name, PATIENCE) for name in LONG]
         # nor may a report grow old on the way, which would bring a probe that no recording has
         far = PATIENCE * 1000
-        self.patches.append(mock.patch("millethead.decide.balance.Balancer._stays", lambda _: far))
-        self.patches.append(mock.patch("millethead.decide.balance.TAKE", far))
+        self.patches.append(mock.patch("millethead.decide.balance.Balancer._report_lifetime", lambda _: far))
+        self.patches.append(mock.patch("millethead.decide.balance.CONFIRM_TIMEOUT_MS", far))
         # and what the waiting room has to do it does before the next line is read
         self.patches.append(mock.patch("millethead.waiting.room.SLICE", far))
         for patch in self.patches:
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -50,7 +50,7 @@
             tick=5.0,
         )
         made = Balancer(settings, 1000 * self.seed + n)
-        made.took, made.work = [WORK], WORK
+        made.mean_times, made.mean_work = [WORK], WORK
         return made
 
     def later(self, at, n, event):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -155,7 +155,7 @@
                 json.dumps({**stage.config, "settings": {**SETTINGS, "tenants": tenants, "classes": classes}})
             )
             stage.program.reload()
-            return [flow.quota for flow in stage.program.exchange._module.flows]
+            return [flow.total_reservation for flow in stage.program.exchange._module.flows]
 
         classes = SETTINGS["classes"]
         assert reload(8.0, classes) == [0.008, 0.008]
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -226,10 +226,10 @@
         for job in range(8):
             node.job(job)
         self.assertEqual({w for job in range(8) for w in node.sent_to(job)}, {2})
-        node.balancer.workers[1].avoid = node.now + 8000.0
-        self.assertEqual(node.balancer.down(node.now), 1)
+        node.balancer.workers[1].avoid_until = node.now + 8000.0
+        self.assertEqual(node.balancer.avoided_count(node.now), 1)
         self.assertIn(api.Probe(1), self.out())  # at once
-        self.assertEqual(node.balancer.down(node.now), 0)
+        self.assertEqual(node.balancer.avoided_count(node.now), 0)
         self.report(1)
         self.assertIn([1], [node.sent_to(job) for job in range(8)])
 
--- a/tests/test_fetchers.py
+++ b/tests/test_fetchers.py
@@ -22,7 +22,7 @@
 def test_each_waiting_fetch_is_one_slot_though_sends_came_a_moment_before():
     """A late, shared report is taken off by sends of its last period; an exact one has them in it."""
     node = node_with(api.WorkerEntry(1, cell=-1))
-    node.balancer.period = 1000.0
+    node.balancer.report_period = 1000.0
     for number in (1, 2, 3):
         node.job(number)
     tell(node, 1, 1.0)
@@ -39,7 +39,7 @@
     node.job(1)
     tell(node, 1, 1.0)
     node.end(1, 0, api.Outcome.FULL)
-    assert node.balancer.trust == 1.0
+    assert node.balancer.report_trust == 1.0
 
 
 def test_a_worker_gets_only_the_classes_that_it_takes():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -94,7 +94,8 @@
 
 def queued(seed, **constants):
     """Part of the jobs that a worker had no slot for when they came."""
-    with mock.patch.multiple(picking, **({"SHARED": picking.SHARED} | constants)):
+    unchanged = {"NODES_PER_PREFERRED_WORKER": picking.NODES_PER_PREFERRED_WORKER}
+    with mock.patch.multiple(picking, **(unchanged | constants)):
         fleet = Fleet(seed, rate=70)
         fleet.clock.run(fleet.clock.now() + 25_000)
     assert len({worker for _, worker in fleet.sends}) > WORKERS * 0.9  # nobody is left out
@@ -103,7 +104,7 @@
 
 def test_nodes_that_try_workers_of_their_own_first_fill_fewer_slots_twice():
     # each node alone does best to take any slot that shows free; forty do so with the same slots
-    alike = sum(queued(seed, OWN=1.0, SHARED=0.0) for seed in (1, 2, 3))
+    alike = sum(queued(seed, PREFERRED_WEIGHT=1.0, NODES_PER_PREFERRED_WORKER=0.0) for seed in (1, 2, 3))
     dealt = sum(queued(seed) for seed in (1, 2, 3))
     assert dealt < 0.85 * alike, (dealt, alike)
 
@@ -130,10 +131,10 @@
     for n in range(NODES):
         node = balance.Balancer(replace(SET, node=n, zone=n % 2), n)
         node.handle(0.0, api.WorkerList(api.ListForm.FULL, entries))
-        own = node._own()
+        own = node._preferred_workers()
         assert len(own) == 3 and all(w.zone == n % 2 for w in own)
         count.update(w.id for w in own)
     assert len(count) == WORKERS and max(count.values()) <= 3
     node = balance.Balancer(replace(SET, nodes=4), 1)
     node.handle(0.0, api.WorkerList(api.ListForm.FULL, entries[:12]))
-    assert not node._own()  # they would be all of them
+    assert not node._preferred_workers()  # they would be all of them
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -191,7 +191,7 @@
             self.assertEqual(await asyncio.wait_for(old.read(), PATIENCE), b"")
             self.assertTrue(program.exchange.ready)
             self.assertEqual((program.pool.limit, program.acceptor.limit), (30, 60))
-            self.assertEqual([f.quota for f in program.exchange._module.flows], [0.004, 0.004])
+            self.assertEqual([f.total_reservation for f in program.exchange._module.flows], [0.004, 0.004])
             reader, writer = await asyncio.wait_for(other.came.get(), PATIENCE)
             # another service may count its versions otherwise: the whole list is asked for
             self.assertNotIn(b"since", await reader.readuntil(b"\r\n\r\n"))
--- a/tests/test_rbfq.py
+++ b/tests/test_rbfq.py
@@ -100,5 +100,5 @@
     node.job(2, tenant=0)
     node.job(3, tenant=1)
     node.job(4, tenant=1)
-    first, second = (node.balancer.jobs[n].local for n in (1, 2))
-    assert second - first == pytest.approx(1000 / node.balancer.slots, rel=0.05)
+    first, second = (node.balancer.jobs[n].reservation_tag for n in (1, 2))
+    assert second - first == pytest.approx(1000 / node.balancer.mean_slots, rel=0.05)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -133,7 +133,7 @@
     ]
     job_time, step, start = 300.0, 50.0, 1000.0
     for node in fleet:
-        node.balancer.took, node.balancer.work = [job_time], job_time
+        node.balancer.mean_times, node.balancer.mean_work = [job_time], job_time
         node.list(*workers(1, started=start))
     sends, number = [], 0
     for tick in range(0, 20_000, int(step)):
@@ -150,7 +150,7 @@
     sends.sort()
     for i, at in enumerate(sends):
         share = 0.12 + 0.88 * (at - start) / 22_000
-        slots = max(node.balancer.size.get(0, 1.0) for node in fleet)
+        slots = max(node.balancer.kind_slots.get(0, 1.0) for node in fleet)
         budget = 2.5 * share * slots * 1000.0
         work = job_time * sum(1 for x in sends[i:] if x < at + 1000.0)
         assert work <= budget + job_time, (nodes, at, work, budget)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -356,29 +356,33 @@
         old.now += 50.0
         old.end(1, 0, api.Outcome.RESET)  # it may have run: it keeps to its group and window
         for job in range(8):
-            said = json.loads(json.dumps(carry.release(old.balancer, job)))
+            said = json.loads(json.dumps(carry.remove_job(old.balancer, job)))
             before = old.jobs[job]
-            self.assertIsNone(carry.release(old.balancer, job))
+            self.assertIsNone(carry.remove_job(old.balancer, job))
             new.jobs[100 + job] = before
-            for action in carry.adopt(new.balancer, 100 + job, said, old.now):
+            for action in carry.adopt_job(new.balancer, 100 + job, said, old.now):
                 new.check(action)
-        self.assertEqual((old.balancer.own, old.balancer.waiting, old.balancer.jobs), (0, 0, {}))
-        self.assertEqual([w.held for w in old.balancer.workers.values()], [0.0] * 3)
+        self.assertEqual((old.balancer.held_slots, old.balancer.waiting_count, old.balancer.jobs), (0, 0, {}))
+        self.assertEqual([w.held_slots for w in old.balancer.workers.values()], [0.0] * 3)
         new.now = old.now
         new.until(30_000.0)  # the harness checks each rule on the way, and that none is lost
         self.assertTrue(all(new.jobs[100 + job].answer for job in range(8)))
 
     def test_what_was_learned_goes_over_and_a_cold_workers_turns_are_not_had_twice(self):
         old, new = self.node(), self.node()
-        old.balancer.workers[1].turn, old.balancer.workers[2].avoid, old.balancer.took[0] = 4, 5000.0, 321.0
-        said = json.loads(json.dumps([carry.figures(old.balancer), carry.workers(old.balancer)]))
-        carry.take_figures(new.balancer, said[0])
+        old.balancer.workers[1].cold_turn, old.balancer.workers[2].avoid_until, old.balancer.mean_times[0] = (
+            4,
+            5000.0,
+            321.0,
+        )
+        said = json.loads(json.dumps([carry.learned_state(old.balancer), carry.worker_states(old.balancer)]))
+        carry.restore_learned_state(new.balancer, said[0])
         new.list(*workers(1, started=new.now), *workers(2, first=2))  # the first has started once more since
         for worker in said[1]:
-            carry.take_worker(new.balancer, worker)
-        self.assertEqual([w.turn for w in new.balancer.workers.values()], [-1, -1, -1])
-        self.assertEqual((new.balancer.workers[2].avoid, new.balancer.took[0]), (5000.0, 321.0))
+            carry.restore_worker(new.balancer, worker)
+        self.assertEqual([w.cold_turn for w in new.balancer.workers.values()], [-1, -1, -1])
+        self.assertEqual((new.balancer.workers[2].avoid_until, new.balancer.mean_times[0]), (5000.0, 321.0))
         new = self.node()
         for worker in said[1]:
-            carry.take_worker(new.balancer, worker)
-        self.assertEqual(new.balancer.workers[1].turn, 4)
+            carry.restore_worker(new.balancer, worker)
+        self.assertEqual(new.balancer.workers[1].cold_turn, 4)
