--- a/millethead/exchange/carry.py
+++ b/millethead/exchange/carry.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 from zlib import crc32
 
-from millethead.decide import carry
+from millethead.decide import handover_state
 from millethead.decide.interface import NEVER_RAN, Outcome, WorkerState
 from millethead.exchange.core import OVERDUE, Exchange
 from millethead.exchange.held import HeldJob
@@ -35,7 +35,7 @@
     out = [attempt for attempt in held.attempts if attempt.outcome is None]
     if not all(attempt.worker.side is side and side.movable(attempt) for attempt in out):
         return None
-    module = carry.remove_job(exchange._module, number)
+    module = handover_state.remove_job(exchange._module, number)
     if module is None:
         return None
     order = {name: value for name, value in asdict(held.order).items() if name not in ("body", "peer", "plan")}
@@ -95,5 +95,5 @@
     exchange.jobs.add(held)
     held.timer = exchange.clock.later(end - now + OVERDUE, partial(exchange._overdue, held))
     module = {**said["module"], "end": end}  # the other process may have cut it short for its own end
-    exchange._queue.put("adopt", lambda at: carry.adopt_job(exchange._module, number, module, at))
+    exchange._queue.put("adopt", lambda at: handover_state.adopt_job(exchange._module, number, module, at))
     return number
--- a/millethead/succession/succession.py
+++ b/millethead/succession/succession.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from millethead.decide import carry
+from millethead.decide import handover_state
 from millethead.decide.interface import ListForm, WorkerState
 from millethead.exchange.carry import adopt, release
 from millethead.exchange.core import Exchange
@@ -115,9 +115,9 @@
         """Put what the predecessor's module had learned into this one's, once the list stands."""
         module = self.exchange._module
         try:
-            carry.restore_learned_state(module, self.inherited.figures)
+            handover_state.restore_learned_state(module, self.inherited.figures)
             for said in self.inherited.workers:
-                carry.restore_worker(module, said)
+                handover_state.restore_worker(module, said)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             log.warning("inherited_figures_unusable", why=repr(error))
 
@@ -170,13 +170,13 @@
         _send_rows(link, "workers", "lines", lines)
         link.send("out", {"names": sorted(self.exchange.out)})
         module = self.exchange._module
-        _send_rows(link, "known", "workers", carry.worker_states(module))
+        _send_rows(link, "known", "workers", handover_state.worker_states(module))
         link.send(
             "end",
             {
                 "index": self.discovery.index,
                 "offset": self.clock.offset,
-                "figures": carry.learned_state(module),
+                "figures": handover_state.learned_state(module),
             },
         )
 
--- a/tests/test_handover_state.py
+++ b/tests/test_handover_state.py
@@ -4,7 +4,7 @@
 
 from harness import Node, workers
 
-from millethead.decide import carry
+from millethead.decide import handover_state
 from millethead.decide import interface as api
 from millethead.decide.balance import Balancer
 
@@ -27,7 +27,7 @@
     balancer.kind_slots, balancer.class_lost_at = {3: 10.0}, {4: 11.0}
     flow = balancer.flows[0]
     flow.reservation_tag, flow.weight_tag, flow.reservation_offset = 12.0, 13.0, 14.0
-    state = carry.learned_state(balancer)
+    state = handover_state.learned_state(balancer)
     assert state.pop("flows")[0] == [12.0, 13.0, 14.0]
     assert state == {
         "work": 1.0,
@@ -43,8 +43,8 @@
         "alarm": [(4, 11.0)],
     }
     restored = Balancer(balancer.settings, 1)
-    carry.restore_learned_state(restored, json.loads(json.dumps(carry.learned_state(balancer))))
-    assert carry.learned_state(restored) == carry.learned_state(balancer)
+    handover_state.restore_learned_state(restored, json.loads(json.dumps(handover_state.learned_state(balancer))))
+    assert handover_state.learned_state(restored) == handover_state.learned_state(balancer)
 
 
 def test_the_state_of_a_worker_keeps_its_keys():
@@ -75,11 +75,11 @@
         "fulls": 13,
         "odd": 14,
     }
-    (state,) = carry.worker_states(balancer)
+    (state,) = handover_state.worker_states(balancer)
     assert state == expected and list(state) == list(expected)
     restored = node_with_waiting_jobs().balancer
-    carry.restore_worker(restored, json.loads(json.dumps(state)))
-    assert carry.worker_states(restored) == [expected]
+    handover_state.restore_worker(restored, json.loads(json.dumps(state)))
+    assert handover_state.worker_states(restored) == [expected]
 
 
 def test_the_state_of_a_job_keeps_its_keys():
@@ -109,7 +109,7 @@
         "flow": 1,
         "shape": 0,
     }
-    assert carry.remove_job(node.balancer, 2) == expected
+    assert handover_state.remove_job(node.balancer, 2) == expected
     restored = node_with_waiting_jobs().balancer
-    carry.adopt_job(restored, 3, json.loads(json.dumps(expected)), 0.0)
-    assert carry.remove_job(restored, 3) == expected
+    handover_state.adopt_job(restored, 3, json.loads(json.dumps(expected)), 0.0)
+    assert handover_state.remove_job(restored, 3) == expected
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -14,7 +14,7 @@
 from harness import Node, workers
 from play import PATIENCE, SETTINGS, Peers, Stage, endpoint
 
-from millethead.decide import carry
+from millethead.decide import handover_state
 from millethead.decide import interface as api
 from millethead.exchange.carry import release
 from millethead.lab.pack import free_port
@@ -356,11 +356,11 @@
         old.now += 50.0
         old.end(1, 0, api.Outcome.RESET)  # it may have run: it keeps to its group and window
         for job in range(8):
-            said = json.loads(json.dumps(carry.remove_job(old.balancer, job)))
+            said = json.loads(json.dumps(handover_state.remove_job(old.balancer, job)))
             before = old.jobs[job]
-            self.assertIsNone(carry.remove_job(old.balancer, job))
+            self.assertIsNone(handover_state.remove_job(old.balancer, job))
             new.jobs[100 + job] = before
-            for action in carry.adopt_job(new.balancer, 100 + job, said, old.now):
+            for action in handover_state.adopt_job(new.balancer, 100 + job, said, old.now):
                 new.check(action)
         self.assertEqual((old.balancer.held_slots, old.balancer.waiting_count, old.balancer.jobs), (0, 0, {}))
         self.assertEqual([w.held_slots for w in old.balancer.workers.values()], [0.0] * 3)
@@ -375,14 +375,16 @@
             5000.0,
             321.0,
         )
-        said = json.loads(json.dumps([carry.learned_state(old.balancer), carry.worker_states(old.balancer)]))
-        carry.restore_learned_state(new.balancer, said[0])
+        said = json.loads(
+            json.dumps([handover_state.learned_state(old.balancer), handover_state.worker_states(old.balancer)])
+        )
+        handover_state.restore_learned_state(new.balancer, said[0])
         new.list(*workers(1, started=new.now), *workers(2, first=2))  # the first has started once more since
         for worker in said[1]:
-            carry.restore_worker(new.balancer, worker)
+            handover_state.restore_worker(new.balancer, worker)
         self.assertEqual([w.cold_turn for w in new.balancer.workers.values()], [-1, -1, -1])
         self.assertEqual((new.balancer.workers[2].avoid_until, new.balancer.mean_times[0]), (5000.0, 321.0))
         new = self.node()
         for worker in said[1]:
-            carry.restore_worker(new.balancer, worker)
+            handover_state.restore_worker(new.balancer, worker)
         self.assertEqual(new.balancer.workers[1].cold_turn, 4)
