--- a/millethead/adapter/__init__.py
+++ b/millethead/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: the same decisions, played over standard input and output."""
+"""Adapter that runs the decision module in the simulator, over standard input and output."""
--- a/millethead/adapter/wire.py
+++ b/millethead/adapter/wire.py
@@ -1,7 +1,6 @@
-"""The simulator's binary wire: frames to interface events, interface actions to replies.
+"""Codec of the simulator's binary protocol: decodes frames to events and encodes actions to replies.
 
-Strict on frames (a malformed one raises WireError), lenient on what it does not know: unknown event codes,
-settings keys, report columns and list fields are skipped. No decision is made here.
+A malformed frame raises WireError. Unknown record codes, settings keys and report columns are ignored.
 """
 
 from __future__ import annotations
@@ -21,8 +20,8 @@
 _QUERY = struct.Struct("<IQfHdBdfIQ")
 _STREAMING = struct.Struct("<IQHId")
 _ENDED = struct.Struct("<IQHIHdBBB")
-_GONE = struct.Struct("<IQ")
-_PONG = struct.Struct("<IdIHB")
+_JOB_OR_TOKEN = struct.Struct("<IQ")
+_PROBE_ENDED = struct.Struct("<IdIHB")
 _MESSAGE = struct.Struct("<IIH")
 _HEARTBEAT = struct.Struct("<IQIBfH")
 _SEND = struct.Struct("<BIIQId")
@@ -34,24 +33,24 @@
 _WATCH = struct.Struct("<BIIB")
 _LIST = struct.Struct("<BII")
 _TELL = struct.Struct("<BIIHH")
-_FAULT = struct.Struct("<BIIH")
+_BAIL_OUT = struct.Struct("<BIIH")
 
-MAX_FRAME = 1 << 28
+MAX_FRAME_BYTES = 1 << 28
 
 
 class WireError(Exception):
-    """The frame cannot be meant: truncated, over-long or inconsistent."""
+    """A frame is truncated, too long or inconsistent."""
 
 
 def read_frame(source: BinaryIO) -> tuple[float, int, int, bytes] | None:
-    """The next batch as (clock, batch index, record count, body), or None at a clean end of input."""
-    head = source.read(HEADER.size)
-    if not head:
+    """The next frame as (clock, batch index, record count, body), or None at the end of input between two frames."""
+    header = source.read(HEADER.size)
+    if not header:
         return None
-    if len(head) < HEADER.size:
-        raise WireError(f"input ends inside a header ({len(head)} of {HEADER.size} bytes)")
-    now, length, count, index = HEADER.unpack(head)
-    if not HEADER.size <= length <= MAX_FRAME or not now >= 0:
+    if len(header) < HEADER.size:
+        raise WireError(f"input ends inside a header ({len(header)} of {HEADER.size} bytes)")
+    now, length, count, index = HEADER.unpack(header)
+    if not HEADER.size <= length <= MAX_FRAME_BYTES or not now >= 0:
         raise WireError(f"impossible frame: length {length}, clock {now}")
     body = source.read(length - HEADER.size)
     if len(body) < length - HEADER.size:
@@ -59,8 +58,8 @@
     return now, index, count, body
 
 
-def records(body: bytes, count: int) -> list[tuple[int, int, int]]:
-    """(code, start of the fields, end) of each record; the fields must fill the body exactly."""
+def split_records(body: bytes, count: int) -> list[tuple[int, int, int]]:
+    """(code, start of the fields, end) of each record; the records must fill the body exactly."""
     out, at = [], 0
     for _ in range(count):
         if at + 5 > len(body):
@@ -77,7 +76,7 @@
 
 
 class _Instance:
-    """What the decoder must remember for one node: the names of its report columns."""
+    """Decoder state of one instance: the Report fields of its report columns."""
 
     __slots__ = ("columns",)
 
@@ -86,16 +85,17 @@
 
 
 class Decoder:
-    """Turns records into (instance, event) pairs; holds the numbered lists of the process."""
+    """Decodes records to (instance, event) pairs. Keeps the numbered worker directories, shared by all instances."""
 
     def __init__(self) -> None:
-        self._banks: dict[int, tuple[api.WorkerEntry, ...]] = {}
+        self._directories: dict[int, tuple[api.WorkerEntry, ...]] = {}
         self._instances: dict[int, _Instance] = {}
 
-    def open(self, instance: int, info: dict[str, Any]) -> None:
+    def open_instance(self, instance: int, info: dict[str, Any]) -> None:
         self._instances[instance] = _Instance(report_fields(info))
 
-    def bank(self, body: bytes, at: int, end: int) -> None:
+    def store_directory(self, body: bytes, at: int, end: int) -> None:
+        """Store the worker entries of a directory record under its number."""
         if at + 6 > end:
             raise WireError("a directory record is too short")
         number, count = struct.unpack_from("<HI", body, at)
@@ -107,78 +107,79 @@
         ):
             if state <= 2:
                 entries.append(api.WorkerEntry(worker, zone, kind, cell, api.WorkerState(state), rating, started))
-        self._banks[number] = tuple(entries)
+        self._directories[number] = tuple(entries)
 
-    def _report(self, instance: int, body: bytes, at: int, count: int, end: int) -> api.Report | None:
+    def _decode_report(self, instance: int, body: bytes, at: int, count: int, end: int) -> api.Report | None:
         if at + 4 * count > end:
             raise WireError("a report runs past the end of its record")
-        known = self._instances.get(instance)
-        if not count or known is None:
+        state = self._instances.get(instance)
+        if not count or state is None:
             return None
         values = struct.unpack_from(f"<{count}f", body, at)
-        named = {
+        fields = {
             name: value
-            for name, value in zip(known.columns, values, strict=False)
-            if name and value == value and abs(value) < 1e9
+            for name, value in zip(state.columns, values, strict=False)
+            if name and value == value and abs(value) < 1e9  # not NaN or absurdly large
         }
-        return api.Report(**named) if named else None
+        return api.Report(**fields) if fields else None
 
-    def event(self, code: int, body: bytes, at: int, end: int) -> tuple[int, api.Event] | None:
-        """The event of one record, or None for a code that is not known."""
+    def decode_event(self, code: int, body: bytes, at: int, end: int) -> tuple[int, api.Event] | None:
+        """The instance and event of one record, or None if the code is unknown."""
         try:
-            return self._event(code, body, at, end)
+            return self._decode_event(code, body, at, end)
         except struct.error as error:
             raise WireError(f"a record of code {code} is too short: {error}") from None
 
-    def _event(self, code: int, body: bytes, at: int, end: int) -> tuple[int, api.Event] | None:
-        need = _NEED.get(code)
-        if need is None:
+    def _decode_event(self, code: int, body: bytes, at: int, end: int) -> tuple[int, api.Event] | None:
+        min_size = _MIN_SIZES.get(code)
+        if min_size is None:
             return None
-        if code == 18 and at + need > end:  # a query may leave out its last fields
+        if code == 18 and at + min_size > end:  # a query may omit its last fields, which are then 0
             if end - at < 35:
                 raise WireError("a query is too short")
-            body, at, end = body[at:end] + bytes(need), 0, need
-        if at + need > end:
+            body, at, end = body[at:end] + bytes(min_size), 0, min_size
+        if at + min_size > end:
             raise WireError(f"a record of code {code} is too short")
-        if code == 20:
-            i, job, attempt, worker, how, lag, final, _, n = _ENDED.unpack_from(body, at)
-            report = self._report(i, body, at + need, n, end)
-            outcome = api.Outcome(how) if 1 <= how <= 8 else api.Outcome.ERROR
-            return i, api.AttemptEnded(job, attempt, worker, outcome, lag, bool(final), report)
-        if code == 22:
-            i, token = _GONE.unpack_from(body, at)
-            return i, api.TimerFired(token)
-        if code == 18:
-            i, job, slots, cls, hint, marks, left, memory, tenant, key = _QUERY.unpack_from(body, at)
-            return i, api.JobArrived(
-                job, cls, left, slots or 1.0, memory, tenant, key, hint if marks & 1 else None, bool(marks & 2)
+        if code == 20:  # attempt ended
+            instance, job, attempt, worker, result, elapsed, final, _, count = _ENDED.unpack_from(body, at)
+            report = self._decode_report(instance, body, at + min_size, count, end)
+            outcome = api.Outcome(result) if 1 <= result <= 8 else api.Outcome.ERROR
+            return instance, api.AttemptEnded(job, attempt, worker, outcome, elapsed, bool(final), report)
+        if code == 22:  # timer fired
+            instance, token = _JOB_OR_TOKEN.unpack_from(body, at)
+            return instance, api.TimerFired(token)
+        if code == 18:  # query: a job arrived
+            instance, job, slots, cls, hint, flags, left, memory, tenant, key = _QUERY.unpack_from(body, at)
+            return instance, api.JobArrived(
+                job, cls, left, slots or 1.0, memory, tenant, key, hint if flags & 1 else None, bool(flags & 2)
             )
-        if code == 23:
-            i, lag, worker, how, n = _PONG.unpack_from(body, at)
-            outcome = api.Outcome(how) if 1 <= how <= 8 else api.Outcome.ERROR
-            return i, api.ProbeEnded(worker, outcome, lag, self._report(i, body, at + need, n, end))
-        if code == 17:
-            i, bank, epoch, form = _SYNC.unpack_from(body, at)
+        if code == 23:  # probe ended
+            instance, elapsed, worker, result, count = _PROBE_ENDED.unpack_from(body, at)
+            outcome = api.Outcome(result) if 1 <= result <= 8 else api.Outcome.ERROR
+            report = self._decode_report(instance, body, at + min_size, count, end)
+            return instance, api.ProbeEnded(worker, outcome, elapsed, report)
+        if code == 17:  # worker list
+            instance, directory, epoch, form = _SYNC.unpack_from(body, at)
             if form > 3:
                 return None
-            entries = self._banks.get(bank, ()) if form != 3 else ()
-            return i, api.WorkerList(api.ListForm(form), entries, epoch)
-        if code == 21:
-            i, job = _GONE.unpack_from(body, at)
-            return i, api.JobWithdrawn(job)
-        if code == 19:
-            i, job, attempt, worker, lag = _STREAMING.unpack_from(body, at)
-            return i, api.AttemptStreaming(job, attempt, worker, lag)
-        if code == 27:
-            i, job, worker, topic, share, attempt = _HEARTBEAT.unpack_from(body, at)
-            return i, api.AttemptProgress(job, attempt, worker, None if topic == 1 else share)
-        i, sender, size = _MESSAGE.unpack_from(body, at)
-        if at + need + size > end:
+            entries = self._directories.get(directory, ()) if form != 3 else ()
+            return instance, api.WorkerList(api.ListForm(form), entries, epoch)
+        if code == 21:  # client gone
+            instance, job = _JOB_OR_TOKEN.unpack_from(body, at)
+            return instance, api.JobWithdrawn(job)
+        if code == 19:  # attempt streaming
+            instance, job, attempt, worker, elapsed = _STREAMING.unpack_from(body, at)
+            return instance, api.AttemptStreaming(job, attempt, worker, elapsed)
+        if code == 27:  # heartbeat: attempt started or in progress
+            instance, job, worker, topic, share, attempt = _HEARTBEAT.unpack_from(body, at)
+            return instance, api.AttemptProgress(job, attempt, worker, None if topic == 1 else share)
+        instance, sender, size = _MESSAGE.unpack_from(body, at)
+        if at + min_size + size > end:
             raise WireError("a message runs past the end of its record")
-        return i, api.PeerMessage(sender, bytes(body[at + need : at + need + size]))
+        return instance, api.PeerMessage(sender, bytes(body[at + min_size : at + min_size + size]))
 
     @staticmethod
-    def opening(body: bytes, at: int, end: int) -> tuple[int, int, bytes]:
+    def decode_open_instance(body: bytes, at: int, end: int) -> tuple[int, int, bytes]:
         """(instance, seed, settings text) of an open_instance record."""
         if at + _OPEN.size > end:
             raise WireError("an open_instance record is too short")
@@ -188,45 +189,46 @@
         return instance, seed, bytes(body[at + _OPEN.size : at + _OPEN.size + size])
 
 
-_NEED = {
+_MIN_SIZES = {  # bytes of the fixed fields, by record code
     17: _SYNC.size,
     18: _QUERY.size,
     19: _STREAMING.size,
     20: _ENDED.size,
-    21: _GONE.size,
-    22: _GONE.size,
-    23: _PONG.size,
+    21: _JOB_OR_TOKEN.size,
+    22: _JOB_OR_TOKEN.size,
+    23: _PROBE_ENDED.size,
     24: _MESSAGE.size,
     27: _HEARTBEAT.size,
 }
 
 
-def encode(instance: int, actions: list[api.Action], out: list[bytes]) -> None:
-    """Append the records of an instance's actions."""
-    for a in actions:
-        match a:
+def encode_actions(instance: int, actions: list[api.Action], out: list[bytes]) -> None:
+    """Append one record for each action of an instance to `out`."""
+    for action in actions:
+        match action:
             case api.SetTimer():
-                out.append(_TIMER.pack(20, 20, instance, a.token, max(0.0, a.delay)))
+                out.append(_TIMER.pack(20, 20, instance, action.token, max(0.0, action.delay)))
             case api.Send():
-                out.append(_SEND.pack(16, 24, instance, a.job, a.worker, a.timeout))
+                out.append(_SEND.pack(16, 24, instance, action.job, action.worker, action.timeout))
             case api.Probe():
-                out.append(_PROBE.pack(21, 8, instance, a.worker))
+                out.append(_PROBE.pack(21, 8, instance, action.worker))
             case api.Refuse():
-                out.append(_REFUSE.pack(17, 20, instance, a.job, a.pause))
+                out.append(_REFUSE.pack(17, 20, instance, action.job, action.pause))
             case api.Fail():
-                out.append(_FAIL.pack(18, 12, instance, a.job))
+                out.append(_FAIL.pack(18, 12, instance, action.job))
             case api.CancelAttempt():
-                out.append(_CANCEL.pack(19, 14, instance, a.job, a.attempt))
+                out.append(_CANCEL.pack(19, 14, instance, action.job, action.attempt))
             case api.WatchWorkers():
-                out.append(_WATCH.pack(26, 5, instance, a.on))
+                out.append(_WATCH.pack(26, 5, instance, action.on))
             case api.ListWorkers():
                 out.append(_LIST.pack(27, 4, instance))
             case api.TellPeers():
-                to = 0xFFFF if a.node is None else a.node
-                out.append(_TELL.pack(23, 8 + len(a.payload), instance, to, len(a.payload)) + a.payload)
+                node = 0xFFFF if action.node is None else action.node  # 0xFFFF: all nodes
+                header = _TELL.pack(23, 8 + len(action.payload), instance, node, len(action.payload))
+                out.append(header + action.payload)
 
 
-def fault(instance: int, text: str) -> bytes:
-    """A bail_out record: the instance could not go on."""
-    what = text.encode()[:4000]
-    return _FAULT.pack(25, 6 + len(what), instance, len(what)) + what
+def encode_bail_out(instance: int, reason: str) -> bytes:
+    """A bail_out record: the instance cannot continue, with the reason as text."""
+    text = reason.encode()[:4000]
+    return _BAIL_OUT.pack(25, 6 + len(text), instance, len(text)) + text
--- a/millethead/decide/__init__.py
+++ b/millethead/decide/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module with its settings, events and actions. It knows no wire and no clock."""
+"""The decision module with its settings, events and actions. It does no input or output and reads no clock."""
--- a/millethead/decide/balance.py
+++ b/millethead/decide/balance.py
@@ -49,7 +49,7 @@
                 job = self.jobs.get(event.job)
                 if job is not None and not job.done:
                     self._close(job, out)
-            case api.Closing(left=left):
+            case api.Closing(time_left=left):
                 self.shutdown_at = now + left
                 for job in self.jobs.values():
                     if not job.done and self.shutdown_at < job.deadline < inf:
@@ -86,12 +86,12 @@
                         del self.workers[entry.worker]
             elif worker is None:
                 worker = self.workers[entry.worker] = Worker(entry)
-            elif entry.started != worker.started or worker.excluded > entry.out:
+            elif entry.started != worker.started or worker.excluded > entry.excluded:
                 worker.reset(entry.started)  # a worker that an operator puts back is repaired: drop its failures
-                if worker.excluded > entry.out and self.settings.may_probe:
+                if worker.excluded > entry.excluded and self.settings.may_probe:
                     self._probe([worker], out)
             if worker is not None:
-                worker.excluded = entry.out
+                worker.excluded = entry.excluded
                 worker.available = entry.state is WorkerState.READY and not worker.excluded
         self.all_excluded = any(worker.excluded for worker in self.workers.values()) and not any(
             worker.available for worker in self.workers.values())
--- a/millethead/decide/interface.py
+++ b/millethead/decide/interface.py
@@ -1,7 +1,7 @@
-"""What goes into and comes out of the decision module: settings, events and actions.
+"""Input and output of the decision module: settings, events and actions.
 
-Times and durations are milliseconds as floats; `now` is any clock that only moves forward. Indexes
-(zone, kind, job class, tenant) count from 0 into the lists of the settings. Nothing here decides.
+All times and durations are milliseconds as floats, on any monotonic clock. Zones, worker kinds, job classes and tenants
+are indexes from 0 into the lists of the settings.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Effect(Enum):
-    """How often a job may run: any number of times, once per key and group, or once at most."""
+    """How often a job may run: any number of times, once per key and deduplication group, or at most once."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -19,7 +19,7 @@
 
 
 class Group(Enum):
-    """The workers that drop a repeat of a keyed job together."""
+    """The deduplication group of a keyed job: the workers among which a repeat with the same key is dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,7 +27,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended, or what a probe met."""
+    """The outcome of an attempt or of a probe."""
 
     OK = 1
     ERROR = 2
@@ -39,18 +39,19 @@
     NEVER_SENT = 8
 
 
+# outcomes after which the worker has certainly not started the job
 NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NEVER_SENT))
 
 
 class ListForm(IntEnum):
-    """What a list event carries: changed entries, all entries, the list of the last run, none, or entries that an
-    operator has taken out or put back."""
+    """Content of a worker list event: changed entries (DELTA), all entries (FULL), the stored list of the previous
+    process (CACHED), none because the call failed (FAILED), or entries that an operator has excluded or put back."""
 
     DELTA = 0
     FULL = 1
     CACHED = 2
     FAILED = 3
-    BY_HAND = 4
+    BY_OPERATOR = 4
 
 
 class WorkerState(IntEnum):
@@ -59,7 +60,8 @@
     GONE = 2
 
 
-def _check(owner: str, **fields: float) -> None:
+def _check_finite(owner: str, **fields: float) -> None:
+    """Raise ValueError unless every field is a finite number of 0 or more."""
     for name, value in fields.items():
         if not 0 <= value < float("inf"):
             raise ValueError(f"{owner}.{name} must be a finite number of 0 or more, not {value!r}")
@@ -67,7 +69,11 @@
 
 @dataclass(slots=True, frozen=True)
 class JobClass:
-    """One class of jobs. A job is in time within `aim` plus `stretch` times its running time."""
+    """A class of jobs. A job is in time if it completes within `aim` plus `stretch` times its running time.
+
+    `deadline` is the latest time of its final answer. `worth` is its value in time, `late_worth` after that. `window`
+    is how long a deduplication group remembers a key.
+    """
 
     deadline: float
     aim: float
@@ -82,7 +88,7 @@
     streaming: bool = False
 
     def __post_init__(self) -> None:
-        _check(
+        _check_finite(
             "JobClass",
             deadline=self.deadline,
             aim=self.aim,
@@ -97,24 +103,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """One tenant. `reservation` is the absolute floor in job starts a second over all nodes (None: unknown);
-    `weight` is its part of what the reservations leave over, and is unrelated to the reservation."""
+    """A tenant. `reservation` is its guaranteed rate over all nodes in job starts per second (None: unknown); `weight`
+    is its share of the capacity that the reservations leave, independent of the reservation."""
 
     reservation: float | None = None
     weight: float = 1.0
     name: str = ""
 
     def __post_init__(self) -> None:
-        _check("Tenant", reservation=0.0 if self.reservation is None else self.reservation, weight=self.weight)
+        _check_finite("Tenant", reservation=0.0 if self.reservation is None else self.reservation, weight=self.weight)
         if self.weight == 0:
             raise ValueError("Tenant.weight must be more than 0")
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a node is told at its start. Only `classes` is essential. `share`: the part of fleet-wide limits that it
-    may use until the time `share_until` (None: one of `nodes` equal parts, always). `watch_needed`: lists come on a
-    watch that the module asks for; `lists_pushed`: what stands in them counts as told without being asked for."""
+    """Settings of a node; only `classes` is required.
+
+    `share` is the fraction of fleet-wide limits that the node may use until the time `share_until` (None: always one of
+    `nodes` equal parts). With `watch_needed` the module has to request a watch to receive worker lists; with
+    `lists_pushed` they arrive without a request.
+    """
 
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -183,13 +192,13 @@
             "price_late_fail",
             "progress_every",
         )
-        _check("Settings", **{name: getattr(self, name) for name in numbers})
+        _check_finite("Settings", **{name: getattr(self, name) for name in numbers})
 
 
 @dataclass(slots=True)
 class Report:
-    """A worker's load as it said it; None where the worker does not say. `exact`: the free slots are this
-    node's own and known at this moment, not a late and shared figure."""
+    """A worker's load as reported; None for values that the worker does not report. With `exact`, the free slots are
+    current and for this node alone; otherwise they may be out of date and are shared with the other nodes."""
 
     free_slots: float | None = None
     free_memory: float | None = None
@@ -199,14 +208,14 @@
     exact: bool = False
 
 
-# ---- events: what a node is told -----------------------------------------------------------------
+# ---- events --------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
 class WorkerEntry:
-    """One line of the worker list. `started` is the clock time of the last start, 0 for long ago; `cell` is
-    below 0 where the worker drops no repeats; `takes` names the job classes that it takes, if not all;
-    `confirms`: it says so when it has taken a job; `out`: an operator wants it left out."""
+    """An entry of the worker list. `started` is the time of the worker's last start, 0 if unknown or long ago. `cell`
+    is negative if the worker does not drop repeats. `job_classes` limits the classes that it accepts (None: all).
+    `confirms`: it confirms each job that it accepts. `excluded`: an operator has excluded it from new jobs."""
 
     worker: int
     zone: int = 0
@@ -215,14 +224,14 @@
     state: WorkerState = WorkerState.READY
     rating: float = 1.0
     started: float = 0.0
-    takes: frozenset[int] | None = None
+    job_classes: frozenset[int] | None = None
     confirms: bool = False
-    out: bool = False
+    excluded: bool = False
 
 
 @dataclass(slots=True)
 class WorkerList:
-    """`within`: where a list has to be asked for, ms until the next call begins at the latest."""
+    """The list of workers or a change to it. `within`: if lists have to be requested, latest start of the next call."""
 
     form: ListForm
     workers: tuple[WorkerEntry, ...] = ()
@@ -232,12 +241,12 @@
 
 @dataclass(slots=True)
 class JobArrived:
-    """A job that the node must give exactly one final answer within `left`. `fresh`: a `left` below the
-    deadline of its class is the client's wish, and not what earlier tries of it have used up."""
+    """A job that needs exactly one final answer within `time_left`. `fresh`: this is the client's first try, so a
+    `time_left` below the deadline of the class is the client's choice, not the rest after earlier tries."""
 
     job: int
     job_class: int
-    left: float
+    time_left: float
     slots: float = 1.0
     memory: float = 0.0
     tenant: int = 0
@@ -249,18 +258,22 @@
 
 @dataclass(slots=True)
 class JobWithdrawn:
+    """The client no longer waits for the job's answer."""
+
     job: int
 
 
 @dataclass(slots=True)
 class Closing:
-    """The node ends: whatever is held, and what still arrives, needs its final answer within `left`."""
+    """The node shuts down: all jobs, also those that still arrive, need their final answer within `time_left`."""
 
-    left: float
+    time_left: float
 
 
 @dataclass(slots=True)
 class AttemptStreaming:
+    """The worker's answer is being streamed to the client, so the attempt can no longer be replaced."""
+
     job: int
     attempt: int
     worker: int
@@ -269,7 +282,7 @@
 
 @dataclass(slots=True)
 class AttemptTaken:
-    """A worker that confirms has taken the job."""
+    """A worker has confirmed that it has accepted the job."""
 
     job: int
     attempt: int
@@ -277,7 +290,7 @@
 
 @dataclass(slots=True)
 class AttemptProgress:
-    """A worker's note: the job has started (`share` None) or how much of it is done."""
+    """A progress message of a worker: the job has started (`share` None), or the completed fraction."""
 
     job: int
     attempt: int
@@ -287,8 +300,8 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """Each attempt ends once. `final` says that the job has its answer and nothing more is owed; `unusable`
-    that the worker found fault with the job and not with itself."""
+    """The end of an attempt, once per attempt. `final`: the job has its final answer. `unusable`: the worker rejected
+    the job itself as invalid, which is no failure of the worker."""
 
     job: int
     attempt: int
@@ -333,13 +346,13 @@
     | PeerMessage
 )
 
-# ---- actions: what a node does, in the order given -------------------------------------------------
+# ---- actions, executed in the order returned -------------------------------------------------------
 
 
 @dataclass(slots=True)
 class Send:
-    """Start the job's next attempt; attempts count from 0 in the order sent. No `timeout`: until `left`. It has to
-    begin at the worker within `within` ms, or else not at all."""
+    """Start the job's next attempt; attempts are numbered from 0. A `timeout` of 0 means the job's deadline. The worker
+    has to start the job within `within` ms or not at all."""
 
     job: int
     worker: int
@@ -355,7 +368,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: not done, trying again is harmless (after `pause`, if given)."""
+    """Final answer: the job was not run, or a repeat is harmless; the client may retry after `pause`."""
 
     job: int
     pause: float = 0.0
@@ -363,7 +376,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: no promise about what was done."""
+    """Final answer: the job may or may not have run."""
 
     job: int
 
--- a/millethead/decide/records.py
+++ b/millethead/decide/records.py
@@ -23,7 +23,7 @@
 
     def __init__(self, entry: api.WorkerEntry) -> None:
         self.id, self.zone, self.kind, self.cell = entry.worker, entry.zone, entry.kind, entry.cell
-        self.id_hash, self.job_classes, self.confirms = hash32(entry.worker), entry.takes, entry.confirms
+        self.id_hash, self.job_classes, self.confirms = hash32(entry.worker), entry.job_classes, entry.confirms
         self.exact = self.excluded = False
         self.reset(entry.started)
 
@@ -51,7 +51,7 @@
     def __init__(self, event: api.JobArrived, flow: Flow, sequence: int, now: float, running_time: float) -> None:
         self.id, self.job_class, self.key = event.job, event.job_class, event.key
         self.flow, self.sequence, self.running_time = flow, sequence, running_time
-        self.deadline, self.arrived_at, self.latest_start = now + event.left, now, inf
+        self.deadline, self.arrived_at, self.latest_start = now + event.time_left, now, inf
         # values are rounded into few shapes, because each release examines every shape
         self.slots, self.memory = min(64, max(1, ceil(event.slots))), event.memory
         memory = int(min(event.memory, 1e6)).bit_length()
--- a/millethead/decide/settings.py
+++ b/millethead/decide/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a node, read from the JSON object that the simulator and the configuration share."""
+"""Settings of a node, read from a JSON object in the format of the simulator and of the configuration."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class SettingsError(Exception):
-    """The settings lack something essential or hold something that cannot be meant."""
+    """A required setting is missing, or a value is invalid."""
 
 
 def report_fields(info: dict[str, Any]) -> tuple[str | None, ...]:
-    """The field of a Report that each value of a load report means, in their order; None: none."""
+    """The Report field of each column of a load report, in column order; None for a column that is ignored."""
     family = info.get("family_info") or {}
     report = info.get("report") or {}
     return tuple(report_field(column, family) for column in report.get("columns") or ())
 
 
 def report_field(column: str, family: dict[str, Any]) -> str | None:
-    """The field of a Report that a value by this name means; None: none."""
+    """The Report field for a column name; None if the column is ignored."""
     if column in ("x0", "x1"):
         meaning = str(family.get("report_" + column, "")).lower()
         default = "slot" if column == "x0" else "memory"
@@ -38,7 +38,8 @@
 
 
 def settings_from(text: bytes) -> tuple[dict[str, Any], api.Settings]:
-    """The settings JSON as it came, and as Settings. Keys not known are skipped, optional ones defaulted."""
+    """Parse settings JSON; returns the JSON object and the Settings. Unknown keys are ignored, optional ones have
+    defaults. Raises SettingsError."""
     try:
         info = json.loads(text)
         if not isinstance(info, dict):
@@ -52,41 +53,45 @@
 
 def _settings(info: dict[str, Any]) -> api.Settings:
     family = info.get("family_info") or {}
-    permit = info.get("permissions") or {}
+    permissions = info.get("permissions") or {}
     rules = info.get("rules") or {}
     prices = info.get("prices") or {}
-    how = (info.get("report") or {}).get("how", "none")
+    report_source = (info.get("report") or {}).get("how", "none")
 
     def per_class(key: str, index: int, default: float) -> float:
         values = family.get(key) or ()
         return values[index] if index < len(values) else default
 
-    for key in ("azs", "kinds", "classes", "tenants"):  # all that is known goes by these names
-        names = [str(x.get("name", n) if isinstance(x, dict) else x) for n, x in enumerate(info.get(key) or ())]
+    for key in ("azs", "kinds", "classes", "tenants"):  # their names are used as identifiers
+        names = [
+            str(item.get("name", index) if isinstance(item, dict) else item)
+            for index, item in enumerate(info.get(key) or ())
+        ]
         if len({*names}) < len(names):
             raise SettingsError(f"{key}: a name stands there twice")
     classes = []
-    for n, c in enumerate(info["classes"]):
-        stretch = c.get("aim_stretch", per_class("class_stretch", n, 0.0))
-        kind = int(per_class("class_kind", n, -1))
-        scope = c.get("dedup_scope", "cell")
+    for index, entry in enumerate(info["classes"]):
+        stretch = entry.get("aim_stretch", per_class("class_stretch", index, 0.0))
+        kind = int(per_class("class_kind", index, -1))
+        scope = entry.get("dedup_scope", "cell")
         classes.append(
             api.JobClass(
-                deadline=c["deadline"],
-                aim=c.get("goal_time", c["deadline"]),
+                deadline=entry["deadline"],
+                aim=entry.get("goal_time", entry["deadline"]),
                 stretch=stretch or 0.0,
-                worth=c.get("worth", 1.0),
-                late_worth=c.get("late_worth", 0.0),
-                effect=_EFFECTS.get(c.get("effect", ""), api.Effect.UNSAFE),
+                worth=entry.get("worth", 1.0),
+                late_worth=entry.get("late_worth", 0.0),
+                effect=_EFFECTS.get(entry.get("effect", ""), api.Effect.UNSAFE),
                 group=api.Group(scope) if scope in ("all", "zone", "cell") else api.Group.CELL,
-                window=c.get("window", 0.0),
+                window=entry.get("window", 0.0),
                 kind=None if kind < 0 else kind,
-                priority=int(per_class("class_priority", n, 0)),
-                streaming=bool(c.get("streaming", False)),
+                priority=int(per_class("class_priority", index, 0)),
+                streaming=bool(entry.get("streaming", False)),
             )
         )
     tenants = tuple(
-        api.Tenant(reservation=t.get("quota_rps"), name=str(t.get("name", ""))) for t in info.get("tenants") or ()
+        api.Tenant(reservation=tenant.get("quota_rps"), name=str(tenant.get("name", "")))
+        for tenant in info.get("tenants") or ()
     )
     return api.Settings(
         classes=tuple(classes),
@@ -95,22 +100,22 @@
         node=info.get("self_index", 0),
         nodes=max(1, info.get("balancers", 1)),
         tick=info.get("tick") or 1.0,
-        max_attempts=permit.get("try_limit", 3),
-        may_probe=bool(permit.get("probes", False)),
-        may_cancel=bool(permit.get("cancel", False)),
-        may_tell=bool(permit.get("may_tell", False)),
-        parallel_attempts=bool(permit.get("parallel_tries", False)),
+        max_attempts=permissions.get("try_limit", 3),
+        may_probe=bool(permissions.get("probes", False)),
+        may_cancel=bool(permissions.get("cancel", False)),
+        may_tell=bool(permissions.get("may_tell", False)),
+        parallel_attempts=bool(permissions.get("parallel_tries", False)),
         watch_needed=info.get("membership_mode", "automatic") == "subscribe",
         lists_pushed=info.get("membership_mode", "automatic") != "subscribe",
-        reports_in_answers=how == "answers",
-        reports_in_probes=how in ("answers", "probe"),
-        connect_timeout=permit.get("connect_timeout", 250.0),
-        max_pause=permit.get("max_retry_after", 0.0) if permit.get("retry_after", False) else 0.0,
+        reports_in_answers=report_source == "answers",
+        reports_in_probes=report_source in ("answers", "probe"),
+        connect_timeout=permissions.get("connect_timeout", 250.0),
+        max_pause=permissions.get("max_retry_after", 0.0) if permissions.get("retry_after", False) else 0.0,
         answer_grace=rules.get("grace_to_answer", 0.0),
         drain_grace=rules.get("drain_grace", 0.0),
         ask_every=rules.get("ask_every", 10_000.0),
         cold_from=rules.get("cold_from", 0.1),
-        # parts of it are worked out for a worker that has started just now, or by a clock ahead of ours
+        # above 0: it is a divisor for a worker that has started just now, or whose clock is ahead of this node's
         cold_time=rules.get("cold") or 0.001,
         fall_multiple=rules.get("fall_multiple", 1.0),
         fall_window=rules.get("fall", 1_000.0),
--- a/millethead/exchange/core.py
+++ b/millethead/exchange/core.py
@@ -206,7 +206,7 @@
 
     def _marked(self, entries: list[api.WorkerEntry]) -> None:
         if entries:
-            self._feed(api.WorkerList(api.ListForm.BY_HAND, tuple(entries)))
+            self._feed(api.WorkerList(api.ListForm.BY_OPERATOR, tuple(entries)))
 
     def listed(
         self, side: ServerSide, form: api.ListForm, lines: Iterable[Listed] = (), within: float = float("inf")
--- a/millethead/exchange/model.py
+++ b/millethead/exchange/model.py
@@ -104,7 +104,7 @@
     @property
     def wanted(self) -> bool:
         """Whether something new may be sent to it: it is in service, and no operator has taken it out."""
-        return self.open and not self.entry.out
+        return self.open and not self.entry.excluded
 
     def take(self, listed: Listed, out: bool = False) -> None:
         self.address = listed.address
--- a/millethead/exchange/workers.py
+++ b/millethead/exchange/workers.py
@@ -61,8 +61,8 @@
         entries = []
         for name in names:
             worker, out = self._by_name.get(name), self._is_out(name)
-            if worker is not None and worker.entry.out != out:
-                worker.entry = replace(worker.entry, out=out)
+            if worker is not None and worker.entry.excluded != out:
+                worker.entry = replace(worker.entry, excluded=out)
                 entries.append(worker.entry)
         return entries
 
--- a/millethead/succession/succession.py
+++ b/millethead/succession/succession.py
@@ -357,7 +357,7 @@
             if worker is not None and worker.open and worker.entry.started <= line.started:
                 fresh.append(line)
         if fresh:
-            self.exchange.listed(self.workers, ListForm.BY_HAND, fresh)
+            self.exchange.listed(self.workers, ListForm.BY_OPERATOR, fresh)
             self._heard(fresh, but=link)
 
     def close(self) -> None:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -212,8 +212,8 @@
         self.node.list(*self.lines)
 
     def out(self, *numbers):
-        lines = [replace(e, out=e.worker in numbers) for e in self.lines]
-        return self.node.give(api.WorkerList(api.ListForm.BY_HAND, tuple(lines)))
+        lines = [replace(e, excluded=e.worker in numbers) for e in self.lines]
+        return self.node.give(api.WorkerList(api.ListForm.BY_OPERATOR, tuple(lines)))
 
     def report(self, *numbers):
         for number in numbers:
--- a/tests/test_fetchers.py
+++ b/tests/test_fetchers.py
@@ -43,7 +43,7 @@
 
 
 def test_a_worker_gets_only_the_classes_that_it_takes():
-    node = node_with(api.WorkerEntry(1, cell=-1, takes=frozenset({1})), api.WorkerEntry(2, cell=-1))
+    node = node_with(api.WorkerEntry(1, cell=-1, job_classes=frozenset({1})), api.WorkerEntry(2, cell=-1))
     node.job(1, 0)
     node.job(2, 1)
     tell(node, 1, 5.0)
