--- a/millethead/decide/balance.py
+++ b/millethead/decide/balance.py
@@ -11,13 +11,13 @@
 from millethead.decide.picking import HEAP_SCAN_LIMIT, WORKER_SCAN_LIMIT, Picker
 from millethead.decide.records import CELL_GROUPS, EMPTY_GROUP, Job, Worker, first_waiting
 
-MIN_SWEEP_TICKS, MAX_SWEEP_TICKS = 4.0, 16.0  # interval of the sweeps of the waiting jobs, which grows
+MIN_SWEEP_TICKS, MAX_SWEEP_TICKS = 4.0, 16.0  # first and longest interval between sweeps of the waiting jobs
 STRETCH_WAIT_SHARE = 0.8  # of a job's stretch that it may wait: expected running times are inaccurate
 KEY_COUNT_LIMIT = 4000  # keyed jobs after which all key counts are halved
 WATCH_SPREAD_MS = 3.0  # calls of n nodes are spread over n * n times this, about their total queueing time
 WATCH_TIMEOUT_MS = 4000.0  # by then a call to discovery has been answered or reported as failed, if at all
 CONFIRM_TIMEOUT_MS = 800.0  # for a worker to confirm a job, which takes it almost no time
-UNUSABLE_TOLERANCE = 4  # consecutive jobs that a worker may call unusable before that counts as its own failure
+UNUSABLE_TOLERANCE = 4  # consecutive jobs that a worker may reject as unusable before that counts as its own failure
 DEADLINE_TIMER, SWEEP_TIMER, WATCH_TIMER, CONFIRM_TIMER = range(4)  # low bits of a timer token
 
 
@@ -114,7 +114,7 @@
         out.append(api.SetTimer(WATCH_TIMER, delay))
 
     def _on_job_arrived(self, event: api.JobArrived, out: list[api.Action]) -> None:
-        if event.job_class >= len(self.settings.classes):  # the job never ran, so a refusal is always safe
+        if event.job_class >= len(self.settings.classes):  # an unknown class; the job never ran, so a refusal is safe
             out.append(api.Refuse(event.job))
             return
         now, cls = self.now, self.settings.classes[event.job_class]
@@ -122,7 +122,7 @@
         self.sequence += 1
         job = self.jobs[event.job] = Job(
             event, flow, self.sequence, now, event.expected_work or self.mean_times[event.job_class])
-        submitted = now if event.fresh else job.deadline - cls.deadline  # the client's first try
+        submitted = now if event.fresh else job.deadline - cls.deadline  # time of the client's first try
         job.latest_start = submitted + cls.aim + STRETCH_WAIT_SHARE * (cls.stretch - 1) * job.running_time
         self.mean_slots += 0.01 * (job.slots - self.mean_slots)
         if self.all_excluded or (now > job.latest_start and self.waiting_count):
@@ -136,7 +136,7 @@
                 self.key_counts = {key: count / 2 for key, count in self.key_counts.items() if count > 1}
         self._assign_tags(job)
         self._enqueue(job)
-        job.deadline = min(job.deadline, self.shutdown_at)  # its timer ensures one final answer in any case
+        job.deadline = min(job.deadline, self.shutdown_at)  # the timer ensures a final answer in any case
         out.append(api.SetTimer(event.job << 3 | DEADLINE_TIMER, max(0.0, job.deadline - now - 2 * self.settings.tick)))
         self._place(job, out)
         self._schedule_sweep(out)
--- a/millethead/decide/picking.py
+++ b/millethead/decide/picking.py
@@ -8,7 +8,7 @@
 from millethead.decide.fleet import CLASS_AVOID_MS, RECENT_SUCCESS_MS, FleetState
 from millethead.decide.records import CELL_GROUPS, Flow, Job, JobHeap, Worker, first_waiting, hash32
 
-IDLE_CREDIT_JOBS = 2.0  # sigma in RePAIR: how far a returning tenant's weight tag may lag behind virtual time
+IDLE_CREDIT_JOBS = 2.0  # sigma in RePAIR: how far, in jobs, a returning tenant's weight tag may lag behind
 URGENCY_SLACK_MS = 500.0  # below about this much slack a job's worth alone decides its rank in its tenant
 HEAP_SCAN_LIMIT = 16  # waiting jobs of one shape searched for one that a worker holds the cache of
 MIN_CACHE_WORKERS = 3  # workers that hold the cached data of a rarely requested key
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -1,5 +1,5 @@
-"""Cold workers: what all dispatchers together send one in any window stays within its budget of N calls of mean work
-and what is left to chance, 2 x root of N + 2. Real modules in virtual time, with more jobs than the worker takes."""
+"""The budget of a cold worker: in any window all dispatchers together send it at most N jobs of mean work, plus
+2 * sqrt(N) + 2 for chance. Real decision modules in virtual time, with more jobs than the worker can run."""
 
 import heapq
 import random
@@ -10,105 +10,109 @@
 from millethead.decide import interface as api
 from millethead.decide.balance import Balancer
 
-WORK, SLOTS, BEGAN = 400.0, 8.0, 2000.0  # ms of a mean job on a warm worker, its slots, ms of its start
-COLD, FROM, WINDOW = 8000.0, 0.32, 1500.0
+MEAN_WORK_MS, SLOTS = 400.0, 8.0  # of a mean job on a warm worker; of the worker
+STARTED_MS, COLD_TIME_MS, COLD_FROM, WINDOW_MS = 2000.0, 8000.0, 0.32, 1500.0
 
 
-class Day:
-    """One cold worker. `skew`: ms by which lists reach dispatchers at different times; `restart`: all forget, once, at
-    one moment, what they have sent; `heavy`: one job in five is ten times as long as the others; `quiet`: no job comes
-    in the first so many ms."""
+class ColdStart:
+    """Simulation of one cold worker and its dispatchers. `skew`: ms over which the worker list reaches the dispatchers;
+    `restart`: all dispatchers restart at one moment and lose their state; `heavy`: one job in five is ten times as long
+    as the others; `quiet`: no job arrives in the first so many ms."""
 
     def __init__(self, nodes, seed, multiple, skew=0.0, restart=False, heavy=False, quiet=-1000.0):
         self.rng, self.count, self.seed, self.multiple, self.heavy = random.Random(seed), nodes, seed, multiple, heavy
-        self.due, self.seq, self.sent, self.ends, self.cost = [], 0, [], [], {}
+        self.due, self.sequence, self.sent, self.running_until, self.work = [], 0, [], [], {}
         self.worker = self.rng.getrandbits(31)
-        self.nodes = [self.node(n) for n in range(nodes)]
+        self.nodes = [self.make_node(n) for n in range(nodes)]
         for n in range(nodes):
-            self.list(n, BEGAN + self.rng.random() * skew)
-            at = BEGAN + quiet * self.rng.random() if quiet < 0 else BEGAN + quiet
-            while at < BEGAN + COLD:
+            self.deliver_list(n, STARTED_MS + self.rng.random() * skew)
+            at = STARTED_MS + quiet * self.rng.random() if quiet < 0 else STARTED_MS + quiet
+            while at < STARTED_MS + COLD_TIME_MS:
                 at += self.rng.expovariate(max(2.0, 120.0 / nodes) / 1000)
-                work = WORK * (0.357 if self.rng.random() < 0.8 else 3.57) if heavy else WORK
-                self.cost[len(self.cost) + 1] = work
-                self.later(at, n, api.JobArrived(len(self.cost), 0, 8000.0, 1.0, 0.0, 0, 0, work, False, True))
+                work = MEAN_WORK_MS * (0.357 if self.rng.random() < 0.8 else 3.57) if heavy else MEAN_WORK_MS
+                self.work[len(self.work) + 1] = work
+                self.schedule(at, n, api.JobArrived(len(self.work), 0, 8000.0, 1.0, 0.0, 0, 0, work, False, True))
         if restart:
-            at = BEGAN + self.rng.uniform(0.2, 0.7) * COLD
+            at = STARTED_MS + self.rng.uniform(0.2, 0.7) * COLD_TIME_MS
             for n in range(nodes):
-                self.later(at, n, None)
+                self.schedule(at, n, None)
 
-    def node(self, n):
+    def make_node(self, n):
         settings = api.Settings(
             (api.JobClass(deadline=8000.0, aim=8000.0, stretch=2.0, effect=api.Effect.SAFE),),
             nodes=self.count,
             node=n,
-            cold_time=COLD,
-            cold_from=FROM,
+            cold_time=COLD_TIME_MS,
+            cold_from=COLD_FROM,
             fall_multiple=self.multiple,
-            fall_window=WINDOW,
+            fall_window=WINDOW_MS,
             max_attempts=1,
             tick=5.0,
         )
-        made = Balancer(settings, 1000 * self.seed + n)
-        made.mean_times, made.mean_work = [WORK], WORK
-        return made
+        node = Balancer(settings, 1000 * self.seed + n)
+        node.mean_times, node.mean_work = [MEAN_WORK_MS], MEAN_WORK_MS
+        return node
 
-    def later(self, at, n, event):
-        self.seq += 1
-        heapq.heappush(self.due, (at, self.seq, n, event))
+    def schedule(self, at, n, event):
+        """Pass the event to node `n` at a time; None restarts the node."""
+        self.sequence += 1
+        heapq.heappush(self.due, (at, self.sequence, n, event))
 
-    def list(self, n, at):
-        self.later(at, n, api.WorkerList(api.ListForm.FULL, (api.WorkerEntry(self.worker, 0, 0, 0, started=BEGAN),)))
-        self.later(at, n, api.ProbeEnded(self.worker, api.Outcome.OK, 1.0, self.report(at)))
+    def deliver_list(self, n, at):
+        entry = api.WorkerEntry(self.worker, 0, 0, 0, started=STARTED_MS)
+        self.schedule(at, n, api.WorkerList(api.ListForm.FULL, (entry,)))
+        self.schedule(at, n, api.ProbeEnded(self.worker, api.Outcome.OK, 1.0, self.report(at)))
 
     def report(self, at):
-        self.ends = [end for end in self.ends if end > at]
-        return api.Report(free_slots=max(0.0, SLOTS - len(self.ends)))
+        self.running_until = [end for end in self.running_until if end > at]
+        return api.Report(free_slots=max(0.0, SLOTS - len(self.running_until)))
 
-    def share(self, at):
-        return FROM + (1 - FROM) * (at - BEGAN) / COLD
+    def speed(self, at):
+        """Speed of the worker relative to a warm one."""
+        return COLD_FROM + (1 - COLD_FROM) * (at - STARTED_MS) / COLD_TIME_MS
 
     def run(self):
-        while self.due and self.due[0][0] < BEGAN + COLD:
+        while self.due and self.due[0][0] < STARTED_MS + COLD_TIME_MS:
             at, _, n, event = heapq.heappop(self.due)
             if event is None:
-                self.nodes[n] = self.node(n)
-                self.list(n, at + 1)
+                self.nodes[n] = self.make_node(n)
+                self.deliver_list(n, at + 1)
                 continue
             if isinstance(event, api.AttemptEnded):
                 event.report = self.report(at)
             for action in self.nodes[n].handle(at, event):
                 if isinstance(action, api.Send):
-                    work = self.cost[action.job]
-                    took = work / self.share(at)
-                    self.sent.append((at, work / WORK))
-                    self.ends.append(at + took)
-                    self.later(at + took, n, api.AttemptEnded(action.job, 0, self.worker, api.Outcome.OK, took, True))
+                    work = self.work[action.job]
+                    elapsed = work / self.speed(at)
+                    self.sent.append((at, work / MEAN_WORK_MS))
+                    self.running_until.append(at + elapsed)
+                    ended = api.AttemptEnded(action.job, 0, self.worker, api.Outcome.OK, elapsed, True)
+                    self.schedule(at + elapsed, n, ended)
                 elif isinstance(action, api.SetTimer):
-                    self.later(at + action.delay, n, api.TimerFired(action.token))
+                    self.schedule(at + action.delay, n, api.TimerFired(action.token))
         return self
 
-    def worst(self):
-        """(by how many roots of N the heaviest window passes N, less the 2 calls; its part of N)"""
-        first, work, roots, part = 0, 0.0, -99.0, 0.0
-        for at, cost in self.sent:
-            work += cost
-            while self.sent[first][0] < at - WINDOW:
+    def heaviest_window(self):
+        """(largest excess over the budget N + 2, in units of sqrt(N); largest work in a window relative to N)"""
+        first, work, excess, ratio = 0, 0.0, -99.0, 0.0
+        for at, jobs in self.sent:
+            work += jobs
+            while self.sent[first][0] < at - WINDOW_MS:
                 work -= self.sent[first][1]
                 first += 1
-            bears = self.multiple * self.share(at) * SLOTS * WINDOW / WORK
-            roots, part = max(roots, (work - bears - 2) / sqrt(bears)), max(part, work / bears)
-        return roots, part
+            budget = self.multiple * self.speed(at) * SLOTS * WINDOW_MS / MEAN_WORK_MS
+            excess, ratio = max(excess, (work - budget - 2) / sqrt(budget)), max(ratio, work / budget)
+        return excess, ratio
 
-    def used(self):
-        """What was sent, as a part of what the worker can do while it is cold."""
-        return sum(cost for _, cost in self.sent) * WORK / (SLOTS * COLD * (FROM + 1) / 2)
+    def utilization(self):
+        """The work sent, relative to what the worker can do while it is cold."""
+        return sum(jobs for _, jobs in self.sent) * MEAN_WORK_MS / (SLOTS * COLD_TIME_MS * (COLD_FROM + 1) / 2)
 
 
 @pytest.mark.parametrize("multiple", [1.5, 2.0, 2.5, 3.0, 4.0])
 @pytest.mark.parametrize("nodes", [2, 3, 5, 20, 60])
 def test_the_budget_holds_and_is_used(nodes, multiple):
-    for seed, more in enumerate(
+    for seed, options in enumerate(
         (
             {},
             {"skew": 3000.0},
@@ -118,13 +122,13 @@
             {"skew": 3000.0, "restart": True, "heavy": True},
         )
     ):
-        day = Day(nodes, seed + 1, multiple, **more).run()
-        roots, part = day.worst()
-        assert roots <= 2, f"{more}: {part:.2f} of N"
-        if not day.heavy and "quiet" not in more:  # half of what it can do: who hardly sends keeps every budget
-            assert day.used() > 0.5, more
+        cold_start = ColdStart(nodes, seed + 1, multiple, **options).run()
+        excess, ratio = cold_start.heaviest_window()
+        assert excess <= 2, f"{options}: {ratio:.2f} of N"
+        if not cold_start.heavy and "quiet" not in options:  # a dispatcher that sends almost nothing keeps any budget
+            assert cold_start.utilization() > 0.5, options
 
 
-def test_the_budget_holds_for_200():
-    roots, part = Day(200, 1, 3.0, skew=3000.0, restart=True).run().worst()
-    assert roots <= 2, f"{part:.2f} of N"
+def test_the_budget_holds_for_200_nodes():
+    excess, ratio = ColdStart(200, 1, 3.0, skew=3000.0, restart=True).run().heaviest_window()
+    assert excess <= 2, f"{ratio:.2f} of N"
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -209,38 +209,38 @@
         job = api.JobClass(deadline=9000.0, aim=900.0, stretch=2.0, effect=api.Effect.UNSAFE)
         self.node = Node(api.Settings((job,), may_probe=True, reports_in_probes=True))
         self.lines = workers(2)
-        self.node.list(*self.lines)
+        self.node.update_workers(*self.lines)
 
     def out(self, *numbers):
         lines = [replace(e, excluded=e.worker in numbers) for e in self.lines]
-        return self.node.give(api.WorkerList(api.ListForm.BY_OPERATOR, tuple(lines)))
+        return self.node.handle(api.WorkerList(api.ListForm.BY_OPERATOR, tuple(lines)))
 
     def report(self, *numbers):
         for number in numbers:
-            self.node.give(api.ProbeEnded(number, api.Outcome.OK, 1.0, api.Report(free_slots=4.0)))
+            self.node.handle(api.ProbeEnded(number, api.Outcome.OK, 1.0, api.Report(free_slots=4.0)))
 
     def test_nothing_new_goes_there_and_a_call_back_forgives(self):
         node = self.node
         self.report(1, 2)
         self.out(1)
         for job in range(8):
-            node.job(job)
-        self.assertEqual({w for job in range(8) for w in node.sent_to(job)}, {2})
+            node.submit(job)
+        self.assertEqual({w for job in range(8) for w in node.workers_tried(job)}, {2})
         node.balancer.workers[1].avoid_until = node.now + 8000.0
         self.assertEqual(node.balancer.avoided_count(node.now), 1)
         self.assertIn(api.Probe(1), self.out())  # at once
         self.assertEqual(node.balancer.avoided_count(node.now), 0)
         self.report(1)
-        self.assertIn([1], [node.sent_to(job) for job in range(8)])
+        self.assertIn([1], [node.workers_tried(job) for job in range(8)])
 
     def test_with_all_out_jobs_are_refused_at_once(self):
         node = self.node
         self.report(1, 2)
         for job in range(12):
-            node.job(job)
-        self.assertTrue(any(not node.jobs[job].tries for job in range(12)))
+            node.submit(job)
+        self.assertTrue(any(not node.jobs[job].attempts for job in range(12)))
         self.out(1, 2)
         for job in range(12):
-            self.assertEqual(node.jobs[job].answer, None if node.jobs[job].tries else "refused")
-        node.job(20)
+            self.assertEqual(node.jobs[job].answer, None if node.jobs[job].attempts else "refused")
+        node.submit(20)
         self.assertEqual(node.jobs[20].answer, "refused")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -87,13 +87,13 @@
     for nodes in (1, 30, 200):
         for seed in range(20):
             node = Node(replace(SET, watch_needed=True, nodes=nodes), seed=seed)
-            node.list(*workers(2), form=api.ListForm.CACHED)
+            node.update_workers(*workers(2), form=api.ListForm.CACHED)
             for n in range(6):
-                node.until(node.now + 20_000)
-                before = sum(isinstance(a, api.WatchWorkers) for a in node.log)
-                node.give(api.WorkerList(api.ListForm.FAILED, within=300.0 * n))
-                node.until(node.now + 300.0 * n + 2)
-                assert sum(isinstance(a, api.WatchWorkers) for a in node.log) > before
+                node.run_until(node.now + 20_000)
+                before = sum(isinstance(a, api.WatchWorkers) for a in node.actions)
+                node.handle(api.WorkerList(api.ListForm.FAILED, within=300.0 * n))
+                node.run_until(node.now + 300.0 * n + 2)
+                assert sum(isinstance(a, api.WatchWorkers) for a in node.actions) > before
 
 
 # ---- what a watch writes -------------------------------------------------------------------------------
--- a/tests/test_handover_state.py
+++ b/tests/test_handover_state.py
@@ -13,9 +13,9 @@
 
 def node_with_waiting_jobs() -> Node:
     node = Node(api.Settings(classes=(SAFE,), tenants=(api.Tenant(5.0), api.Tenant(1.0)), reports_in_answers=True))
-    node.list(*workers(1))
+    node.update_workers(*workers(1))
     for number in (1, 2):
-        node.job(number, tenant=number - 1)
+        node.submit(number, tenant=number - 1)
     return node
 
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -346,15 +346,15 @@
             api.JobClass(deadline=9000.0, aim=900.0, stretch=2.0, effect=api.Effect.KEYED, window=5000.0),
         )
         node = Node(api.Settings(jobs, (api.Tenant(8.0), api.Tenant(3.0)), cold_time=8000.0, max_attempts=5))
-        node.list(*workers(1, started=node.now - 1000.0), *workers(2, first=2))
+        node.update_workers(*workers(1, started=node.now - 1000.0), *workers(2, first=2))
         return node
 
     def test_a_job_and_its_attempts_go_over(self):
         old, new = self.node(), self.node()
         for job in range(8):
-            old.job(job, job % 2)
+            old.submit(job, job % 2)
         old.now += 50.0
-        old.end(1, 0, api.Outcome.RESET)  # it may have run: it keeps to its group and window
+        old.end_attempt(1, 0, api.Outcome.RESET)  # it may have run: it keeps to its group and window
         for job in range(8):
             said = json.loads(json.dumps(handover_state.remove_job(old.balancer, job)))
             before = old.jobs[job]
@@ -365,7 +365,7 @@
         self.assertEqual((old.balancer.held_slots, old.balancer.waiting_count, old.balancer.jobs), (0, 0, {}))
         self.assertEqual([w.held_slots for w in old.balancer.workers.values()], [0.0] * 3)
         new.now = old.now
-        new.until(30_000.0)  # the harness checks each rule on the way, and that none is lost
+        new.run_until(30_000.0)  # the harness checks each rule on the way, and that none is lost
         self.assertTrue(all(new.jobs[100 + job].answer for job in range(8)))
 
     def test_what_was_learned_goes_over_and_a_cold_workers_turns_are_not_had_twice(self):
@@ -379,7 +379,7 @@
             json.dumps([handover_state.learned_state(old.balancer), handover_state.worker_states(old.balancer)])
         )
         handover_state.restore_learned_state(new.balancer, said[0])
-        new.list(*workers(1, started=new.now), *workers(2, first=2))  # the first has started once more since
+        new.update_workers(*workers(1, started=new.now), *workers(2, first=2))  # the first has started once more since
         for worker in said[1]:
             handover_state.restore_worker(new.balancer, worker)
         self.assertEqual([w.cold_turn for w in new.balancer.workers.values()], [-1, -1, -1])
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter on the wire: frames, settings, and how it ends on what cannot be meant."""
+"""The simulator adapter: frames, settings, and its errors for malformed input."""
 
 import json
 import struct
@@ -33,18 +33,18 @@
     return wire.HEADER.pack(now, wire.HEADER.size + len(body), len(records), index) + body
 
 
-def opened(text: str, instance: int = 0) -> bytes:
+def open_instance(text: str, instance: int = 0) -> bytes:
     data = text.encode()
     return record(16, struct.pack("<IQI", instance, 7, len(data)) + data)
 
 
-def directory(bank: int, *workers: int) -> bytes:
+def directory(number: int, *workers: int) -> bytes:
     entries = b"".join(struct.pack("<IBHHBfd", w, 0, 1, 0, 0, 1.0, 0.0) for w in workers)
-    return record(26, struct.pack("<HI", bank, len(workers)) + entries)
+    return record(26, struct.pack("<HI", number, len(workers)) + entries)
 
 
-def sync(instance: int, bank: int, form: int) -> bytes:
-    return record(17, struct.pack("<IHIB", instance, bank, 1, form))
+def worker_list(instance: int, number: int, form: int) -> bytes:
+    return record(17, struct.pack("<IHIB", instance, number, 1, form))
 
 
 def query(job: int, cls: int = 0) -> bytes:
@@ -57,21 +57,22 @@
 
 
 def replies(data: bytes) -> list[tuple[int, list[tuple[int, bytes]]]]:
+    """(batch index, [(code, fields)]) of each reply."""
     out, at = [], 0
     while at < len(data):
         length, index = wire.REPLY.unpack_from(data, at)
-        body, records, place = data[at + 8 : at + length], [], 0
-        while place < len(body):
-            code, size = struct.unpack_from("<BI", body, place)
-            records.append((code, body[place + 5 : place + 5 + size]))
-            place += 5 + size
+        body, records, offset = data[at + 8 : at + length], [], 0
+        while offset < len(body):
+            code, size = struct.unpack_from("<BI", body, offset)
+            records.append((code, body[offset + 5 : offset + 5 + size]))
+            offset += 5 + size
         out.append((index, records))
         at += length
     return out
 
 
-def test_a_job_goes_out_and_the_end_of_input_is_a_clean_end():
-    first = frame(opened(json.dumps(SETTINGS)), directory(0, 5), sync(0, 0, 2), query(9), index=4)
+def test_a_job_is_sent_and_the_end_of_input_ends_the_process_without_error():
+    first = frame(open_instance(json.dumps(SETTINGS)), directory(0, 5), worker_list(0, 0, 2), query(9), index=4)
     done = run(frame(index=3) + first)
     assert done.returncode == 0 and not done.stderr
     first, second = replies(done.stdout)
@@ -79,10 +80,16 @@
     assert (16, struct.pack("<IQId", 0, 9, 5, 0.0)) in second[1]
 
 
-def test_several_instances_and_a_reused_list_number():
+def test_several_instances_and_a_reused_directory_number():
     text = json.dumps(SETTINGS)
     data = frame(
-        opened(text), directory(0, 5), sync(0, 0, 2), opened(text, 1), directory(0, 6), sync(1, 0, 2), query(9)
+        open_instance(text),
+        directory(0, 5),
+        worker_list(0, 0, 2),
+        open_instance(text, 1),
+        directory(0, 6),
+        worker_list(1, 0, 2),
+        query(9),
     )
     sent = [fields for code, fields in replies(run(data).stdout)[0][1] if code == 16]
     assert sent == [struct.pack("<IQId", 0, 9, 5, 0.0)]
@@ -103,17 +110,17 @@
     ],
     ids=["header", "frame", "short length", "long length", "record", "outcome", "query", "directory", "rest"],
 )
-def test_a_malformed_frame_ends_it_with_one_plain_line(data):
-    done = run(frame(opened(json.dumps(SETTINGS))) + data)
+def test_a_malformed_frame_ends_the_process_with_one_error_line(data):
+    done = run(frame(open_instance(json.dumps(SETTINGS))) + data)
     assert done.returncode != 0
     assert done.stderr.startswith(b"millethead: malformed frame:") and done.stderr.count(b"\n") == 1
     assert len(replies(done.stdout)) == 1
 
 
-def test_unknown_codes_and_events_for_unknown_things_are_skipped():
+def test_unknown_codes_and_events_of_unknown_jobs_and_instances_are_ignored():
     stale = record(20, struct.pack("<IQHIHdBBB", 0, 77, 0, 5, 1, 1.0, 1, 0, 0))
     data = frame(
-        opened(json.dumps(SETTINGS)),
+        open_instance(json.dumps(SETTINGS)),
         record(99, b"abc"),
         stale,
         record(22, struct.pack("<IQ", 0, 4)),
@@ -127,7 +134,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "error"),
     [
         ("{}", "classes"),
         ("[]", "object"),
@@ -137,19 +144,19 @@
         ('{"classes": [{"deadline": 9}], "tenants": [{"quota_rps": -4}]}', "reservation"),
     ],
 )
-def test_settings_that_cannot_be_used_are_said_by_the_fault_action(text, says):
-    done = run(frame(opened(text)))
+def test_unusable_settings_are_reported_by_a_bail_out_record(text, error):
+    done = run(frame(open_instance(text)))
     ((code, fields),) = replies(done.stdout)[0][1]
-    assert code == 25 and says in fields.decode(errors="replace") and done.returncode == 0
+    assert code == 25 and error in fields.decode(errors="replace") and done.returncode == 0
 
 
-def test_settings_are_read_and_missing_ones_defaulted():
-    _, made = settings_from(json.dumps(SETTINGS).encode())
-    assert made.nodes == 3 and made.reports_in_answers and not made.may_probe and made.max_attempts == 3
-    assert made.classes[0].stretch == 1.5 and made.classes[0].effect is api.Effect.SAFE
-    assert made.classes[1].kind == 1 and made.classes[1].group is api.Group.ZONE
-    assert made.classes[1].aim == 9000.0
-    assert made.tenants[0].reservation == 4.0 and made.tenants[0].weight == made.tenants[1].weight
+def test_settings_are_read_and_missing_ones_have_defaults():
+    _, settings = settings_from(json.dumps(SETTINGS).encode())
+    assert settings.nodes == 3 and settings.reports_in_answers and not settings.may_probe and settings.max_attempts == 3
+    assert settings.classes[0].stretch == 1.5 and settings.classes[0].effect is api.Effect.SAFE
+    assert settings.classes[1].kind == 1 and settings.classes[1].group is api.Group.ZONE
+    assert settings.classes[1].aim == 9000.0
+    assert settings.tenants[0].reservation == 4.0 and settings.tenants[0].weight == settings.tenants[1].weight
 
 
 @pytest.mark.parametrize(
@@ -165,6 +172,6 @@
         (lambda: api.Settings(classes=(api.JobClass(1.0, 1.0),), cold_time=-5.0), "cold_time"),
     ],
 )
-def test_settings_that_cannot_be_meant_name_their_field(make, field):
+def test_the_error_for_an_invalid_value_names_its_field(make, field):
     with pytest.raises(ValueError, match=field):
         make()
