--- a/millethead/decide/balance.py
+++ b/millethead/decide/balance.py
@@ -181,7 +181,7 @@
         job.attempts += 1
         if self._is_cold(worker):
             worker.cold_turn = self._cold_turn(worker, now) + ceil(self._work(job) / self.mean_work) - 1
-        cls = self.settings.classes[job.job_class]  # a repeat has to begin within the deduplication window
+        cls = self.settings.classes[job.job_class]  # a repeat has to start within the deduplication window
         out.append(api.Send(
             job.id, worker.id, within=job.first_sent + cls.window - now if cls.effect is Effect.KEYED else inf))
         if worker.confirms and self.settings.parallel_attempts:
