--- a/millethead/exchange/core.py
+++ b/millethead/exchange/core.py
@@ -185,7 +185,7 @@
     @property
     def down(self) -> int:
         """How many of them get nothing new now, by hand or by the module's choice."""
-        return self._module.down(self.clock.now())
+        return self._module.avoided_count(self.clock.now())
 
     @property
     def out(self) -> frozenset[str]:
@@ -206,7 +206,7 @@
 
     def _marked(self, entries: list[api.WorkerEntry]) -> None:
         if entries:
-            self._feed(api.WorkerList(api.ListForm.BY_HAND, tuple(entries)))
+            self._feed(api.WorkerList(api.ListForm.BY_OPERATOR, tuple(entries)))
 
     def listed(
         self, side: ServerSide, form: api.ListForm, lines: Iterable[Listed] = (), within: float = float("inf")
--- a/millethead/succession/succession.py
+++ b/millethead/succession/succession.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from millethead.decide import carry
+from millethead.decide import handover_state
 from millethead.decide.interface import ListForm, WorkerState
 from millethead.exchange.carry import adopt, release
 from millethead.exchange.core import Exchange
@@ -115,9 +115,9 @@
         """Put what the predecessor's module had learned into this one's, once the list stands."""
         module = self.exchange._module
         try:
-            carry.take_figures(module, self.inherited.figures)
+            handover_state.restore_learned_state(module, self.inherited.figures)
             for said in self.inherited.workers:
-                carry.take_worker(module, said)
+                handover_state.restore_worker(module, said)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             log.warning("inherited_figures_unusable", why=repr(error))
 
@@ -170,8 +170,15 @@
         _send_rows(link, "workers", "lines", lines)
         link.send("out", {"names": sorted(self.exchange.out)})
         module = self.exchange._module
-        _send_rows(link, "known", "workers", carry.workers(module))
-        link.send("end", {"index": self.discovery.index, "offset": self.clock.offset, "figures": carry.figures(module)})
+        _send_rows(link, "known", "workers", handover_state.worker_states(module))
+        link.send(
+            "end",
+            {
+                "index": self.discovery.index,
+                "offset": self.clock.offset,
+                "figures": handover_state.learned_state(module),
+            },
+        )
 
     async def hand_over(self, until: float) -> None:
         """Give all connections and jobs to the successor; returns when nothing is left, when it is gone, or at
@@ -350,7 +357,7 @@
             if worker is not None and worker.open and worker.entry.started <= line.started:
                 fresh.append(line)
         if fresh:
-            self.exchange.listed(self.workers, ListForm.BY_HAND, fresh)
+            self.exchange.listed(self.workers, ListForm.BY_OPERATOR, fresh)
             self._heard(fresh, but=link)
 
     def close(self) -> None:
