--- a/benchmarks/decisions/ablation.py
+++ b/benchmarks/decisions/ablation.py
@@ -38,19 +38,23 @@
 NEVER = 1 << 30
 Constant = tuple[object, str, float]  # module, name, the value that it has without the mechanism
 MECHANISMS: dict[str, tuple[Constant, ...]] = {
-    "room left to better priorities": ((headroom, "HEADROOM", 0.0),),
-    "wait for the rack of the data": ((choosing, "RACK_PATIENCE", 0.0),),
-    "a longer wait for it (0.6 before)": ((choosing, "RACK_PATIENCE", 0.6),),
+    "room left to better priorities": ((headroom, "HEADROOM_FACTOR", 0.0),),
+    "wait for the rack of the data": ((choosing, "RACK_WAIT_FACTOR", 0.0),),
+    "a longer wait for it (0.6 before)": ((choosing, "RACK_WAIT_FACTOR", 0.6),),
     "preemption": ((room_making, "PREEMPTING_PRIORITY", -1),),
-    "reservations": ((reservation, "LARGE_SHARE", inf),),
-    "size of the job": ((state, "SIZE_DELAY", 0.0), (state, "OVERLOAD_SIZE_DELAY", 0.0)),
-    "more of it under a backlog": ((state, "OVERLOAD_SIZE_DELAY", state.SIZE_DELAY),),
-    "late from 1.2 of the chain (0.8)": ((state, "LATE_SHARE", 0.8),),
-    "large room kept together": ((placement, "KEEP_LARGE", 1.0),),
-    "workers in use first": ((choosing, "IDLE_WEIGHT", 1.0),),
-    "retries elsewhere": ((choosing, "AVOID_PATIENCE_S", 0.0),),
-    "verdicts by failures": ((health, "BAD_STREAK", NEVER), (health, "BAD_START", NEVER), (health, "BAD_SHARE", NEVER)),
-    "verdicts by pace": ((health, "SLOW", inf), (health, "VERY_SLOW", inf)),
+    "reservations": ((reservation, "LARGE_TASK_SHARE", inf),),
+    "size of the job": ((state, "SIZE_DELAY_FACTOR", 0.0), (state, "OVERLOAD_SIZE_DELAY_FACTOR", 0.0)),
+    "more of it under a backlog": ((state, "OVERLOAD_SIZE_DELAY_FACTOR", state.SIZE_DELAY_FACTOR),),
+    "late from 1.2 of the chain (0.8)": ((state, "SAFE_START_CHAIN_FACTOR", 0.8),),
+    "large room kept together": ((placement, "FRAGMENTATION_WEIGHT", 1.0),),
+    "workers in use first": ((choosing, "IDLE_HOST_WEIGHT", 1.0),),
+    "retries elsewhere": ((choosing, "RETRY_ELSEWHERE_WAIT_S", 0.0),),
+    "verdicts by failures": (
+        (health, "FAILURE_STREAK_LIMIT", NEVER),
+        (health, "INITIAL_FAILURE_LIMIT", NEVER),
+        (health, "FAILURE_MAJORITY_LIMIT", NEVER),
+    ),
+    "verdicts by pace": ((health, "SLOW_PACE", inf), (health, "VERY_SLOW_PACE", inf)),
     "starvation": ((starvation, "STARVATION_S", inf),),
 }
 CALM: tuple[Trouble, ...] = ()
--- a/benchmarks/decisions/unseen.py
+++ b/benchmarks/decisions/unseen.py
@@ -74,7 +74,7 @@
     """One day of a workload with a setting."""
     workload_seed, day, room = task
     workload = draw(workload_seed)
-    with mock.patch.object(headroom, "HEADROOM", room):
+    with mock.patch.object(headroom, "HEADROOM_FACTOR", room):
         return judge(workload, DayHistory(workload, day, Scheduler).play())
 
 
@@ -98,7 +98,7 @@
     options = docopt(__doc__)
     first, days = int(options["--first"]), int(options["--days"])
     seeds = range(first, first + int(options["--workloads"]))
-    tasks = [(seed, day, room) for seed in seeds for room in (0.0, headroom.HEADROOM) for day in range(days)]
+    tasks = [(seed, day, room) for seed in seeds for room in (0.0, headroom.HEADROOM_FACTOR) for day in range(days)]
     with Pool(int(options["--processes"])) as pool:
         played = iter(pool.map(play, tasks, chunksize=1))
     rows = []
--- a/benchmarks/scheduling/overload.py
+++ b/benchmarks/scheduling/overload.py
@@ -2,8 +2,8 @@
 
 Usage: overload.py [--seeds=N] [--loads=LIST] [--out=FILE]
 
-`late_from`: part of the chain that must fit before the objective (`state.LATE_SHARE`); `size_delay`: the weight of a
-job's size (`state.SIZE_DELAY`). The first row of each load has what stands.
+`late_from`: part of the chain that must fit before the objective (`state.SAFE_START_CHAIN_FACTOR`); `size_delay`: the
+weight of a job's size (`state.SIZE_DELAY_FACTOR`). The first row of each load has what stands.
 
 Options:
   --seeds=N     histories of each [default: 10]
@@ -29,7 +29,10 @@
 
 def row(load: float, late_share: float, size_delay: float, seeds: int) -> dict[str, object]:
     """One line of the table."""
-    with mock.patch.object(state, "LATE_SHARE", late_share), mock.patch.object(state, "SIZE_DELAY", size_delay):
+    with (
+        mock.patch.object(state, "SAFE_START_CHAIN_FACTOR", late_share),
+        mock.patch.object(state, "SIZE_DELAY_FACTOR", size_delay),
+    ):
         found = [astuple(Overload(Setting(load), seed).play()) for seed in range(seeds)]
     means = (round(mean(values), 3) for values in zip(*found, strict=True))
     named = dict(zip((field.name for field in fields(Earned)), means, strict=True))
@@ -39,7 +42,7 @@
 def main() -> None:
     """Play all and keep the table."""
     options = docopt(__doc__)
-    standing = (state.LATE_SHARE, state.SIZE_DELAY)
+    standing = (state.SAFE_START_CHAIN_FACTOR, state.SIZE_DELAY_FACTOR)
     rows = [
         row(float(load), *pair, int(options["--seeds"]))
         for load in options["--loads"].split(",")
--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -10,7 +10,7 @@
 from millethead.execution.messages import AgentHello, DesiredRuns, LeaseGrant, RunKey, RunOrder, WorkerInfo
 from millethead.jobs.commands import TaskRun, task_run
 from millethead.jobs.state import JobTable, Task
-from millethead.scheduling.looks import LASTING_GAP_S, run_gap
+from millethead.scheduling.looks import LONG_RUNNING_POLL_INTERVAL_S, run_poll_interval_s
 from millethead.scheduling.model import WorkerState
 
 LEASE_S = 12.0  # an agent that the head cannot reach goes on holding its runs for so long
@@ -174,7 +174,11 @@
             return None
         step = job.description.steps[run.step]
         saved = job.at_time(run.time).steps[run.step].saved if step.gang else task.saved
-        gap_s = LASTING_GAP_S if step.long_running else run_gap(job.spare_ms / 1000, job.description.chain_length())
+        gap_s = (
+            LONG_RUNNING_POLL_INTERVAL_S
+            if step.long_running
+            else run_poll_interval_s(job.spare_ms / 1000, job.description.chain_length())
+        )
         return RunOrder(RunKey(run.task_name, run.run), job.description.spec, saved, step.needs, int(gap_s * 1000))
 
     def whole(self, instance: str) -> DesiredRuns:
--- a/millethead/control/feeder.py
+++ b/millethead/control/feeder.py
@@ -22,7 +22,7 @@
     StepKey,
     WorkerState,
 )
-from millethead.scheduling.placement import cores
+from millethead.scheduling.placement import core_equivalents
 from millethead.scheduling.scheduler import Scheduler
 
 RESTART_PAUSE_S = (0.2, 2.0)  # first and longest pause before a lasting task that failed at once is started again
@@ -187,7 +187,7 @@
     def run_lasted(self, run: TaskRun, instance: str, seconds: float) -> None:
         """How long a run ran, as its agent saw it; its end follows."""
         key = StepKey(run.job, run.time, run.step)
-        self._scheduler.run_lasted(key, run.index, instance, run.run, seconds)
+        self._scheduler.record_runtime(key, run.index, instance, run.run, seconds)
         self._times.run_lasted(key, run.index, seconds)
 
     def runs_closed(self, outcome: Outcome, clock: Clock) -> None:
@@ -324,4 +324,4 @@
 def _work_left(job: Job, time: int) -> float:
     """What is not done yet of a job at a time K, in core-seconds by estimate."""
     steps = zip(job.description.steps, job.at_time(time).steps, strict=True)
-    return sum(state.left * step.estimate_ms / 1000 * cores(step.needs) for step, state in steps)
+    return sum(state.left * step.estimate_ms / 1000 * core_equivalents(step.needs) for step, state in steps)
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -62,7 +62,7 @@
 from millethead.jobs.state import Job, Outcome
 from millethead.replication.view import View
 from millethead.rpc.codec import CodecError, Record, decode_any
-from millethead.scheduling.choosing import FAR_TIMES
+from millethead.scheduling.choosing import REMOTE_RUNTIME_FACTOR
 from millethead.scheduling.model import StepKey
 from millethead.scheduling.scheduler import Scheduler
 
@@ -82,7 +82,7 @@
         clock: HeadClock,
         random: Random,
         status_s: float,
-        far_times: float = FAR_TIMES,
+        far_times: float = REMOTE_RUNTIME_FACTOR,
         most_job_bytes: int = MOST_JOB_BYTES,
     ) -> None:
         self.view, self.state, self.clock, self._status_s = view, state, clock, status_s
@@ -247,7 +247,7 @@
 
     def _lease(self, session: AgentSession, sent_ms: int) -> None:
         # the lease counts from the agent's own time of asking: before the moment at which this head is confirmed
-        look_gap_ms = int(self.scheduler.look_gap(session.instance) * 1000)
+        look_gap_ms = int(self.scheduler.poll_interval_s(session.instance) * 1000)
         grant = LeaseGrant(sent_ms, int(LEASE_S * 1000), look_gap_ms)
         self.gate.confirm(grant, lambda released: self._grant(session, released))
 
@@ -372,7 +372,7 @@
                 log.info(
                     "worker_standing",
                     instance=change.instance,
-                    standing=change.standing.value,
+                    standing=change.state.value,
                     cause=change.cause.value,
                 )
             for preemption in self.scheduler.stalled(moment.now):
--- a/millethead/control/inspect.py
+++ b/millethead/control/inspect.py
@@ -248,7 +248,7 @@
             worker.capacity.cpu,
             worker.capacity.mem_mb,
             worker.capacity.gpu,
-            head.scheduler.health.standing(worker.instance).value,
+            head.scheduler.health.state(worker.instance).value,
             head.scheduler.health.cause(worker.instance).value,
         )
 
--- a/millethead/control/rounds.py
+++ b/millethead/control/rounds.py
@@ -84,7 +84,7 @@
         if self.gate.closed:
             return
         decision = self._scheduler.schedule(self._clock.now())
-        self.next_look = math.inf if decision.next_look is None else decision.next_look
+        self.next_look = math.inf if decision.next_round_at is None else decision.next_round_at
         for preemption in decision.preemptions:
             self.preempt(preemption)
         placements = self._startable(decision.placements)
--- a/millethead/lab/overload.py
+++ b/millethead/lab/overload.py
@@ -13,7 +13,7 @@
 from statistics import mean
 
 from millethead.execution.messages import Resources, RunEnd
-from millethead.scheduling.choosing import FAR_TIMES
+from millethead.scheduling.choosing import REMOTE_RUNTIME_FACTOR
 from millethead.scheduling.model import PendingStep, PendingTask, Placement, QueueSpec, StepKey, WorkerState
 from millethead.scheduling.scheduler import Scheduler
 
@@ -178,9 +178,9 @@
         for placement in decision.placements:
             step = self._jobs[placement.key.job].steps[placement.key.step]
             far = step.rack and step.rack != _rack(int(placement.instance[1:]))
-            self._later(now + step.takes_s * (FAR_TIMES if far else 1.0) + TURNOVER_S, placement=placement)
-        if decision.next_look is not None:
-            self._later(decision.next_look + 1e-6)
+            self._later(now + step.takes_s * (REMOTE_RUNTIME_FACTOR if far else 1.0) + TURNOVER_S, placement=placement)
+        if decision.next_round_at is not None:
+            self._later(decision.next_round_at + 1e-6)
 
     def _ended(self, placement: Placement, now: float) -> None:
         key, index, instance = placement.key, placement.index, placement.instance
--- a/millethead/lab/screen/history.py
+++ b/millethead/lab/screen/history.py
@@ -17,7 +17,7 @@
 from millethead.execution.messages import RunEnd
 from millethead.lab.screen.jobs import JobPlan, StepPlan, capacity_of, draw_jobs, rack_of
 from millethead.lab.screen.workload import Trouble, Workload
-from millethead.scheduling.looks import run_gap
+from millethead.scheduling.looks import run_poll_interval_s
 from millethead.scheduling.model import (
     PendingStep,
     PendingTask,
@@ -211,8 +211,8 @@
             self._stop(preemption, now)
         for placement in decision.placements:
             self._start(placement, now)
-        if decision.next_look is not None:
-            self._later(max(decision.next_look, now + ROUND_S), self._look)
+        if decision.next_round_at is not None:
+            self._later(max(decision.next_round_at, now + ROUND_S), self._look)
 
     def _look(self, now: float) -> None:
         self._want_round(now)
@@ -292,13 +292,21 @@
         job = self._by_name[run.placement.key.job]
         spare = job.estimated_objective_s - sum(step.estimate_s for step in job.steps)
         others = [self._gap(other) for other in worker.runs if not other.over]
-        gap = min([run_gap(spare, len(job.steps)), self._scheduler.look_gap(worker.state.instance), *others])
+        gap = min(
+            [
+                run_poll_interval_s(spare, len(job.steps)),
+                self._scheduler.poll_interval_s(worker.state.instance),
+                *others,
+            ]
+        )
         seen = max(now + self._random.uniform(0.0, gap), worker.cut_until)
         self._later(seen + self._workload.delays.end_s, partial(self._report, run, how, now))
 
     def _gap(self, run: _Run) -> float:
         job = self._by_name[run.placement.key.job]
-        return run_gap(job.estimated_objective_s - sum(step.estimate_s for step in job.steps), len(job.steps))
+        return run_poll_interval_s(
+            job.estimated_objective_s - sum(step.estimate_s for step in job.steps), len(job.steps)
+        )
 
     def _report(self, run: _Run, how: RunEnd, ended_at: float, now: float) -> None:
         """The head learns of an end, unless there is none: then it is kept for the next one."""
@@ -309,7 +317,7 @@
             return
         placement = run.placement
         ran_s = max(LEAST_RAN_S, ended_at - run.began)
-        self._scheduler.run_lasted(placement.key, placement.index, placement.instance, run.number, ran_s)
+        self._scheduler.record_runtime(placement.key, placement.index, placement.instance, run.number, ran_s)
         self._known_end(run, how, now)
 
     def _known_end(self, run: _Run, how: RunEnd, now: float) -> None:
--- a/millethead/lab/screen/jobs.py
+++ b/millethead/lab/screen/jobs.py
@@ -9,7 +9,7 @@
 
 from millethead.execution.messages import Resources
 from millethead.lab.screen.workload import Fleet, RequestKind, Workload
-from millethead.scheduling.placement import cores
+from millethead.scheduling.placement import core_equivalents
 
 LEAST_WORTH, MOST_WORTH = 0.3, 4.0  # of a job of its kind, by its work against the mean
 WAVE_SHARE = 0.25  # part of all room from which on a step is done in waves
@@ -42,7 +42,7 @@
     @property
     def work(self) -> float:
         """Core-seconds."""
-        return sum(task.takes_s for task in self.tasks) * cores(self.needs)
+        return sum(task.takes_s for task in self.tasks) * core_equivalents(self.needs)
 
     def waves(self, capacity: Resources) -> int:
         """How many waves of the step fit into a quarter of the room."""
--- a/millethead/lab/system_idle.py
+++ b/millethead/lab/system_idle.py
@@ -12,7 +12,7 @@
 from millethead.lab.system_facts import JobBook, JobFacts, Violation
 from millethead.lab.system_jobs import StepPlan
 from millethead.lab.system_worker import SystemWorker
-from millethead.scheduling.placement import fit_count, minus
+from millethead.scheduling.placement import fit_count, subtract
 
 IDLE_S = 3.0  # that a task whose turn has come may not run though there is room
 VISIBLE_S = 3.0  # after its acknowledgement a job must be known
@@ -63,7 +63,7 @@
         room = worker.profile.capacity
         for run in worker.running():
             if self._book.task(run.task).step.long_running:
-                room = minus(room, run.work.needs)
+                room = subtract(room, run.work.needs)
         return room
 
     def look_for_idle(self) -> None:
@@ -108,7 +108,7 @@
             return False
         most = step.anti_affinity or 2 * step.count
         room = sum(
-            min(most, fit_count(minus(worker.profile.capacity, worker.used()), step.needs))
+            min(most, fit_count(subtract(worker.profile.capacity, worker.used()), step.needs))
             for worker in workers
             if not step.requires or step.requires in worker.profile.labels
         )
--- a/millethead/programs/control_figures.py
+++ b/millethead/programs/control_figures.py
@@ -9,7 +9,7 @@
 from millethead.control.inspect import status_report
 from millethead.programs.core_disk import CoreDisk
 from millethead.replication.replica import Replica
-from millethead.scheduling.health import Health, Standing
+from millethead.scheduling.health import Health, HealthState
 from millethead.scheduling.model import WorkerState
 from millethead.storage.scrubber import Scrubber
 from millethead.web.metrics import Figure, Sample, counter, gauge
@@ -72,5 +72,5 @@
         return "agent_away"
     if not worker.reachable:
         return "silent"
-    standing = health.standing(worker.instance)
-    return "ready" if standing is Standing.SOUND else standing.value
+    standing = health.state(worker.instance)
+    return "ready" if standing is HealthState.SOUND else standing.value
--- a/millethead/programs/text_reports.py
+++ b/millethead/programs/text_reports.py
@@ -9,7 +9,7 @@
 from millethead.control.inspect import JobReport, JobSummary, StatusReport, StepReport, VoterReport, WorkerReport
 from millethead.programs.offline import DiskReport, LogReport
 from millethead.replication.view import View
-from millethead.scheduling.health import Standing
+from millethead.scheduling.health import HealthState
 
 LABEL_WIDTH = 14
 MOST_WORKERS_LISTED = 200
@@ -88,7 +88,7 @@
         return "draining"
     if not worker.connected:
         return "agent away"
-    return "ready" if worker.standing == Standing.SOUND.value else f"{worker.standing} ({worker.cause})"
+    return "ready" if worker.standing == HealthState.SOUND.value else f"{worker.standing} ({worker.cause})"
 
 
 def _worker(worker: WorkerReport) -> tuple[object, ...]:
--- a/millethead/scheduling/looks.py
+++ b/millethead/scheduling/looks.py
@@ -8,27 +8,30 @@
 
 from millethead.scheduling.state import Pool
 
-LONGEST_GAP_S = 1.2  # least time between the answer of a look and the next one, where nothing asks for less
-LASTING_GAP_S = 0.5  # the same beside tasks that last
-SCARCE_GAP_S = 0.2  # where room is scarce
-BACKLOG_GAP_S = 0.15  # where something waits and hardly any room is left: what ends unseen is room lost
-SHORTEST_GAP_S = 0.06
-SLACK_SHARE = 0.25  # part of what a job can spare that looks may cost it
-SCARCE_USE, WAITED_FOR_USE = 0.85, 0.4  # part of a service in use from which room is scarce, also if something waits
-BACKLOG_USE = 0.85  # part of a service in use from which what waits has to wait for ends
-
-
-def run_gap(spare_s: float, steps: int) -> float:
+MAX_POLL_INTERVAL_S = 1.2  # least time between the answer of a look and the next one, where nothing asks for less
+LONG_RUNNING_POLL_INTERVAL_S = 0.5  # the same beside tasks that last
+SCARCE_POLL_INTERVAL_S = 0.2  # where room is scarce
+BACKLOG_POLL_INTERVAL_S = 0.15  # where something waits and hardly any room is left: what ends unseen is room lost
+MIN_POLL_INTERVAL_S = 0.06
+POLL_SLACK_FRACTION = 0.25  # part of what a job can spare that looks may cost it
+SCARCE_UTILIZATION, SCARCE_UTILIZATION_WITH_BACKLOG = (
+    0.85,
+    0.4,
+)  # part of a service in use from which room is scarce, also if something waits
+BACKLOG_UTILIZATION = 0.85  # part of a service in use from which what waits has to wait for ends
+
+
+def run_poll_interval_s(slack_s: float, step_count: int) -> float:
     """The least time between two looks at a worker (s) for the sake of a run, whose job has so many steps one after the
     other and can spare `spare_s` in all."""
-    return max(SHORTEST_GAP_S, min(LONGEST_GAP_S, SLACK_SHARE * spare_s / max(1, steps)))
+    return max(MIN_POLL_INTERVAL_S, min(MAX_POLL_INTERVAL_S, POLL_SLACK_FRACTION * slack_s / max(1, step_count)))
 
 
-def service_gap(pool: Pool) -> float:
+def service_poll_interval_s(pool: Pool) -> float:
     """The same for the sake of what waits for room."""
-    used, waits = pool.hosts.used_share, any(flow.lanes for flow in pool.flows.values())
-    if waits and used > BACKLOG_USE:
-        return BACKLOG_GAP_S
-    if used > (WAITED_FOR_USE if waits else SCARCE_USE):
-        return SCARCE_GAP_S
-    return LONGEST_GAP_S
+    utilization, has_backlog = pool.hosts.used_share, any(queue.buckets for queue in pool.queues.values())
+    if has_backlog and utilization > BACKLOG_UTILIZATION:
+        return BACKLOG_POLL_INTERVAL_S
+    if utilization > (SCARCE_UTILIZATION_WITH_BACKLOG if has_backlog else SCARCE_UTILIZATION):
+        return SCARCE_POLL_INTERVAL_S
+    return MAX_POLL_INTERVAL_S
--- a/millethead/scheduling/model.py
+++ b/millethead/scheduling/model.py
@@ -11,7 +11,7 @@
 
 from millethead.execution.messages import Resources
 
-LEAST_WEIGHT = 0.02  # factor of the weight of a worker in doubt, where it is asked all the same
+MIN_HOST_WEIGHT = 0.02  # factor of the weight of a worker in doubt, where it is asked all the same
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,7 +119,7 @@
 
     placements: tuple[Placement, ...]
     preemptions: tuple[Preemption, ...]
-    next_look: float | None
+    next_round_at: float | None
 
 
 class WaitReason(Enum):
--- a/millethead/scheduling/room_making.py
+++ b/millethead/scheduling/room_making.py
@@ -6,104 +6,106 @@
 from math import inf
 
 from millethead.scheduling.model import Preemption
-from millethead.scheduling.preemption import PREEMPTING_PRIORITY, clear_room
+from millethead.scheduling.preemption import PREEMPTING_PRIORITY, plan_preemption
 from millethead.scheduling.reservation import (
     HOSTS_PER_RESERVATION,
+    RESERVATION_RETRY_S,
     STOP_TIME_S,
-    TRY_AGAIN_S,
-    has_room_for_more,
+    can_reserve_more,
+    expire_reservations,
     is_large,
     is_worthless,
-    make_plan,
-    make_reservation,
-    renew_reservations,
-    reserve_from,
+    plan_earliest_start,
+    reservation_due_at,
+    reserve,
 )
 from millethead.scheduling.state import Pool, Step
 
-HEADS = 4  # steps of one lane that may have room kept or made for them
-MOST_PLANS = 4  # steps for which room is planned in one look
-MAKE_ROOM_EVERY_S = 0.1  # between two looks at what could have room kept or made for it
-PREEMPT_SHARE = 0.5  # part of the estimate that must fit before the objective for runs to be stopped
-PREEMPT_EVERY_S = 0.2  # between two looks at what could be stopped for one step
+MAX_BLOCKED_STEPS = 4  # steps of one lane that may have room kept or made for them
+MAX_PLANS_PER_ROUND = 4  # steps for which room is planned in one look
+PLANNING_INTERVAL_S = 0.1  # between two looks at what could have room kept or made for it
+PREEMPTION_MIN_FRACTION = 0.5  # part of the estimate that must fit before the objective for runs to be stopped
+PREEMPTION_INTERVAL_S = 0.2  # between two looks at what could be stopped for one step
 
 
-def make_room(pool: Pool, now: float) -> list[Preemption]:
+def reserve_or_preempt(pool: Pool, now: float) -> list[Preemption]:
     """Keep or make room for units that would come too late. Looked at now and then only: it costs more than a
     placement."""
-    if now < pool.make_room_at:
+    if now < pool.next_planning_at:
         if any(blocked_steps(pool)):
-            pool.look_at = min(pool.look_at, pool.make_room_at)
+            pool.next_round_at = min(pool.next_round_at, pool.next_planning_at)
         return []
-    pool.make_room_at = now + MAKE_ROOM_EVERY_S
-    renew_reservations(pool, now)
+    pool.next_planning_at = now + PLANNING_INTERVAL_S
+    expire_reservations(pool, now)
     blocked = list(blocked_steps(pool))
     if not blocked:
         return []
     preemptions = _preempt(pool, blocked, now)
-    _reserve(pool, blocked, now)
+    _make_reservations(pool, blocked, now)
     return preemptions
 
 
-def _reserve(pool: Pool, blocked: list[Step], now: float) -> None:
+def _make_reservations(pool: Pool, blocked: list[Step], now: float) -> None:
     """Keep room for large units that have waited long, the most urgent first."""
     waiting: list[Step] = []
     for step in blocked:
         if step.key in pool.reservations or not is_large(step, pool) or is_worthless(step, now):
             continue
-        due = reserve_from(step)
+        due = reservation_due_at(step)
         if now >= due:
             waiting.append(step)
         else:
-            pool.look_at = min(pool.look_at, due)
-    waiting.sort(key=lambda step: (step.flow.spec.priority, step.late, step.latest_start, step.order))
-    for step in waiting[:MOST_PLANS]:
-        if not has_room_for_more(pool):
+            pool.next_round_at = min(pool.next_round_at, due)
+    waiting.sort(key=lambda step: (step.queue.spec.priority, step.late, step.latest_start, step.order))
+    for step in waiting[:MAX_PLANS_PER_ROUND]:
+        if not can_reserve_more(pool):
             break
-        plan = make_plan(step, pool, step.members, now)
+        plan = plan_earliest_start(step, pool, step.members, now)
         if plan is None:
-            step.reserve_at = now + TRY_AGAIN_S
+            step.reserve_at = now + RESERVATION_RETRY_S
         else:
-            make_reservation(step, pool, plan)
+            reserve(step, pool, plan)
 
 
 def _preempt(pool: Pool, blocked: list[Step], now: float) -> list[Preemption]:
     """Stop runs of worse priorities for units of the best one that would be late otherwise."""
-    first = [step for step in blocked if step.flow.spec.priority == PREEMPTING_PRIORITY and now >= step.preempt_at]
+    first = [step for step in blocked if step.queue.spec.priority == PREEMPTING_PRIORITY and now >= step.preempt_at]
     first.sort(key=lambda step: (step.late, step.latest_start, step.order))
     preemptions: list[Preemption] = []
-    for step in first[:MOST_PLANS]:
-        if _preempts_enough(step, pool) or not _needs_preemption(step, pool, now):
+    for step in first[:MAX_PLANS_PER_ROUND]:
+        if _preemption_limit_reached(step, pool) or not _needs_preemption(step, pool, now):
             continue
-        step.preempt_at = now + PREEMPT_EVERY_S
-        clearance = clear_room(step, pool, now)
-        if clearance is None:
+        step.preempt_at = now + PREEMPTION_INTERVAL_S
+        preemption_plan = plan_preemption(step, pool, now)
+        if preemption_plan is None:
             continue
-        make_reservation(step, pool, clearance.plan).preempts = True
-        for run in clearance.victims:
+        reserve(step, pool, preemption_plan.plan).preempts = True
+        for run in preemption_plan.victims:
             run.stopping = True
             preemptions.append(Preemption(run.step.key, run.index, run.instance))
     return preemptions
 
 
-def _preempts_enough(step: Step, pool: Pool) -> bool:
-    known = pool.reservations.get(step.key)
-    number = sum(reservation.preempts for reservation in pool.reservations.values())
-    return (known is not None and known.preempts) or number > len(pool.hosts) // HOSTS_PER_RESERVATION
+def _preemption_limit_reached(step: Step, pool: Pool) -> bool:
+    own_reservation = pool.reservations.get(step.key)
+    preempting_count = sum(reservation.preempts for reservation in pool.reservations.values())
+    return (own_reservation is not None and own_reservation.preempts) or preempting_count > len(
+        pool.hosts
+    ) // HOSTS_PER_RESERVATION
 
 
 def _needs_preemption(step: Step, pool: Pool, now: float) -> bool:
     """Whether a step would be late if it waited for runs to end by themselves, but not if some are stopped."""
     spec = step.spec
-    if now + PREEMPT_SHARE * spec.estimate_s > spec.objective_at and not spec.long_running:
+    if now + PREEMPTION_MIN_FRACTION * spec.estimate_s > spec.objective_at and not spec.long_running:
         return False
-    plan = make_plan(step, pool, step.members, now)
+    plan = plan_earliest_start(step, pool, step.members, now)
     if plan is not None and plan.start_at <= max(step.latest_start, now):
-        pool.look_at = min(pool.look_at, max(now + PREEMPT_EVERY_S, step.latest_start - STOP_TIME_S))
+        pool.next_round_at = min(pool.next_round_at, max(now + PREEMPTION_INTERVAL_S, step.latest_start - STOP_TIME_S))
         return False
     return True
 
 
 def blocked_steps(pool: Pool) -> Iterator[Step]:
     """The first steps of each lane that do not wait by choice."""
-    return (step for step in pool.first_steps(HEADS) if step.look_at == inf)
+    return (step for step in pool.first_steps(MAX_BLOCKED_STEPS) if step.retry_at == inf)
--- a/millethead/scheduling/scheduler.py
+++ b/millethead/scheduling/scheduler.py
@@ -22,11 +22,11 @@
 from random import Random
 
 from millethead.execution.messages import RunEnd
-from millethead.scheduling.choosing import FAR_TIMES, Chooser, Chosen, refusal
-from millethead.scheduling.finding import UnitFinder
-from millethead.scheduling.headroom import Headroom, note_runs
-from millethead.scheduling.health import Health, RunName
-from millethead.scheduling.looks import SCARCE_GAP_S, service_gap
+from millethead.scheduling.choosing import REMOTE_RUNTIME_FACTOR, Assignments, HostSelector, wait_reason
+from millethead.scheduling.finding import QueueScanner
+from millethead.scheduling.headroom import PriorityHeadroom, record_runs
+from millethead.scheduling.health import Health, RunKey
+from millethead.scheduling.looks import SCARCE_POLL_INTERVAL_S, service_poll_interval_s
 from millethead.scheduling.model import (
     Decision,
     PendingStep,
@@ -40,32 +40,32 @@
     WorkerState,
 )
 from millethead.scheduling.placement import Host
-from millethead.scheduling.reservation import drop_reservation, use_reservation
-from millethead.scheduling.room_making import make_room
-from millethead.scheduling.starvation import is_little_used, next_starvation, note_use, starving_steps
-from millethead.scheduling.state import Flow, Pool, Run, Step
-from millethead.scheduling.teaching import Teacher
-from millethead.scheduling.trust import TrustKeeper
-from millethead.scheduling.upkeep import step_changed
+from millethead.scheduling.reservation import cancel_reservation, consume_reservation
+from millethead.scheduling.room_making import reserve_or_preempt
+from millethead.scheduling.starvation import is_underused, next_starvation_at, starving_steps, update_underused_since
+from millethead.scheduling.state import Pool, QueueState, Run, Step
+from millethead.scheduling.teaching import RuntimeObserver
+from millethead.scheduling.trust import HostHealthUpdater
+from millethead.scheduling.upkeep import update_step_bookkeeping
 
-UNLISTED = QueueSpec("", "", 9, 3.0, 2.0, 1)  # stands for a queue that is no longer configured
+UNCONFIGURED_QUEUE = QueueSpec("", "", 9, 3.0, 2.0, 1)  # stands for a queue that is no longer configured
 
 
 class Scheduler:
     """The decisions for all workers and queues of one cell."""
 
-    def __init__(self, random: Random, far_times: float = FAR_TIMES) -> None:
-        self._chooser = Chooser(random, far_times)
-        self._finder = UnitFinder(self._chooser)
+    def __init__(self, random: Random, remote_factor: float = REMOTE_RUNTIME_FACTOR) -> None:
+        self._host_selector = HostSelector(random, remote_factor)
+        self._queue_scanner = QueueScanner(self._host_selector)
         self.health = Health()  # what is held of the workers
-        self._teacher = Teacher(self.health, far_times)
-        self._trust = TrustKeeper(self.health)
+        self._runtime_observer = RuntimeObserver(self.health, remote_factor)
+        self._host_health = HostHealthUpdater(self.health)
         self._queues: dict[str, QueueSpec] = {}
         self._pools: dict[str, Pool] = {}
         self._steps: dict[StepKey, Step] = {}
         self._hosts: dict[str, Host] = {}
-        self._runs: dict[RunName, Run] = {}
-        self._order = 0
+        self._runs: dict[RunKey, Run] = {}
+        self._steps_seen = 0
 
     # ---- what is known ---------------------------------------------------------------------------------------------
 
@@ -73,10 +73,10 @@
         """Take over the queues in force; those that stay keep their tags."""
         self._queues = {queue.name: queue for queue in queues}
         for pool in self._pools.values():
-            for flow in pool.flows.values():
-                flow.spec = self._queues.get(flow.name, UNLISTED)
-            self._forget_idle_flows(pool)
-            pool.grew()
+            for queue in pool.queues.values():
+                queue.spec = self._queues.get(queue.name, UNCONFIGURED_QUEUE)
+            self._remove_idle_queues(pool)
+            pool.capacity_grew()
 
     def put_worker(self, worker: WorkerState) -> None:
         """A worker is new or has changed. What is booked there stays booked."""
@@ -84,31 +84,31 @@
         if host is None:
             self._new_host(worker)
             return
-        if host.shows(worker):
-            host.show(worker)
+        if host.is_unchanged(worker):
+            host.update(worker)
             return
         pool = self._pool(host.service)
         if not worker.reachable or worker.draining or worker.service != host.service:
-            self._drop_claim(host, pool)
+            self._cancel_host_reservation(host, pool)
         pool.hosts.remove(host)
-        pool.shrank()
-        self._trust.note(pool)
-        host.show(worker)
+        pool.host_removed()
+        self._host_health.mark_changed(pool)
+        host.update(worker)
         pool = self._pool(worker.service)
         pool.hosts.add(host)
-        pool.grew(host)
-        self._trust.note(pool, host)
+        pool.capacity_grew(host)
+        self._host_health.mark_changed(pool, host)
 
     def remove_worker(self, instance: str) -> None:
         """A worker is gone. Its runs stay known until `run_ended`."""
         host = self._hosts.pop(instance, None)
         if host is not None:
             pool = self._pool(host.service)
-            self._drop_claim(host, pool)
+            self._cancel_host_reservation(host, pool)
             pool.hosts.remove(host)
-            pool.shrank()
-            self._trust.note(pool)
-        self.health.forget(instance)
+            pool.host_removed()
+            self._host_health.mark_changed(pool)
+        self.health.remove_worker(instance)
 
     def worker(self, instance: str) -> WorkerState | None:
         """A worker with its free room."""
@@ -121,32 +121,32 @@
         idle = all(
             not pool.reservations
             and not any(queue.waiting for queue in pool.tags.queues.values())
-            and not any(flow.lanes or flow.steps for flow in pool.flows.values())
+            and not any(queue.buckets or queue.known_steps for queue in pool.queues.values())
             for pool in self._pools.values()
         )
         return idle and not self._steps and not self._runs
 
     def put_step(self, step: PendingStep) -> None:
         """A step becomes known, or more of its tasks wait. The waiting times of its tasks count as its arrival."""
-        known = self._steps.get(step.key)
+        record = self._steps.get(step.key)
         now = max((task.waiting_since for task in step.tasks.values()), default=step.objective_at)
-        if known is None:
-            known = self._new_step(step, now)
+        if record is None:
+            record = self._new_step(step, now)
         for task in step.tasks.values():
-            known.tasks[task.index] = task
-        step_changed(known, now)
+            record.tasks[task.index] = task
+        update_step_bookkeeping(record, now)
 
     def task_waits(self, key: StepKey, task: PendingTask, now: float) -> None:
         """A task waits (again) for a worker. Raises UnknownStep."""
         step = self._step(key)
         step.tasks[task.index] = task
-        step_changed(step, now)
+        update_step_bookkeeping(step, now)
 
     def task_withdrawn(self, key: StepKey, index: int) -> None:
         """A task no longer waits."""
         step = self._steps.get(key)
         if step is not None and step.tasks.pop(index, None) is not None:
-            step_changed(step, None)
+            update_step_bookkeeping(step, None)
 
     def remove_step(self, key: StepKey) -> None:
         """A step is over or cancelled. What of it still runs stays booked until `run_ended`."""
@@ -156,75 +156,77 @@
         step.tasks.clear()
         for run in step.runs:
             run.stopping = True
-        step_changed(step, None)
-        step.flow.steps -= 1
-        self._forget_idle_flows(step.flow.pool)
+        update_step_bookkeeping(step, None)
+        step.queue.known_steps -= 1
+        self._remove_idle_queues(step.queue.pool)
 
     def run_started(self, key: StepKey, index: int, instance: str, run: int, now: float) -> None:
         """A run is known to exist; it is booked unless `schedule` has booked it. Raises UnknownStep where neither the
         run nor its step is known."""
-        known = self._runs.get((key, index, instance))
-        if known is None:
-            known = self._book(self._step(key), index, instance, now)
-            known.inherited = True
-        known.number = run
-        known.started = now
-        if known.step.tasks.pop(index, None) is not None:
-            step_changed(known.step, now)
-
-    def run_lasted(self, key: StepKey, index: int, instance: str, run: int, seconds: float) -> None:
+        known_run = self._runs.get((key, index, instance))
+        if known_run is None:
+            known_run = self._allocate_run(self._step(key), index, instance, now)
+            known_run.inherited = True
+        known_run.number = run
+        known_run.started = now
+        if known_run.step.tasks.pop(index, None) is not None:
+            update_step_bookkeeping(known_run.step, now)
+
+    def record_runtime(self, key: StepKey, index: int, instance: str, run: int, seconds: float) -> None:
         """How long a run ran, as its agent saw it; its end follows."""
-        known = self._runs.get((key, index, instance))
-        if known is not None and known.number == run:
-            known.ran_s = seconds
+        known_run = self._runs.get((key, index, instance))
+        if known_run is not None and known_run.number == run:
+            known_run.runtime_s = seconds
 
     def run_ended(self, key: StepKey, index: int, instance: str, run: int, outcome: RunEnd, now: float) -> None:
         """A run is over and its room is free. An end of a run that is older than the one booked is passed over."""
-        known = self._runs.get((key, index, instance))
-        if known is None or run < known.number:
+        known_run = self._runs.get((key, index, instance))
+        if known_run is None or run < known_run.number:
             return
-        self._teacher.ended(known, self._hosts.get(instance), outcome, now)
-        self._free(known)
-        if not known.step.occupied:
-            known.step.idle_since = now
-        step_changed(known.step, now)
-        self._show_health()
+        self._runtime_observer.run_ended(known_run, self._hosts.get(instance), outcome, now)
+        self._release_run(known_run)
+        if not known_run.step.run_instances:
+            known_run.step.idle_since = now
+        update_step_bookkeeping(known_run.step, now)
+        self._apply_health()
 
     def progress(self, key: StepKey, index: int, instance: str, percent: int, now: float) -> None:
         """A worker has listed a run with its percentage."""
         run = self._runs.get((key, index, instance))
         if run is None:
             return
-        self._teacher.progressed(run, self._hosts.get(instance), percent, now)
-        self._show_health()
+        self._runtime_observer.run_progressed(run, self._hosts.get(instance), percent, now)
+        self._apply_health()
 
     def stalled(self, now: float) -> tuple[Preemption, ...]:
         """Runs that stand still though they should move, also those that are being stopped: they may be moved, if that
         is worth the work thrown away."""
         return tuple(Preemption(*name) for name in self.health.stalled() if name in self._runs)
 
-    def look_gap(self, instance: str) -> float:
+    def poll_interval_s(self, instance: str) -> float:
         """The least time between two looks at a worker (s), whatever runs there."""
         host = self._hosts.get(instance)
-        return service_gap(self._pool(host.service)) if host is not None else SCARCE_GAP_S
+        return service_poll_interval_s(self._pool(host.service)) if host is not None else SCARCE_POLL_INTERVAL_S
 
     # ---- decisions -------------------------------------------------------------------------------------------------
 
     def schedule(self, now: float) -> Decision:
         """Place what can be placed, and say what is to be stopped. Placements are booked, and each must be followed by
         `run_ended` some time; what is to be stopped is expected to end soon."""
-        self.health.wake(now)
-        self._show_health()
+        self.health.start_probes(now)
+        self._apply_health()
         placements: list[Placement] = []
         preemptions: list[Preemption] = []
         for pool in self._pools.values():
-            if pool.dirty or now >= pool.look_at:
+            if pool.dirty or now >= pool.next_round_at:
                 placements += self._schedule_pool(pool, now)
-                preemptions += make_room(pool, now)
-        next_look = min((pool.look_at for pool in self._pools.values()), default=inf)
+                preemptions += reserve_or_preempt(pool, now)
+        next_round_at = min((pool.next_round_at for pool in self._pools.values()), default=inf)
         if self._steps:
-            next_look = min(next_look, self.health.next_wake)
-        return Decision(tuple(placements), tuple(preemptions), None if next_look == inf else max(now, next_look))
+            next_round_at = min(next_round_at, self.health.next_pause_end)
+        return Decision(
+            tuple(placements), tuple(preemptions), None if next_round_at == inf else max(now, next_round_at)
+        )
 
     def why_waiting(self, key: StepKey, index: int, now: float) -> WaitReason:
         """Why a task has not been placed, as of the last round."""
@@ -233,72 +235,72 @@
             return WaitReason.NOT_WAITING
         if not step.units:
             return WaitReason.GANG
-        return refusal(step, step.flow.pool, now)
+        return wait_reason(step, step.queue.pool, now)
 
     def _schedule_pool(self, pool: Pool, now: float) -> list[Placement]:
         """Turns by the tags until nothing fits. Room only shrinks meanwhile: a queue passed over stays so."""
-        pool.dirty, pool.look_at = False, inf
+        pool.dirty, pool.next_round_at = False, inf
         placements: list[Placement] = []
-        room = Headroom(pool, now)
-        open_flows = {name: None for name, flow in pool.flows.items() if flow.lanes}  # in a fixed order
-        while open_flows:
-            for name in pool.tags.order(open_flows, now):
-                flow = pool.flows[name]
-                found = None if room.leaves_room(flow) else self._finder.first_fitting(flow, now)
+        headroom = PriorityHeadroom(pool, now)
+        open_queues = {name: None for name, queue in pool.queues.items() if queue.buckets}  # in a fixed order
+        while open_queues:
+            for name in pool.tags.order(open_queues, now):
+                queue = pool.queues[name]
+                found = None if headroom.must_leave_headroom(queue) else self._queue_scanner.first_fitting(queue, now)
                 if found is None:
-                    open_flows.pop(name, None)
+                    open_queues.pop(name, None)
                     continue
-                placements += self._place(flow, *found, now)
+                placements += self._place(queue, *found, now)
                 break
             else:
                 break
-            if not flow.lanes:
-                open_flows.pop(name, None)
+            if not queue.buckets:
+                open_queues.pop(name, None)
         placements += self._place_starving(pool, now)
-        self._note_look(pool, now)
+        self._set_next_round(pool, now)
         return placements
 
     def _place_starving(self, pool: Pool, now: float) -> list[Placement]:
         """Units that nothing but a lack of room may hold back any more (`starvation`)."""
-        note_use(pool, now)
+        update_underused_since(pool, now)
         placements: list[Placement] = []
         for step in starving_steps(pool, now):
-            chosen = self._chooser.choose_unconditionally(step, pool, now)
-            if chosen and is_little_used(pool):
-                placements += self._place(step.flow, step, chosen, now)
-        note_use(pool, now)
+            assignments = self._host_selector.select_unconditionally(step, pool, now)
+            if assignments and is_underused(pool):
+                placements += self._place(step.queue, step, assignments, now)
+        update_underused_since(pool, now)
         return placements
 
-    def _place(self, flow: Flow, step: Step, chosen: Chosen, now: float) -> Iterator[Placement]:
-        flow.pool.tags.take(flow.name, now)
-        step.tagged -= 1
-        for place in chosen:
-            task, instance = place.task, place.host.instance
+    def _place(self, queue: QueueState, step: Step, assignments: Assignments, now: float) -> Iterator[Placement]:
+        queue.pool.tags.take(queue.name, now)
+        step.tagged_units -= 1
+        for assignment in assignments:
+            task, instance = assignment.task, assignment.host.instance
             del step.tasks[task.index]
-            run = self._book(step, task.index, instance, now)
+            run = self._allocate_run(step, task.index, instance, now)
             run.checkpoint = task.checkpoint
-            self.health.started(run.name)
-            use_reservation(step, flow.pool, instance, run.needs)
+            self.health.run_started(run.key)
+            consume_reservation(step, queue.pool, instance, run.needs)
             yield Placement(step.key, task.index, instance, task.checkpoint)
-        step_changed(step, now)
-        self._show_health()
+        update_step_bookkeeping(step, now)
+        self._apply_health()
 
-    def _note_look(self, pool: Pool, now: float) -> None:
-        looks = [lane.look_at for flow in pool.flows.values() for lane in flow.lanes.values()]
-        pool.look_at = min([*looks, next_starvation(pool, now)])
+    def _set_next_round(self, pool: Pool, now: float) -> None:
+        retry_times = [bucket.retry_at for queue in pool.queues.values() for bucket in queue.buckets.values()]
+        pool.next_round_at = min([*retry_times, next_starvation_at(pool, now)])
 
     # ---- records ---------------------------------------------------------------------------------------------------
 
     def _new_step(self, spec: PendingStep, now: float) -> Step:
-        flow = self._flow(spec.service, spec.queue)
-        flow.steps += 1
-        flow.learn(spec)
-        self._order += 1
-        step = Step(spec, flow, self._order, arrived=now, idle_since=now)
-        flow.pool.note_large(spec.needs, now)
+        queue = self._queue_state(spec.service, spec.queue)
+        queue.known_steps += 1
+        queue.update_means(spec)
+        self._steps_seen += 1
+        step = Step(spec, queue, self._steps_seen, arrived_at=now, idle_since=now)
+        queue.pool.record_large_task(spec.needs, now)
         self._steps[spec.key] = step
         for index, instance in spec.running.items():
-            step.occupy(index, instance)
+            step.add_run(index, instance)
         return step
 
     def _new_host(self, worker: WorkerState) -> None:
@@ -308,71 +310,71 @@
         pool.hosts.add(host)
         for run in self._runs.values():
             if run.instance == worker.instance:
-                self._occupy(host, run)
-        self._trust.note(pool, host)
-        self._show_health()
-        pool.grew(host)
+                self._add_run_to_host(host, run)
+        self._host_health.mark_changed(pool, host)
+        self._apply_health()
+        pool.capacity_grew(host)
 
-    def _drop_claim(self, host: Host, pool: Pool) -> None:
+    def _cancel_host_reservation(self, host: Host, pool: Pool) -> None:
         """The host can keep no room any more: the step looks for another."""
-        if host.claim is not None:
-            reservation = next(known for known in pool.reservations.values() if known is host.claim)
-            drop_reservation(reservation.step, pool)
+        if host.reservation is not None:
+            reservation = next(known for known in pool.reservations.values() if known is host.reservation)
+            cancel_reservation(reservation.step, pool)
 
-    def _book(self, step: Step, index: int, instance: str, now: float) -> Run:
+    def _allocate_run(self, step: Step, index: int, instance: str, now: float) -> Run:
         run = Run(step, index, instance, step.spec.needs, now)
-        self._runs[run.name] = run
-        step.occupy(index, instance)
+        self._runs[run.key] = run
+        step.add_run(index, instance)
         step.runs[run] = None
-        note_runs(step, 1)
+        record_runs(step, 1)
         host = self._hosts.get(instance)
         if host is not None:
-            self._occupy(host, run)
+            self._add_run_to_host(host, run)
         return run
 
-    def _occupy(self, host: Host, run: Run) -> None:
+    def _add_run_to_host(self, host: Host, run: Run) -> None:
         host.runs[run] = None
-        host.lasting += run.step.spec.long_running
-        self._pool(host.service).hosts.book(host, run.needs)
+        host.long_running_count += run.step.spec.long_running
+        self._pool(host.service).hosts.allocate(host, run.needs)
 
-    def _free(self, run: Run) -> None:
+    def _release_run(self, run: Run) -> None:
         """Undo a booking."""
-        del self._runs[run.name]
-        run.step.vacate(run.index, run.instance)
+        del self._runs[run.key]
+        run.step.remove_run(run.index, run.instance)
         del run.step.runs[run]
-        note_runs(run.step, -1)
+        record_runs(run.step, -1)
         host = self._hosts.get(run.instance)
         if host is None or run not in host.runs:
             return
         del host.runs[run]
-        host.lasting -= run.step.spec.long_running
+        host.long_running_count -= run.step.spec.long_running
         pool = self._pool(host.service)
         pool.hosts.release(host, run.needs)
-        pool.grew(host)
+        pool.capacity_grew(host)
 
     # ---- health ----------------------------------------------------------------------------------------------------
 
-    def _show_health(self) -> None:
+    def _apply_health(self) -> None:
         """Carry what has changed over to the hosts."""
         for instance in sorted(self.health.changed):
             host = self._hosts.get(instance)
             if host is not None:
-                self._trust.note(self._pool(host.service), host)
+                self._host_health.mark_changed(self._pool(host.service), host)
         self.health.changed.clear()
-        self._trust.carry_over()
+        self._host_health.apply()
 
-    def _forget_idle_flows(self, pool: Pool) -> None:
+    def _remove_idle_queues(self, pool: Pool) -> None:
         """Drop queues that are no longer configured and of which nothing is known."""
-        for name in [name for name, flow in pool.flows.items() if not flow.steps and name not in self._queues]:
-            del pool.flows[name]
+        for name in [name for name, queue in pool.queues.items() if not queue.known_steps and name not in self._queues]:
+            del pool.queues[name]
             pool.tags.forget(name)
 
-    def _flow(self, service: str, name: str) -> Flow:
+    def _queue_state(self, service: str, name: str) -> QueueState:
         pool = self._pool(service)
-        if name not in pool.flows:
-            pool.flows[name] = Flow(name, self._queues.get(name, UNLISTED), pool)
+        if name not in pool.queues:
+            pool.queues[name] = QueueState(name, self._queues.get(name, UNCONFIGURED_QUEUE), pool)
             pool.tags.queue(name)
-        return pool.flows[name]
+        return pool.queues[name]
 
     def _pool(self, service: str) -> Pool:
         if service not in self._pools:
--- a/millethead/scheduling/tags.py
+++ b/millethead/scheduling/tags.py
@@ -22,7 +22,7 @@
 from math import exp, inf
 
 IDLE_CREDIT = 2.0  # sigma: sizes' worth of global lag that a returning queue keeps
-LEAST_RATE = 1e-9  # floors and weights are never 0
+MIN_RATE = 1e-9  # floors and weights are never 0
 
 
 class Phase(IntEnum):
@@ -68,10 +68,10 @@
 
     def append(self, size: float, count: int, now: float, shift: float) -> None:
         """Tag-Assignment for `count` units of one size."""
-        local_step = size / max(self.floor, LEAST_RATE)
-        global_step = size / max(self.weight, LEAST_RATE)
+        local_step = size / max(self.floor, MIN_RATE)
+        global_step = size / max(self.weight, MIN_RATE)
         idle = not self.waiting and self._last_global != -inf
-        credit = IDLE_CREDIT / max(self.weight, LEAST_RATE) if idle else 0.0
+        credit = IDLE_CREDIT / max(self.weight, MIN_RATE) if idle else 0.0
         local_tag = max(self._last_local + local_step, now + self._lowered)
         global_tag = max(self._last_global + global_step, now - credit - shift)
         self._tags.append(_Progression(local_tag, global_tag, local_step, global_step, count))
--- a/millethead/scheduling/trust.py
+++ b/millethead/scheduling/trust.py
@@ -8,43 +8,43 @@
 
 from collections.abc import Iterable
 
-from millethead.scheduling.health import Health, Standing
-from millethead.scheduling.model import LEAST_WEIGHT
+from millethead.scheduling.health import Health, HealthState
+from millethead.scheduling.model import MIN_HOST_WEIGHT
 from millethead.scheduling.placement import Host
 from millethead.scheduling.state import Pool
 
 
-class TrustKeeper:
+class HostHealthUpdater:
     """Carries the standing of workers over to the hosts that stand for them."""
 
     def __init__(self, health: Health) -> None:
         self._health = health
         self._changed: dict[Pool, dict[Host, None]] = {}
 
-    def note(self, pool: Pool, *hosts: Host) -> None:
+    def mark_changed(self, pool: Pool, *hosts: Host) -> None:
         """These hosts are to be looked at, and whether their service trusts enough of its workers."""
         self._changed.setdefault(pool, {}).update(dict.fromkeys(hosts))
 
-    def carry_over(self) -> None:
+    def apply(self) -> None:
         """Show what has been noted; a host that is to be used more may fit what waits."""
         changed, self._changed = self._changed, {}
         for pool, hosts in changed.items():
-            known = pool.hosts.by_instance
-            self._show(pool, [host for host in hosts if known.get(host.instance) is host])
+            hosts_by_instance = pool.hosts.by_instance
+            self._update_pool(pool, [host for host in hosts if hosts_by_instance.get(host.instance) is host])
 
-    def _show(self, pool: Pool, hosts: Iterable[Host]) -> None:
+    def _update_pool(self, pool: Pool, hosts: Iterable[Host]) -> None:
         for host in hosts:
-            pool.hosts.set_merit(host, self._health.weight(host.instance))
-        least = LEAST_WEIGHT if pool.hosts.mostly_doubted else 0.0
-        if least != pool.least_health:
-            pool.least_health, hosts = least, list(pool.hosts)
+            pool.hosts.set_own_health(host, self._health.weight(host.instance))
+        min_health = MIN_HOST_WEIGHT if pool.hosts.mostly_unhealthy else 0.0
+        if min_health != pool.min_health:
+            pool.min_health, hosts = min_health, list(pool.hosts)
         for host in hosts:
-            self._show_host(pool, host)
-
-    def _show_host(self, pool: Pool, host: Host) -> None:
-        weight = max(pool.least_health, host.merit)
-        proven = self._health.standing(host.instance) is Standing.SOUND
-        better = proven > host.proven or (weight > 0.0 >= host.health)
-        host.health, host.proven = weight, proven
-        if better:
-            pool.grew(host)
+            self._update_host(pool, host)
+
+    def _update_host(self, pool: Pool, host: Host) -> None:
+        weight = max(pool.min_health, host.own_health)
+        is_sound = self._health.state(host.instance) is HealthState.SOUND
+        improved = is_sound > host.is_sound or (weight > 0.0 >= host.health)
+        host.health, host.is_sound = weight, is_sound
+        if improved:
+            pool.capacity_grew(host)
--- a/tests/test_headroom.py
+++ b/tests/test_headroom.py
@@ -7,7 +7,7 @@
 import pytest
 
 from millethead.execution.messages import Resources, RunEnd
-from millethead.scheduling.headroom import HEADROOM
+from millethead.scheduling.headroom import HEADROOM_FACTOR
 from millethead.scheduling.model import PendingStep, PendingTask, Placement, QueueSpec, StepKey, WorkerState
 from millethead.scheduling.scheduler import Scheduler
 
@@ -88,7 +88,7 @@
 
 def test_long_tasks_leave_room_to_a_better_priority() -> None:
     held = held_after_a_large_job(LONG_S)
-    most = WORKERS * CPU / 1000 * (1.0 - HEADROOM * MEAN_SHARE)
+    most = WORKERS * CPU / 1000 * (1.0 - HEADROOM_FACTOR * MEAN_SHARE)
     assert 0.7 * most <= held <= 1.1 * most
 
 
@@ -132,8 +132,8 @@
     world = World()
     world.put("short", 8, SHORT_S)
     placements = world.scheduler.schedule(0.0).placements
-    flow = next(iter(world.scheduler._pools.values())).flows["short"]
-    assert flow.in_use == pytest.approx(8.0)
+    queue = next(iter(world.scheduler._pools.values())).queues["short"]
+    assert queue.cores_in_use == pytest.approx(8.0)
     for placement in placements:
         world.scheduler.run_ended(placement.key, placement.index, placement.instance, 1, outcome, 1.0)
-    assert flow.in_use == pytest.approx(0.0)
+    assert queue.cores_in_use == pytest.approx(0.0)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -13,8 +13,14 @@
 
 from millethead.execution.messages import Resources, RunEnd
 from millethead.lab.overload import Earned, Overload, Setting
-from millethead.scheduling.health import Cause, Health, Standing
-from millethead.scheduling.looks import BACKLOG_GAP_S, LONGEST_GAP_S, SCARCE_GAP_S, SHORTEST_GAP_S, run_gap
+from millethead.scheduling.health import Cause, Health, HealthState
+from millethead.scheduling.looks import (
+    BACKLOG_POLL_INTERVAL_S,
+    MAX_POLL_INTERVAL_S,
+    MIN_POLL_INTERVAL_S,
+    SCARCE_POLL_INTERVAL_S,
+    run_poll_interval_s,
+)
 from millethead.scheduling.model import (
     Decision,
     PendingStep,
@@ -26,9 +32,9 @@
     WaitReason,
     WorkerState,
 )
-from millethead.scheduling.reservation import Plan, make_reservation
+from millethead.scheduling.reservation import Plan, reserve
 from millethead.scheduling.scheduler import Scheduler
-from millethead.scheduling.state import OVERLOAD_SHARE, OVERLOAD_SIZE_DELAY, SIZE_DELAY
+from millethead.scheduling.state import OVERLOAD_SIZE_DELAY_FACTOR, OVERLOAD_SLACK_FRACTION, SIZE_DELAY_FACTOR
 from millethead.scheduling.tags import ArrivalRate, Phase, TagSchedule
 
 NOTHING = Resources(0, 0, 0)
@@ -38,11 +44,11 @@
 WHOLE = Resources(32_000, 32_000, 0)
 
 
-def queue(name: str = "q", priority: int = 1, target_s: float = 1.0, service: str = "s") -> QueueSpec:
+def make_queue(name: str = "q", priority: int = 1, target_s: float = 1.0, service: str = "s") -> QueueSpec:
     return QueueSpec(name, service, priority, target_s, 2.0, 4)
 
 
-def worker(
+def make_worker(
     name: str,
     rack: str = "r1",
     *,
@@ -66,7 +72,7 @@
     )
 
 
-def step(
+def make_step(
     job: str,
     count: int = 1,
     needs: Resources = SMALL,
@@ -105,20 +111,20 @@
     )
 
 
-def scheduler(*workers: WorkerState, queues: tuple[QueueSpec, ...] = (queue(),), seed: int = 1) -> Scheduler:
-    made = Scheduler(Random(seed))
-    made.set_queues(queues)
+def make_scheduler(*workers: WorkerState, queues: tuple[QueueSpec, ...] = (make_queue(),), seed: int = 1) -> Scheduler:
+    scheduler = Scheduler(Random(seed))
+    scheduler.set_queues(queues)
     for each in workers:
-        made.put_worker(each)
-    return made
+        scheduler.put_worker(each)
+    return scheduler
 
 
-def end(made: Scheduler, placement: Placement, now: float, how: RunEnd = RunEnd.DONE) -> None:
-    made.run_ended(placement.key, placement.index, placement.instance, 1, how, now)
+def finish_run(scheduler: Scheduler, placement: Placement, now: float, outcome: RunEnd = RunEnd.DONE) -> None:
+    scheduler.run_ended(placement.key, placement.index, placement.instance, 1, outcome, now)
 
 
-def free_cpu(made: Scheduler, instance: str) -> int:
-    state = made.worker(instance)
+def free_cpu(scheduler: Scheduler, instance: str) -> int:
+    state = scheduler.worker(instance)
     assert state is not None
     return state.free.cpu
 
@@ -233,188 +239,188 @@
 
 
 def test_a_task_goes_to_a_worker_of_its_service_with_room() -> None:
-    made = scheduler(worker("other", service="t"), worker("w"))
-    made.put_step(step("j", count=20))
-    decision = made.schedule(0.0)
+    scheduler = make_scheduler(make_worker("other", service="t"), make_worker("w"))
+    scheduler.put_step(make_step("j", count=20))
+    decision = scheduler.schedule(0.0)
     assert {placement.instance for placement in decision.placements} == {"w"}
     assert len(decision.placements) == 16
-    assert free_cpu(made, "w") == 0
-    assert made.why_waiting(StepKey("j", 0, 0), 17, 0.0) is WaitReason.ROOM
+    assert free_cpu(scheduler, "w") == 0
+    assert scheduler.why_waiting(StepKey("j", 0, 0), 17, 0.0) is WaitReason.ROOM
 
 
 def test_room_comes_back_only_with_the_end() -> None:
-    made = scheduler(worker("w"))
-    made.put_step(step("j", count=2, needs=WHOLE))
-    first = made.schedule(0.0).placements
+    scheduler = make_scheduler(make_worker("w"))
+    scheduler.put_step(make_step("j", count=2, needs=WHOLE))
+    first = scheduler.schedule(0.0).placements
     assert len(first) == 1
-    assert not made.schedule(1.0).placements
-    end(made, first[0], 2.0)
-    assert len(made.schedule(2.0).placements) == 1
+    assert not scheduler.schedule(1.0).placements
+    finish_run(scheduler, first[0], 2.0)
+    assert len(scheduler.schedule(2.0).placements) == 1
 
 
 def test_an_older_run_does_not_free_the_room_of_a_newer_one() -> None:
-    made = scheduler(worker("w"))
-    made.put_step(step("j", needs=WHOLE))
-    (placement,) = made.schedule(0.0).placements
-    made.run_started(placement.key, 0, "w", 2, 0.0)
-    made.run_ended(placement.key, 0, "w", 1, RunEnd.LOST, 1.0)
-    assert free_cpu(made, "w") == 0
-    made.run_ended(placement.key, 0, "w", 2, RunEnd.DONE, 1.0)
-    assert free_cpu(made, "w") == 32_000
+    scheduler = make_scheduler(make_worker("w"))
+    scheduler.put_step(make_step("j", needs=WHOLE))
+    (placement,) = scheduler.schedule(0.0).placements
+    scheduler.run_started(placement.key, 0, "w", 2, 0.0)
+    scheduler.run_ended(placement.key, 0, "w", 1, RunEnd.LOST, 1.0)
+    assert free_cpu(scheduler, "w") == 0
+    scheduler.run_ended(placement.key, 0, "w", 2, RunEnd.DONE, 1.0)
+    assert free_cpu(scheduler, "w") == 32_000
 
 
 def test_known_runs_are_booked_before_and_after_their_worker_is_known() -> None:
-    made = scheduler(worker("a"))
-    made.put_step(step("j", count=2, needs=HALF))
-    made.run_started(StepKey("j", 0, 0), 0, "a", 1, 0.0)
-    made.run_started(StepKey("j", 0, 0), 1, "b", 1, 0.0)
-    made.put_worker(worker("b"))
-    assert free_cpu(made, "a") == free_cpu(made, "b") == 16_000
-    assert not made.schedule(0.0).placements
+    scheduler = make_scheduler(make_worker("a"))
+    scheduler.put_step(make_step("j", count=2, needs=HALF))
+    scheduler.run_started(StepKey("j", 0, 0), 0, "a", 1, 0.0)
+    scheduler.run_started(StepKey("j", 0, 0), 1, "b", 1, 0.0)
+    scheduler.put_worker(make_worker("b"))
+    assert free_cpu(scheduler, "a") == free_cpu(scheduler, "b") == 16_000
+    assert not scheduler.schedule(0.0).placements
 
 
 def test_a_worker_that_says_something_new_keeps_its_bookings() -> None:
-    made = scheduler(worker("w"))
-    made.put_step(step("j", needs=HALF))
-    made.schedule(0.0)
-    made.put_worker(worker("w", capacity=Resources(20_000, 65_536, 0)))
-    assert free_cpu(made, "w") == 4_000
-    made.put_worker(worker("w", capacity=Resources(8_000, 65_536, 0)))
-    assert free_cpu(made, "w") == 0
+    scheduler = make_scheduler(make_worker("w"))
+    scheduler.put_step(make_step("j", needs=HALF))
+    scheduler.schedule(0.0)
+    scheduler.put_worker(make_worker("w", capacity=Resources(20_000, 65_536, 0)))
+    assert free_cpu(scheduler, "w") == 4_000
+    scheduler.put_worker(make_worker("w", capacity=Resources(8_000, 65_536, 0)))
+    assert free_cpu(scheduler, "w") == 0
 
 
 def test_a_label_is_required() -> None:
-    made = scheduler(worker("plain"), worker("fits", labels=frozenset({"a"})))
-    made.put_step(step("j", count=30, requires="a"))
-    assert {placement.instance for placement in made.schedule(0.0).placements} == {"fits"}
-    made.put_step(step("k", requires="b"))
-    made.schedule(0.0)
-    assert made.why_waiting(StepKey("k", 0, 0), 0, 0.0) is WaitReason.LABEL
+    scheduler = make_scheduler(make_worker("plain"), make_worker("fits", labels=frozenset({"a"})))
+    scheduler.put_step(make_step("j", count=30, requires="a"))
+    assert {placement.instance for placement in scheduler.schedule(0.0).placements} == {"fits"}
+    scheduler.put_step(make_step("k", requires="b"))
+    scheduler.schedule(0.0)
+    assert scheduler.why_waiting(StepKey("k", 0, 0), 0, 0.0) is WaitReason.LABEL
 
 
-@pytest.mark.parametrize("closed", [worker("w", draining=True), worker("w", reachable=False)])
+@pytest.mark.parametrize("closed", [make_worker("w", draining=True), make_worker("w", reachable=False)])
 def test_closed_workers_get_nothing(closed: WorkerState) -> None:
-    made = scheduler(closed)
-    made.put_step(step("j"))
-    assert not made.schedule(0.0).placements
-    made.put_worker(worker("w"))
-    assert made.schedule(0.0).placements
+    scheduler = make_scheduler(closed)
+    scheduler.put_step(make_step("j"))
+    assert not scheduler.schedule(0.0).placements
+    scheduler.put_worker(make_worker("w"))
+    assert scheduler.schedule(0.0).placements
 
 
 def test_anti_affinity_counts_running_tasks_until_they_end() -> None:
-    made = scheduler(worker("a"), worker("b"))
-    made.put_step(step("j", count=6, anti_affinity=2))
-    first = made.schedule(0.0).placements
+    scheduler = make_scheduler(make_worker("a"), make_worker("b"))
+    scheduler.put_step(make_step("j", count=6, anti_affinity=2))
+    first = scheduler.schedule(0.0).placements
     assert Counter(placement.instance for placement in first) == {"a": 2, "b": 2}
-    assert made.why_waiting(StepKey("j", 0, 0), 5, 0.0) is WaitReason.SPREAD
-    end(made, first[0], 1.0)
-    (again,) = made.schedule(1.0).placements
+    assert scheduler.why_waiting(StepKey("j", 0, 0), 5, 0.0) is WaitReason.SPREAD
+    finish_run(scheduler, first[0], 1.0)
+    (again,) = scheduler.schedule(1.0).placements
     assert again.instance == first[0].instance
 
 
 def test_anti_affinity_counts_runs_named_in_the_step() -> None:
-    made = scheduler(worker("a"))
-    pending = step("j", count=2, anti_affinity=1)
+    scheduler = make_scheduler(make_worker("a"))
+    pending = make_step("j", count=2, anti_affinity=1)
     del pending.tasks[0]
     pending.running[0] = "a"
-    made.put_step(pending)
-    assert not made.schedule(0.0).placements
+    scheduler.put_step(pending)
+    assert not scheduler.schedule(0.0).placements
 
 
 def test_picks_follow_room() -> None:
-    made = scheduler(worker("wide"), worker("narrow", capacity=Resources(8_000, 65_536, 8)))
+    scheduler = make_scheduler(make_worker("wide"), make_worker("narrow", capacity=Resources(8_000, 65_536, 8)))
     picks: Counter[str] = Counter()
     for number in range(2000):
-        made.put_step(step(f"j{number}", needs=Resources(2_000, 1_000, 1)))
-        (placement,) = made.schedule(float(number)).placements
+        scheduler.put_step(make_step(f"j{number}", needs=Resources(2_000, 1_000, 1)))
+        (placement,) = scheduler.schedule(float(number)).placements
         picks[placement.instance] += 1
-        end(made, placement, number + 0.5)
+        finish_run(scheduler, placement, number + 0.5)
     assert picks["narrow"] == pytest.approx(2000 * 4 / 12, rel=0.15)
 
 
 def test_the_nearest_objective_goes_first_and_hopeless_jobs_last() -> None:
-    made = scheduler(worker("w"))
-    made.put_step(step("later", needs=WHOLE, objective_at=9.0))
-    made.put_step(step("hopeless", needs=WHOLE, objective_at=1.0))
-    made.put_step(step("near", needs=WHOLE, objective_at=5.0))
+    scheduler = make_scheduler(make_worker("w"))
+    scheduler.put_step(make_step("later", needs=WHOLE, objective_at=9.0))
+    scheduler.put_step(make_step("hopeless", needs=WHOLE, objective_at=1.0))
+    scheduler.put_step(make_step("near", needs=WHOLE, objective_at=5.0))
     order = []
     for now in (0.0, 0.1, 0.2):
-        (placement,) = made.schedule(now).placements
+        (placement,) = scheduler.schedule(now).placements
         order.append(placement.key.job)
-        end(made, placement, now + 0.05)
+        finish_run(scheduler, placement, now + 0.05)
     assert order == ["near", "later", "hopeless"]
 
 
 def test_a_better_priority_goes_first() -> None:
-    queues = (queue("low", 2), queue("high", 0))
-    made = scheduler(worker("w"), queues=queues)
-    made.put_step(step("l", count=40, queue="low", needs=HALF))
-    made.put_step(step("h", count=40, queue="high", needs=HALF))
+    queues = (make_queue("low", 2), make_queue("high", 0))
+    scheduler = make_scheduler(make_worker("w"), queues=queues)
+    scheduler.put_step(make_step("l", count=40, queue="low", needs=HALF))
+    scheduler.put_step(make_step("h", count=40, queue="high", needs=HALF))
     served: Counter[str] = Counter()
     now = 0.0
-    running = list(made.schedule(now).placements)
+    running = list(scheduler.schedule(now).placements)
     for _ in range(30):
         now += 0.5
-        end(made, running.pop(0), now)
-        placed = made.schedule(now).placements
+        finish_run(scheduler, running.pop(0), now)
+        placed = scheduler.schedule(now).placements
         served.update(placement.key.job for placement in placed)
         running += placed
     assert served["h"] > 3 * served["l"]
 
 
 def test_withdrawn_and_removed_tasks_are_not_placed() -> None:
-    made = scheduler(worker("w"))
-    made.put_step(step("j", count=3))
-    made.put_step(step("k"))
-    made.task_withdrawn(StepKey("j", 0, 0), 1)
-    made.remove_step(StepKey("k", 0, 0))
-    assert {placement.index for placement in made.schedule(0.0).placements} == {0, 2}
+    scheduler = make_scheduler(make_worker("w"))
+    scheduler.put_step(make_step("j", count=3))
+    scheduler.put_step(make_step("k"))
+    scheduler.task_withdrawn(StepKey("j", 0, 0), 1)
+    scheduler.remove_step(StepKey("k", 0, 0))
+    assert {placement.index for placement in scheduler.schedule(0.0).placements} == {0, 2}
     with pytest.raises(UnknownStep):
-        made.task_waits(StepKey("k", 0, 0), PendingTask(0, "", 0.0), 0.0)
+        scheduler.task_waits(StepKey("k", 0, 0), PendingTask(0, "", 0.0), 0.0)
 
 
 def test_a_checkpoint_goes_with_the_placement() -> None:
-    made = scheduler(worker("w"))
-    made.put_step(step("j"))
-    (placement,) = made.schedule(0.0).placements
-    end(made, placement, 1.0, RunEnd.STOPPED)
-    made.task_waits(placement.key, PendingTask(0, "saved", 1.0), 1.0)
-    (again,) = made.schedule(1.0).placements
+    scheduler = make_scheduler(make_worker("w"))
+    scheduler.put_step(make_step("j"))
+    (placement,) = scheduler.schedule(0.0).placements
+    finish_run(scheduler, placement, 1.0, RunEnd.STOPPED)
+    scheduler.task_waits(placement.key, PendingTask(0, "saved", 1.0), 1.0)
+    (again,) = scheduler.schedule(1.0).placements
     assert again.checkpoint == "saved"
 
 
 def test_room_that_came_back_on_a_lost_or_moved_worker_is_not_used() -> None:
-    made = scheduler(worker("a"), worker("b"))
-    made.put_step(step("j", count=4, needs=WHOLE))
-    first = made.schedule(0.0).placements
+    scheduler = make_scheduler(make_worker("a"), make_worker("b"))
+    scheduler.put_step(make_step("j", count=4, needs=WHOLE))
+    first = scheduler.schedule(0.0).placements
     for placement in first:
-        end(made, placement, 1.0)
-    made.remove_worker("a")
-    made.put_worker(worker("b", service="t"))
-    assert not made.schedule(1.0).placements
+        finish_run(scheduler, placement, 1.0)
+    scheduler.remove_worker("a")
+    scheduler.put_worker(make_worker("b", service="t"))
+    assert not scheduler.schedule(1.0).placements
 
 
 def test_tasks_that_last_are_spread() -> None:
-    made = scheduler(*(worker(f"w{number}", f"r{number // 2}") for number in range(6)))
+    scheduler = make_scheduler(*(make_worker(f"w{number}", f"r{number // 2}") for number in range(6)))
     for number in range(6):
-        made.put_step(step(f"j{number}", long_running=True))
-    placements = made.schedule(0.0).placements
+        scheduler.put_step(make_step(f"j{number}", long_running=True))
+    placements = scheduler.schedule(0.0).placements
     assert max(Counter(placement.instance for placement in placements).values()) <= 2
 
 
 def test_small_tasks_leave_room_for_large_ones() -> None:
-    made = scheduler(worker("empty"), worker("used"))
-    large = Resources(6_500, 17_000, 4)
-    made.put_step(step("l", needs=Resources(1_000, 1_000, 6)))
-    (placed,) = made.schedule(0.0).placements
+    scheduler = make_scheduler(make_worker("empty"), make_worker("used"))
+    large_needs = Resources(6_500, 17_000, 4)
+    scheduler.put_step(make_step("l", needs=Resources(1_000, 1_000, 6)))
+    (placed,) = scheduler.schedule(0.0).placements
     other = "empty" if placed.instance == "used" else "used"
-    made.put_step(step("large", needs=large, requires="nowhere", since=30.0, objective_at=99.0))
+    scheduler.put_step(make_step("large", needs=large_needs, requires="nowhere", since=30.0, objective_at=99.0))
     picks: Counter[str] = Counter()
     for number in range(200):
-        made.put_step(step(f"j{number}", needs=Resources(500, 500, 1), since=31.0))
-        (placement,) = made.schedule(31.0).placements
+        scheduler.put_step(make_step(f"j{number}", needs=Resources(500, 500, 1), since=31.0))
+        (placement,) = scheduler.schedule(31.0).placements
         picks[placement.instance] += 1
-        end(made, placement, 31.0)
+        finish_run(scheduler, placement, 31.0)
     assert picks[placed.instance] > picks[other]
 
 
@@ -422,54 +428,56 @@
 
 
 def test_a_task_waits_a_little_for_the_rack_of_its_data() -> None:
-    made = scheduler(worker("near", "r1"), worker("far", "r2"), worker("other", "r3"))
-    made.put_step(step("block", needs=WHOLE, requires="r1"))
-    made.put_step(step("use", needs=WHOLE, requires="r3"))  # of a service that is little used, nobody waits so long
-    made.schedule(0.0)
-    made.put_step(step("j", affinity="r1", estimate_s=4.0, since=1.0))
-    decision = made.schedule(1.0)
+    scheduler = make_scheduler(make_worker("near", "r1"), make_worker("far", "r2"), make_worker("other", "r3"))
+    scheduler.put_step(make_step("block", needs=WHOLE, requires="r1"))
+    scheduler.put_step(
+        make_step("use", needs=WHOLE, requires="r3")
+    )  # of a service that is little used, nobody waits so long
+    scheduler.schedule(0.0)
+    scheduler.put_step(make_step("j", affinity="r1", estimate_s=4.0, since=1.0))
+    decision = scheduler.schedule(1.0)
     assert not decision.placements
-    assert decision.next_look == pytest.approx(4.0)
-    assert made.why_waiting(StepKey("j", 0, 0), 0, 2.0) is WaitReason.RACK
-    (placement,) = made.schedule(4.0).placements
+    assert decision.next_round_at == pytest.approx(4.0)
+    assert scheduler.why_waiting(StepKey("j", 0, 0), 0, 2.0) is WaitReason.RACK
+    (placement,) = scheduler.schedule(4.0).placements
     assert placement.instance == "far"
 
 
 def test_a_free_rack_with_the_data_is_preferred() -> None:
-    made = scheduler(*(worker(f"w{number}", f"r{number}") for number in range(8)))
+    scheduler = make_scheduler(*(make_worker(f"w{number}", f"r{number}") for number in range(8)))
     for number in range(12):
-        made.put_step(step(f"j{number}", affinity="r3"))
-    assert {placement.instance for placement in made.schedule(0.0).placements} == {"w3"}
+        scheduler.put_step(make_step(f"j{number}", affinity="r3"))
+    assert {placement.instance for placement in scheduler.schedule(0.0).placements} == {"w3"}
 
 
 def test_nobody_waits_for_a_rack_that_is_gone() -> None:
-    made = scheduler(worker("far", "r2"))
-    made.put_step(step("j", affinity="r1"))
-    assert made.schedule(0.0).placements
+    scheduler = make_scheduler(make_worker("far", "r2"))
+    scheduler.put_step(make_step("j", affinity="r1"))
+    assert scheduler.schedule(0.0).placements
 
 
 def test_a_retry_goes_elsewhere_but_not_for_ever() -> None:
-    made = scheduler(worker("a"), worker("b"))
-    made.put_step(step("j", avoid=frozenset({"a"})))
-    (placement,) = made.schedule(0.0).placements
+    scheduler = make_scheduler(make_worker("a"), make_worker("b"))
+    scheduler.put_step(make_step("j", avoid=frozenset({"a"})))
+    (placement,) = scheduler.schedule(0.0).placements
     assert placement.instance == "b"
-    made.put_step(step("block", needs=Resources(30_000, 1_000, 0), since=0.0, avoid=frozenset({"a"})))
-    made.put_step(step("k", avoid=frozenset({"b"}), needs=WHOLE, since=0.0))
-    made.remove_worker("a")
-    made.schedule(0.0)
-    assert made.why_waiting(StepKey("k", 0, 0), 0, 0.0) is WaitReason.ROOM
+    scheduler.put_step(make_step("block", needs=Resources(30_000, 1_000, 0), since=0.0, avoid=frozenset({"a"})))
+    scheduler.put_step(make_step("k", avoid=frozenset({"b"}), needs=WHOLE, since=0.0))
+    scheduler.remove_worker("a")
+    scheduler.schedule(0.0)
+    assert scheduler.why_waiting(StepKey("k", 0, 0), 0, 0.0) is WaitReason.ROOM
 
 
 def test_a_retry_waits_for_another_worker_a_bounded_time() -> None:
-    made = scheduler(worker("a"), worker("b"))
-    made.put_step(step("block", needs=WHOLE, avoid=frozenset({"a"})))
-    made.schedule(0.0)
-    made.put_step(step("j", avoid=frozenset({"a"}), needs=HALF))
-    decision = made.schedule(0.0)
+    scheduler = make_scheduler(make_worker("a"), make_worker("b"))
+    scheduler.put_step(make_step("block", needs=WHOLE, avoid=frozenset({"a"})))
+    scheduler.schedule(0.0)
+    scheduler.put_step(make_step("j", avoid=frozenset({"a"}), needs=HALF))
+    decision = scheduler.schedule(0.0)
     assert not decision.placements
-    assert made.why_waiting(StepKey("j", 0, 0), 0, 0.5) is WaitReason.AVOIDING
-    assert decision.next_look is not None
-    (placement,) = made.schedule(1.0).placements
+    assert scheduler.why_waiting(StepKey("j", 0, 0), 0, 0.5) is WaitReason.AVOIDING
+    assert decision.next_round_at is not None
+    (placement,) = scheduler.schedule(1.0).placements
     assert placement.instance == "a"
 
 
@@ -477,107 +485,113 @@
 
 
 def test_a_gang_is_placed_whole_or_not_at_all() -> None:
-    made = scheduler(worker("a"), worker("b"))
-    made.put_step(step("block", needs=HALF))
-    (blocking,) = made.schedule(0.0).placements
-    made.put_step(step("g", count=4, needs=HALF, gang=True))
-    assert not made.schedule(0.0).placements
-    end(made, blocking, 1.0)
-    placements = made.schedule(1.0).placements
+    scheduler = make_scheduler(make_worker("a"), make_worker("b"))
+    scheduler.put_step(make_step("block", needs=HALF))
+    (blocking,) = scheduler.schedule(0.0).placements
+    scheduler.put_step(make_step("g", count=4, needs=HALF, gang=True))
+    assert not scheduler.schedule(0.0).placements
+    finish_run(scheduler, blocking, 1.0)
+    placements = scheduler.schedule(1.0).placements
     assert sorted(placement.index for placement in placements) == [0, 1, 2, 3]
 
 
 def test_a_gang_waits_for_all_members_and_all_ends() -> None:
-    made = scheduler(worker("a"), worker("b"))
-    made.put_step(step("g", count=2, gang=True))
-    first = made.schedule(0.0).placements
-    end(made, first[0], 1.0, RunEnd.FAILED)
-    made.task_waits(first[0].key, PendingTask(first[0].index, "", 1.0), 1.0)
-    assert not made.schedule(1.0).placements
-    assert made.why_waiting(first[0].key, first[0].index, 1.0) is WaitReason.GANG
-    end(made, first[1], 1.2, RunEnd.BROKEN)
-    made.task_waits(first[1].key, PendingTask(first[1].index, "", 1.2), 1.2)
-    assert len(made.schedule(1.2).placements) == 2
+    scheduler = make_scheduler(make_worker("a"), make_worker("b"))
+    scheduler.put_step(make_step("g", count=2, gang=True))
+    first = scheduler.schedule(0.0).placements
+    finish_run(scheduler, first[0], 1.0, RunEnd.FAILED)
+    scheduler.task_waits(first[0].key, PendingTask(first[0].index, "", 1.0), 1.0)
+    assert not scheduler.schedule(1.0).placements
+    assert scheduler.why_waiting(first[0].key, first[0].index, 1.0) is WaitReason.GANG
+    finish_run(scheduler, first[1], 1.2, RunEnd.BROKEN)
+    scheduler.task_waits(first[1].key, PendingTask(first[1].index, "", 1.2), 1.2)
+    assert len(scheduler.schedule(1.2).placements) == 2
 
 
 def test_a_gang_goes_back_to_where_it_failed_after_a_while() -> None:
-    made = scheduler(worker("a"), worker("b"))
-    made.put_step(step("block", needs=WHOLE, avoid=frozenset({"a"}), long_running=True))
-    made.schedule(0.0)
-    made.put_step(step("g", count=2, gang=True, avoid=frozenset({"a"}), since=1.0))
-    decision = made.schedule(1.0)
+    scheduler = make_scheduler(make_worker("a"), make_worker("b"))
+    scheduler.put_step(make_step("block", needs=WHOLE, avoid=frozenset({"a"}), long_running=True))
+    scheduler.schedule(0.0)
+    scheduler.put_step(make_step("g", count=2, gang=True, avoid=frozenset({"a"}), since=1.0))
+    decision = scheduler.schedule(1.0)
     assert not decision.placements
-    assert decision.next_look == pytest.approx(2.0)
-    assert made.why_waiting(StepKey("g", 0, 0), 0, 1.5) is WaitReason.AVOIDING
-    assert {placement.instance for placement in made.schedule(2.0).placements} == {"a"}
+    assert decision.next_round_at == pytest.approx(2.0)
+    assert scheduler.why_waiting(StepKey("g", 0, 0), 0, 1.5) is WaitReason.AVOIDING
+    assert {placement.instance for placement in scheduler.schedule(2.0).placements} == {"a"}
 
 
 def test_a_record_that_its_owner_changes_is_looked_at_when_it_is_put() -> None:
-    record = worker("w")
-    made = scheduler(record)
+    record = make_worker("w")
+    scheduler = make_scheduler(record)
     record.reachable = False
-    made.put_worker(record)
-    made.put_step(step("j"))
-    assert not made.schedule(0.0).placements
+    scheduler.put_worker(record)
+    scheduler.put_step(make_step("j"))
+    assert not scheduler.schedule(0.0).placements
     record.reachable, record.rack = True, "r2"
-    made.put_worker(record)
-    assert made.schedule(0.0).placements
+    scheduler.put_worker(record)
+    assert scheduler.schedule(0.0).placements
 
 
 def test_a_gang_prefers_one_rack_and_spreads_after_a_while() -> None:
-    made = scheduler(worker("a1", "r1"), worker("a2", "r1"), worker("b1", "r2"), worker("b2", "r2"), worker("c", "r3"))
+    scheduler = make_scheduler(
+        make_worker("a1", "r1"),
+        make_worker("a2", "r1"),
+        make_worker("b1", "r2"),
+        make_worker("b2", "r2"),
+        make_worker("c", "r3"),
+    )
     for rack in ("r1", "r2", "r3"):  # of a service that is little used, nobody waits so long
-        made.put_step(step(f"block-{rack}", needs=WHOLE, requires=rack, long_running=True))
-    made.schedule(0.0)
-    made.put_step(step("g", count=2, needs=WHOLE, gang=True, same_rack=True, estimate_s=10.0, since=0.0))
-    decision = made.schedule(0.0)
+        scheduler.put_step(make_step(f"block-{rack}", needs=WHOLE, requires=rack, long_running=True))
+    scheduler.schedule(0.0)
+    scheduler.put_step(make_step("g", count=2, needs=WHOLE, gang=True, same_rack=True, estimate_s=10.0, since=0.0))
+    decision = scheduler.schedule(0.0)
     assert not decision.placements
-    assert decision.next_look == pytest.approx(3.0)
-    placements = made.schedule(3.0).placements
+    assert decision.next_round_at == pytest.approx(3.0)
+    placements = scheduler.schedule(3.0).placements
     assert len(placements) == 2
 
 
 def test_a_gang_of_one_rack_goes_where_it_fits_whole() -> None:
-    made = scheduler(worker("a", "r1"), worker("b", "r2"), worker("c", "r2"))
-    made.put_step(step("g", count=2, needs=WHOLE, gang=True, same_rack=True))
-    assert {placement.instance for placement in made.schedule(0.0).placements} == {"b", "c"}
+    scheduler = make_scheduler(make_worker("a", "r1"), make_worker("b", "r2"), make_worker("c", "r2"))
+    scheduler.put_step(make_step("g", count=2, needs=WHOLE, gang=True, same_rack=True))
+    assert {placement.instance for placement in scheduler.schedule(0.0).placements} == {"b", "c"}
 
 
 def test_anti_affinity_holds_within_a_gang() -> None:
-    made = scheduler(worker("a"), worker("b"))
-    made.put_step(step("g", count=3, gang=True, anti_affinity=1))
-    assert not made.schedule(0.0).placements
-    assert made.why_waiting(StepKey("g", 0, 0), 0, 0.0) is WaitReason.TOO_LARGE
-    made.put_worker(worker("c"))
-    assert {placement.instance for placement in made.schedule(0.0).placements} == {"a", "b", "c"}
+    scheduler = make_scheduler(make_worker("a"), make_worker("b"))
+    scheduler.put_step(make_step("g", count=3, gang=True, anti_affinity=1))
+    assert not scheduler.schedule(0.0).placements
+    assert scheduler.why_waiting(StepKey("g", 0, 0), 0, 0.0) is WaitReason.TOO_LARGE
+    scheduler.put_worker(make_worker("c"))
+    assert {placement.instance for placement in scheduler.schedule(0.0).placements} == {"a", "b", "c"}
 
 
 # ---- reservations ------------------------------------------------------------------------------------------
 
 
-def _stream(large: PendingStep, seconds: float) -> float | None:
+def _stream(large_needs: PendingStep, seconds: float) -> float | None:
     """When a large unit starts that competes with a steady stream of small tasks which alone would fill two workers,
     in seconds from its arrival; None: not within so many seconds."""
-    made = scheduler(worker("a"), worker("b"), seed=3)
+    scheduler = make_scheduler(make_worker("a"), make_worker("b"), seed=3)
     random = Random(4)
     running: list[tuple[float, Placement]] = []
     now, number = 0.0, 0
     while now < seconds + 5.0:
         if 5.0 <= now < 5.05:
-            for task in large.tasks.values():
+            for task in large_needs.tasks.values():
                 task.waiting_since = now
-            made.put_step(large)
+            scheduler.put_step(large_needs)
         for ended in [entry for entry in running if entry[0] <= now]:
             running.remove(ended)
-            end(made, ended[1], now)
+            finish_run(scheduler, ended[1], now)
         for _ in range(2):
             number += 1
-            small = step(
+            small = make_step(
                 f"j{number}", needs=Resources(3_000, 1_000, 0), estimate_s=1.0, since=now, objective_at=now + 3.0
             )
-            made.put_step(small)
-        for placement in made.schedule(now).placements:
-            if placement.key == large.key:
+            scheduler.put_step(small)
+        for placement in scheduler.schedule(now).placements:
+            if placement.key == large_needs.key:
                 return now - 5.0
             running.append((now + random.uniform(0.8, 1.2), placement))
         now += 0.05
@@ -585,78 +599,80 @@
 
 
 def test_a_large_task_is_not_starved() -> None:
-    started = _stream(step("large", needs=WHOLE, estimate_s=5.0, objective_at=20.0), 20.0)
+    started = _stream(make_step("large", needs=WHOLE, estimate_s=5.0, objective_at=20.0), 20.0)
     assert started is not None and started < 6.0
 
 
 def test_a_large_gang_is_not_starved() -> None:
-    large = step("large", count=4, needs=Resources(15_000, 15_000, 0), gang=True, estimate_s=5.0, objective_at=20.0)
-    started = _stream(large, 20.0)
+    large_needs = make_step(
+        "large", count=4, needs=Resources(15_000, 15_000, 0), gang=True, estimate_s=5.0, objective_at=20.0
+    )
+    started = _stream(large_needs, 20.0)
     assert started is not None and started < 6.0
 
 
 def test_reserved_room_takes_what_ends_in_time() -> None:
-    made = scheduler(worker("w"))
-    made.put_step(step("long", needs=HALF, estimate_s=10.0))
-    made.schedule(0.0)
-    made.put_step(step("large", needs=WHOLE, estimate_s=5.0, objective_at=8.0, since=0.0))
-    made.schedule(0.0)
-    made.schedule(2.0)
-    made.put_step(step("short", needs=HALF, estimate_s=2.0, since=3.0, objective_at=9.0))
-    made.put_step(step("too-long", needs=HALF, estimate_s=9.0, since=3.0, objective_at=20.0))
-    assert [placement.key.job for placement in made.schedule(3.0).placements] == ["short"]
-    assert made.why_waiting(StepKey("too-long", 0, 0), 0, 3.0) is WaitReason.ROOM
+    scheduler = make_scheduler(make_worker("w"))
+    scheduler.put_step(make_step("long", needs=HALF, estimate_s=10.0))
+    scheduler.schedule(0.0)
+    scheduler.put_step(make_step("large", needs=WHOLE, estimate_s=5.0, objective_at=8.0, since=0.0))
+    scheduler.schedule(0.0)
+    scheduler.schedule(2.0)
+    scheduler.put_step(make_step("short", needs=HALF, estimate_s=2.0, since=3.0, objective_at=9.0))
+    scheduler.put_step(make_step("too-long", needs=HALF, estimate_s=9.0, since=3.0, objective_at=20.0))
+    assert [placement.key.job for placement in scheduler.schedule(3.0).placements] == ["short"]
+    assert scheduler.why_waiting(StepKey("too-long", 0, 0), 0, 3.0) is WaitReason.ROOM
 
 
 def test_a_reservation_ends_with_its_step() -> None:
-    made = scheduler(worker("w"))
-    made.put_step(step("long", needs=HALF, estimate_s=10.0))
-    made.schedule(0.0)
-    made.put_step(step("large", needs=WHOLE, objective_at=8.0, since=0.0))
-    made.schedule(0.0)
-    made.schedule(2.0)
-    made.put_step(step("other", needs=HALF, estimate_s=9.0, since=2.0, objective_at=20.0))
-    assert not made.schedule(2.0).placements
-    assert made.why_waiting(StepKey("other", 0, 0), 0, 2.0) is WaitReason.RESERVED
-    made.remove_step(StepKey("large", 0, 0))
-    assert len(made.schedule(2.0).placements) == 1
+    scheduler = make_scheduler(make_worker("w"))
+    scheduler.put_step(make_step("long", needs=HALF, estimate_s=10.0))
+    scheduler.schedule(0.0)
+    scheduler.put_step(make_step("large", needs=WHOLE, objective_at=8.0, since=0.0))
+    scheduler.schedule(0.0)
+    scheduler.schedule(2.0)
+    scheduler.put_step(make_step("other", needs=HALF, estimate_s=9.0, since=2.0, objective_at=20.0))
+    assert not scheduler.schedule(2.0).placements
+    assert scheduler.why_waiting(StepKey("other", 0, 0), 0, 2.0) is WaitReason.RESERVED
+    scheduler.remove_step(StepKey("large", 0, 0))
+    assert len(scheduler.schedule(2.0).placements) == 1
 
 
 # ---- preemption --------------------------------------------------------------------------------------------
 
-HIGH_AND_LOW = (queue("high", 0, 0.25), queue("mid", 1), queue("low", 2, 3.0))
+HIGH_AND_LOW = (make_queue("high", 0, 0.25), make_queue("mid", 1), make_queue("low", 2, 3.0))
 
 
 def _full(victim: PendingStep, *, when: float = 3.0) -> tuple[Scheduler, Decision, tuple[Placement, ...]]:
     """A worker full of one step, and an urgent task that comes later."""
-    made = scheduler(worker("w"), queues=HIGH_AND_LOW)
-    made.put_step(victim)
-    running = made.schedule(0.0).placements
-    urgent = step("urgent", queue="high", needs=HALF, estimate_s=2.0, since=when, objective_at=when + 3.0)
-    made.put_step(urgent)
-    return made, made.schedule(when), running
+    scheduler = make_scheduler(make_worker("w"), queues=HIGH_AND_LOW)
+    scheduler.put_step(victim)
+    running = scheduler.schedule(0.0).placements
+    urgent = make_step("urgent", queue="high", needs=HALF, estimate_s=2.0, since=when, objective_at=when + 3.0)
+    scheduler.put_step(urgent)
+    return scheduler, scheduler.schedule(when), running
 
 
 def test_the_first_priority_stops_runs_that_checkpoint() -> None:
-    victim = step("v", 2, HALF, queue="low", estimate_s=12.0, checkpoints=True, objective_at=60.0)
-    made, decision, _ = _full(victim)
+    victim = make_step("v", 2, HALF, queue="low", estimate_s=12.0, checkpoints=True, objective_at=60.0)
+    scheduler, decision, _ = _full(victim)
     (preemption,) = decision.preemptions
     assert preemption.key.job == "v"
-    assert not made.schedule(3.1).preemptions
-    made.run_ended(preemption.key, preemption.index, "w", 1, RunEnd.STOPPED, 3.3)
-    made.task_waits(preemption.key, PendingTask(preemption.index, "saved", 3.3), 3.3)
-    (placement,) = made.schedule(3.3).placements
+    assert not scheduler.schedule(3.1).preemptions
+    scheduler.run_ended(preemption.key, preemption.index, "w", 1, RunEnd.STOPPED, 3.3)
+    scheduler.task_waits(preemption.key, PendingTask(preemption.index, "saved", 3.3), 3.3)
+    (placement,) = scheduler.schedule(3.3).placements
     assert placement.key.job == "urgent"
 
 
 def test_nothing_is_stopped_that_ends_in_time() -> None:
-    victim = step("v", 2, HALF, queue="low", estimate_s=4.0, checkpoints=True, objective_at=60.0)
+    victim = make_step("v", 2, HALF, queue="low", estimate_s=4.0, checkpoints=True, objective_at=60.0)
     _, decision, _ = _full(victim)
     assert not decision.preemptions
 
 
 def test_nothing_is_stopped_that_has_more_to_lose() -> None:
-    victim = step("v", 2, HALF, queue="low", estimate_s=12.0, objective_at=60.0)
+    victim = make_step("v", 2, HALF, queue="low", estimate_s=12.0, objective_at=60.0)
     _, decision, _ = _full(victim)
     assert not decision.preemptions
 
@@ -665,44 +681,46 @@
     """Stopping one that has just begun costs little; these began before the head did."""
     preempted = []
     for taken_over in (False, True):
-        made = scheduler(worker("w"), queues=(queue("low", 2), queue("urgent", 0, target_s=0.25)))
-        made.put_step(step("v", 2, HALF, queue="low", estimate_s=12.0, objective_at=60.0))
+        scheduler = make_scheduler(
+            make_worker("w"), queues=(make_queue("low", 2), make_queue("urgent", 0, target_s=0.25))
+        )
+        scheduler.put_step(make_step("v", 2, HALF, queue="low", estimate_s=12.0, objective_at=60.0))
         if taken_over:
             for index in range(2):
-                made.run_started(StepKey("v", 0, 0), index, "w", 1, 0.0)
-        made.schedule(0.0)
-        made.put_step(step("urgent", 1, HALF, queue="urgent", estimate_s=2.0, since=0.1, objective_at=3.0))
-        preempted.append(len(made.schedule(0.1).preemptions))
+                scheduler.run_started(StepKey("v", 0, 0), index, "w", 1, 0.0)
+        scheduler.schedule(0.0)
+        scheduler.put_step(make_step("urgent", 1, HALF, queue="urgent", estimate_s=2.0, since=0.1, objective_at=3.0))
+        preempted.append(len(scheduler.schedule(0.1).preemptions))
     assert preempted == [1, 0]
 
 
 def test_runs_of_a_removed_step_are_not_stopped_again() -> None:
-    made = scheduler(worker("w"), queues=HIGH_AND_LOW)
-    made.put_step(step("v", 2, HALF, queue="low", estimate_s=12.0, checkpoints=True, objective_at=60.0))
-    placements = made.schedule(0.0).placements
-    made.remove_step(StepKey("v", 0, 0))
-    made.run_started(placements[0].key, placements[0].index, "w", 1, 0.1)
-    made.put_step(step("urgent", queue="high", needs=HALF, estimate_s=2.0, since=3.0, objective_at=6.0))
-    decision = made.schedule(3.0)
+    scheduler = make_scheduler(make_worker("w"), queues=HIGH_AND_LOW)
+    scheduler.put_step(make_step("v", 2, HALF, queue="low", estimate_s=12.0, checkpoints=True, objective_at=60.0))
+    placements = scheduler.schedule(0.0).placements
+    scheduler.remove_step(StepKey("v", 0, 0))
+    scheduler.run_started(placements[0].key, placements[0].index, "w", 1, 0.1)
+    scheduler.put_step(make_step("urgent", queue="high", needs=HALF, estimate_s=2.0, since=3.0, objective_at=6.0))
+    decision = scheduler.schedule(3.0)
     assert decision.placements == decision.preemptions == ()
 
 
 def test_the_same_priority_is_never_stopped() -> None:
-    victim = step("v", 2, HALF, queue="high", estimate_s=12.0, checkpoints=True, objective_at=60.0)
+    victim = make_step("v", 2, HALF, queue="high", estimate_s=12.0, checkpoints=True, objective_at=60.0)
     _, decision, _ = _full(victim)
     assert not decision.preemptions
 
 
 def test_lower_priorities_stop_nothing() -> None:
-    made = scheduler(worker("w"), queues=HIGH_AND_LOW)
-    made.put_step(step("v", 2, HALF, queue="low", estimate_s=12.0, checkpoints=True))
-    made.schedule(0.0)
-    made.put_step(step("m", needs=HALF, queue="mid", since=3.0, objective_at=5.0))
-    assert not made.schedule(3.0).preemptions
+    scheduler = make_scheduler(make_worker("w"), queues=HIGH_AND_LOW)
+    scheduler.put_step(make_step("v", 2, HALF, queue="low", estimate_s=12.0, checkpoints=True))
+    scheduler.schedule(0.0)
+    scheduler.put_step(make_step("m", needs=HALF, queue="mid", since=3.0, objective_at=5.0))
+    assert not scheduler.schedule(3.0).preemptions
 
 
 def test_a_gang_is_stopped_whole() -> None:
-    victim = step("v", 2, HALF, queue="low", estimate_s=12.0, checkpoints=True, gang=True, objective_at=60.0)
+    victim = make_step("v", 2, HALF, queue="low", estimate_s=12.0, checkpoints=True, gang=True, objective_at=60.0)
     _, decision, _ = _full(victim)
     assert {preemption.index for preemption in decision.preemptions} == {0, 1}
 
@@ -715,11 +733,11 @@
 
 
 def _fail(health: Health, job: str, instance: str, now: float, index: int = 0) -> None:
-    health.ended(_name(job, instance, index), RunEnd.FAILED, now)
+    health.run_ended(_name(job, instance, index), RunEnd.FAILED, now)
 
 
 def _succeed(health: Health, job: str, instance: str, now: float) -> None:
-    health.ended(_name(job, instance), RunEnd.DONE, now)
+    health.run_ended(_name(job, instance), RunEnd.DONE, now)
 
 
 def test_a_worker_that_fails_what_others_do_is_avoided() -> None:
@@ -729,9 +747,9 @@
     for number in range(3):
         _fail(health, f"j{number}", "bad", 1.0)
         _succeed(health, f"j{number}", "good", 1.5)
-    assert health.standing("bad") is Standing.AVOIDED
+    assert health.state("bad") is HealthState.AVOIDED
     assert health.weight("bad") == 0.0
-    assert health.standing("good") is Standing.SOUND
+    assert health.state("good") is HealthState.SOUND
 
 
 def test_jobs_that_fail_everywhere_condemn_nobody() -> None:
@@ -740,23 +758,23 @@
         for instance in ("a", "b", "c"):
             _fail(health, f"poison{number}", instance, number * 0.1)
             _succeed(health, f"fine{number}", instance, number * 0.1)
-    assert {health.standing(instance) for instance in "abc"} == {Standing.SOUND}
+    assert {health.state(instance) for instance in "abc"} == {HealthState.SOUND}
 
 
 def test_one_poison_job_with_many_tasks_condemns_nobody() -> None:
     health = Health()
     for index in range(20):
         _fail(health, "poison", "a", 0.0, index)
-    assert health.standing("a") is Standing.SOUND
+    assert health.state("a") is HealthState.SOUND
 
 
 def test_a_worker_condemned_for_poison_is_cleared() -> None:
     health = Health()
     _fail(health, "p1", "a", 0.0)
     _fail(health, "p2", "a", 0.1)
-    assert health.standing("a") is Standing.AVOIDED
+    assert health.state("a") is HealthState.AVOIDED
     _fail(health, "p1", "b", 0.2)
-    assert health.standing("a") is Standing.SOUND
+    assert health.state("a") is HealthState.SOUND
 
 
 def test_a_later_step_that_fails_everywhere_condemns_nobody_though_the_first_succeeded() -> None:
@@ -765,72 +783,72 @@
         for instance in ("a", "b"):
             _succeed(health, f"poison{number}", instance, number * 0.5)
         for index in range(3):
-            health.ended((StepKey(f"poison{number}", 0, 1), index, "a"), RunEnd.FAILED, number * 0.5)
+            health.run_ended((StepKey(f"poison{number}", 0, 1), index, "a"), RunEnd.FAILED, number * 0.5)
         for index in range(3):
-            health.ended((StepKey(f"poison{number}", 0, 1), index, "b"), RunEnd.FAILED, number * 0.5)
-        assert {health.standing(instance) for instance in "ab"} == {Standing.SOUND}
+            health.run_ended((StepKey(f"poison{number}", 0, 1), index, "b"), RunEnd.FAILED, number * 0.5)
+        assert {health.state(instance) for instance in "ab"} == {HealthState.SOUND}
 
 
 def test_a_step_of_which_some_tasks_fail_everywhere_condemns_nobody() -> None:
     health = Health()
     for index in range(4):
         _fail(health, "partly", "b", 0.0, index)
-        health.ended(_name("partly", "c", 10 + index), RunEnd.DONE, 0.0)
-    assert health.standing("b") is Standing.AVOIDED  # it fails there alone
+        health.run_ended(_name("partly", "c", 10 + index), RunEnd.DONE, 0.0)
+    assert health.state("b") is HealthState.AVOIDED  # it fails there alone
     _fail(health, "partly", "a", 0.1, 20)
     for index in range(4):
         _fail(health, "partly", "a", 0.2, index)
-    assert {health.standing(instance) for instance in "abc"} == {Standing.SOUND}
+    assert {health.state(instance) for instance in "abc"} == {HealthState.SOUND}
 
 
-def _taken_over(made: Scheduler, job: str, count: int, instance: str, now: float) -> None:
+def _taken_over(scheduler: Scheduler, job: str, count: int, instance: str, now: float) -> None:
     """Runs that this scheduler learns of while they are under way."""
-    made.put_step(step(job, count=count, since=now, objective_at=now + 20.0))
+    scheduler.put_step(make_step(job, count=count, since=now, objective_at=now + 20.0))
     for index in range(count):
-        made.run_started(StepKey(job, 0, 0), index, instance, 1, now)
+        scheduler.run_started(StepKey(job, 0, 0), index, instance, 1, now)
 
 
-def _ends_well(made: Scheduler, job: str, index: int, instance: str, now: float, ran_s: float | None) -> None:
-    if ran_s is not None:
-        made.run_lasted(StepKey(job, 0, 0), index, instance, 1, ran_s)
-    made.run_ended(StepKey(job, 0, 0), index, instance, 1, RunEnd.DONE, now)
+def _ends_well(scheduler: Scheduler, job: str, index: int, instance: str, now: float, runtime_s: float | None) -> None:
+    if runtime_s is not None:
+        scheduler.record_runtime(StepKey(job, 0, 0), index, instance, 1, runtime_s)
+    scheduler.run_ended(StepKey(job, 0, 0), index, instance, 1, RunEnd.DONE, now)
 
 
 def test_a_new_head_does_not_take_sound_workers_for_slow() -> None:
     """Runs that it has taken over end soon after it began: measured from then, all others would seem slow."""
-    made = scheduler(*(worker(f"w{number}") for number in range(3)))
+    scheduler = make_scheduler(*(make_worker(f"w{number}") for number in range(3)))
     for number in range(3):
-        _taken_over(made, f"old{number}", 4, f"w{number}", 0.0)
+        _taken_over(scheduler, f"old{number}", 4, f"w{number}", 0.0)
         for index in range(4):
-            _ends_well(made, f"old{number}", index, f"w{number}", 0.05, 2.0)
+            _ends_well(scheduler, f"old{number}", index, f"w{number}", 0.05, 2.0)
     for number in range(3):
-        _taken_over(made, f"new{number}", 8, f"w{number}", 0.1)
+        _taken_over(scheduler, f"new{number}", 8, f"w{number}", 0.1)
         for index in range(8):
-            _ends_well(made, f"new{number}", index, f"w{number}", 2.1, 2.0)
-    assert {made.health.standing(f"w{number}") for number in range(3)} == {Standing.SOUND}
-    assert {made.health.weight(f"w{number}") for number in range(3)} == {1.0}
+            _ends_well(scheduler, f"new{number}", index, f"w{number}", 2.1, 2.0)
+    assert {scheduler.health.state(f"w{number}") for number in range(3)} == {HealthState.SOUND}
+    assert {scheduler.health.weight(f"w{number}") for number in range(3)} == {1.0}
 
 
 def test_ends_that_come_late_do_not_make_a_worker_slow() -> None:
     """Its agent was cut off from the head for a while, or another process of the agent began meanwhile."""
-    made = scheduler(worker("w0"), worker("w1"))
-    _taken_over(made, "j0", 8, "w0", 0.0)
-    _taken_over(made, "j1", 8, "w1", 0.0)
+    scheduler = make_scheduler(make_worker("w0"), make_worker("w1"))
+    _taken_over(scheduler, "j0", 8, "w0", 0.0)
+    _taken_over(scheduler, "j1", 8, "w1", 0.0)
     for index in range(8):
-        _ends_well(made, "j0", index, "w0", 2.0, 2.0)
-        _ends_well(made, "j1", index, "w1", 9.0, 2.0 if index % 2 else None)
-    assert made.health.weight("w1") == 1.0
+        _ends_well(scheduler, "j0", index, "w0", 2.0, 2.0)
+        _ends_well(scheduler, "j1", index, "w1", 9.0, 2.0 if index % 2 else None)
+    assert scheduler.health.weight("w1") == 1.0
 
 
 def test_a_worker_on_which_work_takes_long_is_found_out_by_what_its_agent_measured() -> None:
-    made = scheduler(worker("w0"), worker("w1"))
-    _taken_over(made, "j0", 8, "w0", 0.0)
-    _taken_over(made, "j1", 12, "w1", 0.0)
+    scheduler = make_scheduler(make_worker("w0"), make_worker("w1"))
+    _taken_over(scheduler, "j0", 8, "w0", 0.0)
+    _taken_over(scheduler, "j1", 12, "w1", 0.0)
     for index in range(8):
-        _ends_well(made, "j0", index, "w0", 2.0, 2.0)
+        _ends_well(scheduler, "j0", index, "w0", 2.0, 2.0)
     for index in range(12):
-        _ends_well(made, "j1", index, "w1", 2.0, 18.0)
-    assert made.health.standing("w1") is Standing.AVOIDED
+        _ends_well(scheduler, "j1", index, "w1", 2.0, 18.0)
+    assert scheduler.health.state("w1") is HealthState.AVOIDED
 
 
 def test_a_probe_is_the_way_back_and_pauses_grow() -> None:
@@ -839,78 +857,78 @@
     _fail(health, "j2", "a", 0.0)
     pauses, now = [], 0.0
     for number in range(4):
-        pauses.append(health.next_wake - now)
-        now = health.next_wake
-        health.wake(now)
-        assert health.standing("a") is Standing.PROBING
+        pauses.append(health.next_pause_end - now)
+        now = health.next_pause_end
+        health.start_probes(now)
+        assert health.state("a") is HealthState.PROBING
         assert health.weight("a") == 1.0
-        health.started(_name(f"probe{number}", "a"))
+        health.run_started(_name(f"probe{number}", "a"))
         assert health.weight("a") == 0.0
         if number < 3:
             _fail(health, f"probe{number}", "a", now)
     assert pauses == pytest.approx([3.0, 6.0, 12.0, 12.0])
     _succeed(health, "probe3", "a", now + 1.0)
-    assert health.standing("a") is Standing.SOUND
+    assert health.state("a") is HealthState.SOUND
 
 
 def test_a_very_slow_worker_comes_back_once_a_probe_was_fast() -> None:
     health = Health()
     for number in range(6):
         for instance, ratio in (("ok", 1.0), ("slow", 9.0)):
-            health.took(_name(f"j{number}", instance), "q", ratio, 0.0)
-    assert health.standing("slow") is Standing.AVOIDED
-    for number, ratio, expected in ((10, 9.0, Standing.AVOIDED), (11, 1.0, Standing.SOUND)):
-        now = health.next_wake
-        health.wake(now)
-        health.started(_name(f"j{number}", "slow"))
+            health.record_pace(_name(f"j{number}", instance), "q", ratio, 0.0)
+    assert health.state("slow") is HealthState.AVOIDED
+    for number, ratio, expected in ((10, 9.0, HealthState.AVOIDED), (11, 1.0, HealthState.SOUND)):
+        now = health.next_pause_end
+        health.start_probes(now)
+        health.run_started(_name(f"j{number}", "slow"))
         for _ in range(4):
-            health.took(_name(f"j{number}", "ok"), "q", 1.0, now)
-            health.took(_name(f"j{number}", "slow"), "q", ratio, now)
+            health.record_pace(_name(f"j{number}", "ok"), "q", 1.0, now)
+            health.record_pace(_name(f"j{number}", "slow"), "q", ratio, now)
         _succeed(health, f"j{number}", "slow", now + 1.0)
-        assert health.standing("slow") is expected
+        assert health.state("slow") is expected
 
 
 def test_ends_of_other_kinds_say_nothing() -> None:
     health = Health()
-    for how in (RunEnd.STOPPED, RunEnd.LAPSED, RunEnd.BROKEN, RunEnd.ALONE, RunEnd.LOST, RunEnd.NEVER):
+    for outcome in (RunEnd.STOPPED, RunEnd.LAPSED, RunEnd.BROKEN, RunEnd.ALONE, RunEnd.LOST, RunEnd.NEVER):
         for number in range(10):
-            health.ended(_name(f"{how}{number}", "a"), how, 0.0)
-    assert health.standing("a") is Standing.SOUND
+            health.run_ended(_name(f"{outcome}{number}", "a"), outcome, 0.0)
+    assert health.state("a") is HealthState.SOUND
 
 
 def test_a_run_that_stands_still_is_told_and_its_worker_avoided() -> None:
-    made = scheduler(worker("a"), worker("b"))
-    made.put_step(step("j", count=1, estimate_s=2.0))
-    (placement,) = made.schedule(0.0).placements
+    scheduler = make_scheduler(make_worker("a"), make_worker("b"))
+    scheduler.put_step(make_step("j", count=1, estimate_s=2.0))
+    (placement,) = scheduler.schedule(0.0).placements
     for now in (0.5, 1.0, 2.0):
-        made.progress(placement.key, 0, placement.instance, 25, now)
-    assert made.stalled(2.0) == ()
-    made.progress(placement.key, 0, placement.instance, 25, 2.6)
-    (stalled,) = made.stalled(2.6)
+        scheduler.progress(placement.key, 0, placement.instance, 25, now)
+    assert scheduler.stalled(2.0) == ()
+    scheduler.progress(placement.key, 0, placement.instance, 25, 2.6)
+    (stalled,) = scheduler.stalled(2.6)
     assert (stalled.key, stalled.instance) == (placement.key, placement.instance)
-    made.put_step(step("k", count=30, since=3.0))
-    assert placement.instance not in {other.instance for other in made.schedule(3.0).placements}
-    made.progress(placement.key, 0, placement.instance, 30, 3.5)
-    assert made.stalled(3.5) == ()
-    assert placement.instance in {other.instance for other in made.schedule(3.5).placements}
+    scheduler.put_step(make_step("k", count=30, since=3.0))
+    assert placement.instance not in {other.instance for other in scheduler.schedule(3.0).placements}
+    scheduler.progress(placement.key, 0, placement.instance, 30, 3.5)
+    assert scheduler.stalled(3.5) == ()
+    assert placement.instance in {other.instance for other in scheduler.schedule(3.5).placements}
 
 
 def test_a_slow_worker_is_chosen_less() -> None:
-    made = scheduler(*(worker(f"w{number}") for number in range(4)), seed=5)
+    scheduler = make_scheduler(*(make_worker(f"w{number}") for number in range(4)), seed=5)
     running: dict[tuple[StepKey, int], tuple[float, Placement]] = {}
     picks: Counter[str] = Counter()
     for tick in range(600):
         now = tick * 0.25
         if tick % 4 == 0:
-            made.put_step(step(f"j{tick}", count=4, since=now, objective_at=now + 20.0))
+            scheduler.put_step(make_step(f"j{tick}", count=4, since=now, objective_at=now + 20.0))
         for name, (started, placement) in list(running.items()):
-            takes = 5.0 if placement.instance == "w0" else 2.0
-            if now >= started + takes:
+            accepts = 5.0 if placement.instance == "w0" else 2.0
+            if now >= started + accepts:
                 del running[name]
-                end(made, placement, now)
+                finish_run(scheduler, placement, now)
             else:
-                made.progress(*name, placement.instance, int(100 * (now - started) / takes), now)
-        for placement in made.schedule(now).placements:
+                scheduler.progress(*name, placement.instance, int(100 * (now - started) / accepts), now)
+        for placement in scheduler.schedule(now).placements:
             running[placement.key, placement.index] = now, placement
             picks[placement.instance] += 1
     others = (picks["w1"] + picks["w2"] + picks["w3"]) / 3
@@ -918,23 +936,23 @@
 
 
 def test_a_worker_that_fails_everything_loses_few_attempts() -> None:
-    made = scheduler(*(worker(f"w{number}") for number in range(4)), seed=6)
+    scheduler = make_scheduler(*(make_worker(f"w{number}") for number in range(4)), seed=6)
     random = Random(7)
     failures, running = 0, []
     for tick in range(400):
         now = tick * 0.1
-        made.put_step(step(f"j{tick}", since=now, objective_at=now + 5.0))
+        scheduler.put_step(make_step(f"j{tick}", since=now, objective_at=now + 5.0))
         for ended in [entry for entry in running if entry[0] <= now]:
             running.remove(ended)
             placement = ended[1]
             if placement.instance != "w0" and random.random() > 0.03:
-                end(made, placement, now)
+                finish_run(scheduler, placement, now)
                 continue
             failures += placement.instance == "w0"
-            end(made, placement, now, RunEnd.FAILED)
+            finish_run(scheduler, placement, now, RunEnd.FAILED)
             retry = PendingTask(placement.index, "", now, frozenset({placement.instance}))
-            made.task_waits(placement.key, retry, now)
-        running += [(now + random.uniform(0.8, 1.2), placement) for placement in made.schedule(now).placements]
+            scheduler.task_waits(placement.key, retry, now)
+        running += [(now + random.uniform(0.8, 1.2), placement) for placement in scheduler.schedule(now).placements]
     assert failures < 20
 
 
@@ -948,7 +966,9 @@
     @initialize(seed=st.integers(0, 1 << 16))
     def start(self, seed: int) -> None:
         self.random = Random(seed)
-        self.made = scheduler(queues=(queue("high", 0, 0.25), queue("q", 1), queue("low", 2)), seed=seed)
+        self.scheduler = make_scheduler(
+            queues=(make_queue("high", 0, 0.25), make_queue("q", 1), make_queue("low", 2)), seed=seed
+        )
         self.now = 0.0
         self.workers: dict[str, WorkerState] = {}
         self.steps: dict[StepKey, PendingStep] = {}
@@ -969,7 +989,7 @@
         if name in self.workers:
             old = self.workers[name]
             rack, kind, cpu = old.rack, next(iter(old.labels - {old.rack})), old.capacity.cpu // 1000
-        put = worker(
+        put = make_worker(
             name,
             rack,
             labels=frozenset({kind}),
@@ -977,14 +997,14 @@
             capacity=Resources(cpu * 1000, cpu * 2000, cpu // 4),
         )
         self.workers[name] = put
-        self.made.put_worker(put)
+        self.scheduler.put_worker(put)
 
     @precondition(lambda self: self.workers)
     @rule(data=st.data())
     def lose_worker(self, data: st.DataObject) -> None:
         name = data.draw(st.sampled_from(sorted(self.workers)))
         del self.workers[name]
-        self.made.remove_worker(name)
+        self.scheduler.remove_worker(name)
         for (key, index), instance in list(self.running.items()):
             if instance == name:
                 self._end(key, index, RunEnd.LOST)
@@ -998,7 +1018,7 @@
         requires=st.sampled_from(["", "", "a"]),
         affinity=st.sampled_from(["", "r1", "r9"]),
         anti_affinity=st.integers(0, 2),
-        lasting=st.booleans(),
+        long_running=st.booleans(),
         checkpoints=st.booleans(),
         name=st.sampled_from(["high", "q", "low", "unlisted"]),
         span=st.integers(0, 9),
@@ -1013,13 +1033,13 @@
         requires: str,
         affinity: str,
         anti_affinity: int,
-        lasting: bool,
+        long_running: bool,
         checkpoints: bool,
         name: str,
         span: int,
     ) -> None:
         self.jobs += 1
-        put = step(
+        put = make_step(
             f"j{self.jobs}",
             count,
             Resources(cpu, cpu, gpu),
@@ -1029,19 +1049,19 @@
             requires=requires,
             affinity=affinity,
             anti_affinity=anti_affinity,
-            long_running=lasting,
+            long_running=long_running,
             checkpoints=checkpoints,
             objective_at=self.now + span,
             since=self.now,
         )
         self.steps[put.key] = put
         self.waiting[put.key] = set(put.tasks)
-        self.made.put_step(put)
+        self.scheduler.put_step(put)
 
     @rule(seconds=st.sampled_from([0.0, 0.1, 0.5, 2.0, 7.0]))
     def schedule(self, seconds: float) -> None:
         self.now += seconds
-        decision = self.made.schedule(self.now)
+        decision = self.scheduler.schedule(self.now)
         for placement in decision.placements:
             self.waiting[placement.key].remove(placement.index)
             self.running[placement.key, placement.index] = placement.instance
@@ -1064,25 +1084,25 @@
         assert not put.requires or put.requires in place.labels
 
     @precondition(lambda self: self.running)
-    @rule(data=st.data(), how=st.sampled_from([RunEnd.DONE, RunEnd.FAILED, RunEnd.STOPPED, RunEnd.NEVER]))
-    def end_run(self, data: st.DataObject, how: RunEnd) -> None:
+    @rule(data=st.data(), outcome=st.sampled_from([RunEnd.DONE, RunEnd.FAILED, RunEnd.STOPPED, RunEnd.NEVER]))
+    def end_run(self, data: st.DataObject, outcome: RunEnd) -> None:
         key, index = data.draw(st.sampled_from(sorted(self.running)))
-        self._end(key, index, how)
+        self._end(key, index, outcome)
 
-    def _end(self, key: StepKey, index: int, how: RunEnd) -> None:
+    def _end(self, key: StepKey, index: int, outcome: RunEnd) -> None:
         instance = self.running.pop((key, index))
-        self.made.run_ended(key, index, instance, 1, how, self.now)
-        if key in self.steps and how is not RunEnd.DONE:
+        self.scheduler.run_ended(key, index, instance, 1, outcome, self.now)
+        if key in self.steps and outcome is not RunEnd.DONE:
             self.waiting[key].add(index)
-            avoid = frozenset({instance}) if how is RunEnd.FAILED else frozenset()
-            self.made.task_waits(key, PendingTask(index, "", self.now, avoid), self.now)
+            avoid = frozenset({instance}) if outcome is RunEnd.FAILED else frozenset()
+            self.scheduler.task_waits(key, PendingTask(index, "", self.now, avoid), self.now)
 
     @precondition(lambda self: self.running)
     @rule(data=st.data(), percent=st.integers(0, 100))
     def report(self, data: st.DataObject, percent: int) -> None:
         key, index = data.draw(st.sampled_from(sorted(self.running)))
-        self.made.progress(key, index, self.running[key, index], percent, self.now)
-        for stalled in self.made.stalled(self.now):
+        self.scheduler.progress(key, index, self.running[key, index], percent, self.now)
+        for stalled in self.scheduler.stalled(self.now):
             assert self.running[stalled.key, stalled.index] == stalled.instance
 
     @precondition(lambda self: self.steps)
@@ -1091,7 +1111,7 @@
         key = data.draw(st.sampled_from(sorted(self.steps)))
         del self.steps[key]
         del self.waiting[key]
-        self.made.remove_step(key)
+        self.scheduler.remove_step(key)
 
     @precondition(lambda self: any(self.waiting.values()))
     @rule(data=st.data())
@@ -1099,33 +1119,33 @@
         waits = sorted((key, index) for key, indexes in self.waiting.items() for index in indexes)
         key, index = data.draw(st.sampled_from(waits))
         self.waiting[key].remove(index)
-        self.made.task_withdrawn(key, index)
+        self.scheduler.task_withdrawn(key, index)
 
     @invariant()
     def booked_is_what_runs(self) -> None:
         for name in getattr(self, "workers", {}):
-            state = self.made.worker(name)
+            state = self.scheduler.worker(name)
             assert state is not None
             used = [self.needs[run] for run, instance in self.running.items() if instance == name]
             assert state.free.cpu == state.capacity.cpu - sum(needs.cpu for needs in used) >= 0
             assert state.free.mem_mb == state.capacity.mem_mb - sum(needs.mem_mb for needs in used) >= 0
             assert state.free.gpu == state.capacity.gpu - sum(needs.gpu for needs in used) >= 0
-        for pool in self.made._pools.values() if hasattr(self, "made") else ():
-            opened = [host for host in pool.hosts if host.open]
-            assert pool.hosts._booked.cpu == sum(host.booked.cpu for host in opened)
+        for pool in self.scheduler._pools.values() if hasattr(self, "scheduler") else ():
+            opened = [host for host in pool.hosts if host.schedulable]
+            assert pool.hosts._allocated.cpu == sum(host.allocated.cpu for host in opened)
             assert pool.hosts._capacity.cpu == sum(host.capacity.cpu for host in opened)
 
     def teardown(self) -> None:
-        if not hasattr(self, "made"):
+        if not hasattr(self, "scheduler"):
             return
         for key, index in list(self.running):
             self._end(key, index, RunEnd.DONE)
         for key in list(self.steps):
-            self.made.remove_step(key)
+            self.scheduler.remove_step(key)
         self.booked_is_what_runs()
-        decision = self.made.schedule(self.now)
+        decision = self.scheduler.schedule(self.now)
         assert decision.placements == () and decision.preemptions == ()
-        assert self.made.is_empty
+        assert self.scheduler.is_empty
 
 
 AnyOrder.TestCase.settings = settings(max_examples=100, stateful_step_count=40, deadline=None)
@@ -1133,111 +1153,111 @@
 
 
 def test_workers_are_not_all_left_out_where_most_of_a_service_is_in_doubt() -> None:
-    made = scheduler(worker("i-1"), worker("i-2"))
+    scheduler = make_scheduler(make_worker("i-1"), make_worker("i-2"))
     for instance in ("i-1", "i-2"):
-        made.health._move(made.health._worker(instance), Standing.AVOIDED, Cause.FAILS, 0.0)
-    made.put_step(step("job", count=1))
-    assert len(made.schedule(1.0).placements) == 1
+        scheduler.health._set_state(scheduler.health._worker(instance), HealthState.AVOIDED, Cause.FAILS, 0.0)
+    scheduler.put_step(make_step("job", count=1))
+    assert len(scheduler.schedule(1.0).placements) == 1
 
 
 # ---- starvation --------------------------------------------------------------------------------------------
 
 
-def _avoid(made: Scheduler, instance: str) -> None:
-    made.health._move(made.health._worker(instance), Standing.AVOIDED, Cause.FAILS, 0.0)
-    made.health._worker(instance).until = 100.0
+def _avoid(scheduler: Scheduler, instance: str) -> None:
+    scheduler.health._set_state(scheduler.health._worker(instance), HealthState.AVOIDED, Cause.FAILS, 0.0)
+    scheduler.health._worker(instance).until = 100.0
 
 
 def test_a_step_goes_to_an_avoided_worker_where_it_would_starve_beside_free_room() -> None:
-    made = scheduler(worker("sound", "r1"), worker("avoided", "r2"), worker("other", "r1"))
-    _avoid(made, "avoided")
-    made.put_step(step("first", needs=SMALL, requires="r1", estimate_s=9.0))
-    made.put_step(step("starving", requires="r2", since=1.0))
-    decision = made.schedule(1.0)
+    scheduler = make_scheduler(make_worker("sound", "r1"), make_worker("avoided", "r2"), make_worker("other", "r1"))
+    _avoid(scheduler, "avoided")
+    scheduler.put_step(make_step("first", needs=SMALL, requires="r1", estimate_s=9.0))
+    scheduler.put_step(make_step("starving", requires="r2", since=1.0))
+    decision = scheduler.schedule(1.0)
     assert [placement.key.job for placement in decision.placements] == ["first"]
-    assert decision.next_look == pytest.approx(3.0)
-    assert not made.schedule(2.9).placements
-    (placement,) = made.schedule(3.0).placements
+    assert decision.next_round_at == pytest.approx(3.0)
+    assert not scheduler.schedule(2.9).placements
+    (placement,) = scheduler.schedule(3.0).placements
     assert (placement.key.job, placement.instance) == ("starving", "avoided")
 
 
 def test_reserved_room_is_given_away_where_a_step_would_starve_and_the_service_is_little_used() -> None:
-    made = scheduler(*(worker(name) for name in ("a", "b", "c", "d")))
-    made.put_step(step("lasting", needs=HALF, long_running=True))
-    made.schedule(0.0)
-    made.put_step(step("gang", count=4, needs=WHOLE, gang=True, estimate_s=1.0, objective_at=90.0))
-    made.schedule(0.0)
-    pool = made._pool("s")
-    gang = made._steps[StepKey("gang", 0, 0)]
-    make_reservation(gang, pool, Plan(50.0, {"a": 1, "b": 1, "c": 1, "d": 1}))
-    pool.make_room_at = 100.0
-    made.put_step(step("small", estimate_s=90.0, since=1.0, objective_at=200.0))
-    assert not made.schedule(1.0).placements
-    (placement,) = made.schedule(3.0).placements
+    scheduler = make_scheduler(*(make_worker(name) for name in ("a", "b", "c", "d")))
+    scheduler.put_step(make_step("lasting", needs=HALF, long_running=True))
+    scheduler.schedule(0.0)
+    scheduler.put_step(make_step("gang", count=4, needs=WHOLE, gang=True, estimate_s=1.0, objective_at=90.0))
+    scheduler.schedule(0.0)
+    pool = scheduler._pool("s")
+    gang = scheduler._steps[StepKey("gang", 0, 0)]
+    reserve(gang, pool, Plan(50.0, {"a": 1, "b": 1, "c": 1, "d": 1}))
+    pool.next_planning_at = 100.0
+    scheduler.put_step(make_step("small", estimate_s=90.0, since=1.0, objective_at=200.0))
+    assert not scheduler.schedule(1.0).placements
+    (placement,) = scheduler.schedule(3.0).placements
     assert placement.key.job == "small"
 
 
 def test_room_stays_reserved_where_a_service_is_well_used() -> None:
-    made = scheduler(worker("a"), worker("b"), worker("c"))
-    made.put_step(step("lasting", count=2, needs=WHOLE, long_running=True))
-    made.schedule(0.0)
-    made.put_step(step("gang", count=2, needs=WHOLE, gang=True, estimate_s=1.0, objective_at=90.0))
-    made.schedule(0.0)
-    pool = made._pool("s")
+    scheduler = make_scheduler(make_worker("a"), make_worker("b"), make_worker("c"))
+    scheduler.put_step(make_step("lasting", count=2, needs=WHOLE, long_running=True))
+    scheduler.schedule(0.0)
+    scheduler.put_step(make_step("gang", count=2, needs=WHOLE, gang=True, estimate_s=1.0, objective_at=90.0))
+    scheduler.schedule(0.0)
+    pool = scheduler._pool("s")
     free = next(host.instance for host in pool.hosts if not host.runs)
-    make_reservation(made._steps[StepKey("gang", 0, 0)], pool, Plan(50.0, {free: 1}))
-    pool.make_room_at = 100.0
-    made.put_step(step("small", estimate_s=90.0, since=1.0, objective_at=200.0))
-    assert not made.schedule(1.0).placements
-    assert not made.schedule(9.0).placements
+    reserve(scheduler._steps[StepKey("gang", 0, 0)], pool, Plan(50.0, {free: 1}))
+    pool.next_planning_at = 100.0
+    scheduler.put_step(make_step("small", estimate_s=90.0, since=1.0, objective_at=200.0))
+    assert not scheduler.schedule(1.0).placements
+    assert not scheduler.schedule(9.0).placements
 
 
 def test_a_step_of_which_something_runs_does_not_starve() -> None:
-    made = scheduler(worker("sound", "r1"), worker("avoided", "r1"))
-    _avoid(made, "avoided")
-    made.put_step(step("spread", count=2, anti_affinity=1, estimate_s=9.0))
-    assert [placement.instance for placement in made.schedule(0.0).placements] == ["sound"]
-    assert not made.schedule(5.0).placements
+    scheduler = make_scheduler(make_worker("sound", "r1"), make_worker("avoided", "r1"))
+    _avoid(scheduler, "avoided")
+    scheduler.put_step(make_step("spread", count=2, anti_affinity=1, estimate_s=9.0))
+    assert [placement.instance for placement in scheduler.schedule(0.0).placements] == ["sound"]
+    assert not scheduler.schedule(5.0).placements
 
 
 def test_a_step_starves_behind_others_of_which_something_runs() -> None:
-    made = scheduler(worker("sound", "r1"), worker("avoided", "r2"), worker("other", "r1"))
-    _avoid(made, "avoided")
+    scheduler = make_scheduler(make_worker("sound", "r1"), make_worker("avoided", "r2"), make_worker("other", "r1"))
+    _avoid(scheduler, "avoided")
     for number in range(6):
-        made.put_step(step(f"runs{number}", count=3, requires="r2", objective_at=5.0 + number))
-        made.run_started(StepKey(f"runs{number}", 0, 0), 0, "avoided", 1, 0.0)
-    made.put_step(step("starving", requires="r2", objective_at=60.0))
-    assert not made.schedule(0.5).placements
-    placed = [placement for at in (2.4, 2.6) for placement in made.schedule(at).placements]
+        scheduler.put_step(make_step(f"runs{number}", count=3, requires="r2", objective_at=5.0 + number))
+        scheduler.run_started(StepKey(f"runs{number}", 0, 0), 0, "avoided", 1, 0.0)
+    scheduler.put_step(make_step("starving", requires="r2", objective_at=60.0))
+    assert not scheduler.schedule(0.5).placements
+    placed = [placement for at in (2.4, 2.6) for placement in scheduler.schedule(at).placements]
     assert [(placement.key.job, placement.instance) for placement in placed] == [("starving", "avoided")]
 
 
 def test_a_short_spell_of_use_does_not_begin_the_wait_anew() -> None:
-    made = scheduler(worker("sound", "r1"), worker("avoided", "r2"), worker("other", "r1"))
-    _avoid(made, "avoided")
-    made.put_step(step("starving", requires="r2", since=0.0))
-    assert not made.schedule(0.0).placements
-    made.put_step(step("spell", count=2, needs=WHOLE, requires="r1", since=1.0))
-    spell = made.schedule(1.0).placements
+    scheduler = make_scheduler(make_worker("sound", "r1"), make_worker("avoided", "r2"), make_worker("other", "r1"))
+    _avoid(scheduler, "avoided")
+    scheduler.put_step(make_step("starving", requires="r2", since=0.0))
+    assert not scheduler.schedule(0.0).placements
+    scheduler.put_step(make_step("spell", count=2, needs=WHOLE, requires="r1", since=1.0))
+    spell = scheduler.schedule(1.0).placements
     assert len(spell) == 2
     for placement in spell:
-        end(made, placement, 1.3)
-    assert not made.schedule(1.3).placements
-    assert [placement.key.job for placement in made.schedule(2.0).placements] == ["starving"]
+        finish_run(scheduler, placement, 1.3)
+    assert not scheduler.schedule(1.3).placements
+    assert [placement.key.job for placement in scheduler.schedule(2.0).placements] == ["starving"]
 
 
 def test_the_use_of_a_service_follows_its_open_workers() -> None:
-    made = scheduler(worker("a"), worker("b"))
-    made.put_step(step("j", needs=WHOLE))
-    (placement,) = made.schedule(0.0).placements
-    hosts = made._pool("s").hosts
+    scheduler = make_scheduler(make_worker("a"), make_worker("b"))
+    scheduler.put_step(make_step("j", needs=WHOLE))
+    (placement,) = scheduler.schedule(0.0).placements
+    hosts = scheduler._pool("s").hosts
     assert hosts.used_share == pytest.approx(0.5)
     other = "b" if placement.instance == "a" else "a"
-    made.put_worker(worker(other, draining=True))
+    scheduler.put_worker(make_worker(other, draining=True))
     assert hosts.used_share == pytest.approx(1.0)
-    made.put_worker(worker(other))
+    scheduler.put_worker(make_worker(other))
     assert hosts.used_share == pytest.approx(0.5)
-    end(made, placement, 1.0)
+    finish_run(scheduler, placement, 1.0)
     assert hosts.used_share == 0.0
 
 
@@ -1245,16 +1265,16 @@
 
 
 def _waiting_step(job: str, *, work_left: float, tail_s: float = 0.0, objective_at: float = 30.0) -> PendingStep:
-    found = step(job, needs=WHOLE, objective_at=objective_at)
+    found = make_step(job, needs=WHOLE, objective_at=objective_at)
     found.work_left, found.tail_s = work_left, tail_s
     return found
 
 
 def _first_placed(*steps: PendingStep, now: float = 0.0) -> str:
-    made = scheduler(worker("w"))
+    scheduler = make_scheduler(make_worker("w"))
     for each in steps:
-        made.put_step(each)
-    (placement,) = made.schedule(now).placements
+        scheduler.put_step(each)
+    (placement,) = scheduler.schedule(now).placements
     return placement.key.job
 
 
@@ -1282,23 +1302,23 @@
 def _small_in_time_under_overload() -> int:
     """One worker gets half as much again as it can do for 20 s: how many of 108 small jobs are in time. All jobs end,
     the 12 large ones too."""
-    made, random, ended, running = scheduler(worker("w")), Random(5), {}, []
+    scheduler, random, ended, running = make_scheduler(make_worker("w")), Random(5), {}, []
     arrivals = [(number * 0.17, f"j{number}", 40.0 if number % 10 == 0 else 4.0) for number in range(120)]
     now = 0.0
     while now < 90.0:
         while arrivals and arrivals[0][0] <= now:
             _, name, work = arrivals.pop(0)
-            new = step(name, count=int(work / 2.0), estimate_s=1.0, since=now, objective_at=now + 4.0)
+            new = make_step(name, count=int(work / 2.0), estimate_s=1.0, since=now, objective_at=now + 4.0)
             new.work_left = work
-            made.put_step(new)
+            scheduler.put_step(new)
         for entry in [entry for entry in running if entry[0] <= now]:
             running.remove(entry)
-            end(made, entry[1], now)
+            finish_run(scheduler, entry[1], now)
             key = entry[1].key
-            if not made._steps[key].tasks and not made._steps[key].occupied:
-                made.remove_step(key)
+            if not scheduler._steps[key].tasks and not scheduler._steps[key].run_instances:
+                scheduler.remove_step(key)
                 ended[key.job] = now
-        running += [(now + random.uniform(0.9, 1.1), placement) for placement in made.schedule(now).placements]
+        running += [(now + random.uniform(0.9, 1.1), placement) for placement in scheduler.schedule(now).placements]
         now += 0.05
     assert len(ended) == 120
     small = [number for number in range(120) if number % 10]
@@ -1309,61 +1329,64 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     with_size = _small_in_time_under_overload()
-    monkeypatch.setattr("millethead.scheduling.state.SIZE_DELAY", 0.0)
-    monkeypatch.setattr("millethead.scheduling.state.OVERLOAD_SIZE_DELAY", 0.0)
+    monkeypatch.setattr("millethead.scheduling.state.SIZE_DELAY_FACTOR", 0.0)
+    monkeypatch.setattr("millethead.scheduling.state.OVERLOAD_SIZE_DELAY_FACTOR", 0.0)
     assert with_size >= 1.5 * _small_in_time_under_overload() > 0
 
 
 # ---- looks at workers ----------------------------------------------------------------------------------------
 
 
-def _service_gap(made: Scheduler, job: PendingStep, now: float = 0.0) -> float:
-    made.put_step(job)
-    (placement,) = made.schedule(now).placements
-    return made.look_gap(placement.instance)
+def _service_gap(scheduler: Scheduler, job: PendingStep, now: float = 0.0) -> float:
+    scheduler.put_step(job)
+    (placement,) = scheduler.schedule(now).placements
+    return scheduler.poll_interval_s(placement.instance)
 
 
 def test_looks_cost_a_job_a_quarter_of_what_it_can_spare_at_most() -> None:
-    assert run_gap(60.0, 1) == LONGEST_GAP_S
-    assert run_gap(4.0, 1) == pytest.approx(1.0)
-    assert run_gap(4.0, 2) == pytest.approx(0.5)  # every step of its chain may lose as much
-    assert run_gap(0.7, 2) == pytest.approx(0.0875)
-    assert run_gap(0.01, 1) == run_gap(-1.0, 1) == SHORTEST_GAP_S
+    assert run_poll_interval_s(60.0, 1) == MAX_POLL_INTERVAL_S
+    assert run_poll_interval_s(4.0, 1) == pytest.approx(1.0)
+    assert run_poll_interval_s(4.0, 2) == pytest.approx(0.5)  # every step of its chain may lose as much
+    assert run_poll_interval_s(0.7, 2) == pytest.approx(0.0875)
+    assert run_poll_interval_s(0.01, 1) == run_poll_interval_s(-1.0, 1) == MIN_POLL_INTERVAL_S
 
 
 def test_a_service_asks_for_soon_looks_only_where_something_waits_or_room_is_scarce() -> None:
-    assert _service_gap(scheduler(worker("w")), step("j", needs=WHOLE, objective_at=60.0)) == SCARCE_GAP_S
-    made = scheduler(worker("w"))
-    made.put_step(step("waits", requires="nowhere", objective_at=60.0))
-    assert _service_gap(made, step("j", objective_at=60.0)) == LONGEST_GAP_S
-    made.put_step(step("half", needs=HALF, objective_at=60.0))
-    made.schedule(0.0)
-    assert made.look_gap("w") == SCARCE_GAP_S
+    assert (
+        _service_gap(make_scheduler(make_worker("w")), make_step("j", needs=WHOLE, objective_at=60.0))
+        == SCARCE_POLL_INTERVAL_S
+    )
+    scheduler = make_scheduler(make_worker("w"))
+    scheduler.put_step(make_step("waits", requires="nowhere", objective_at=60.0))
+    assert _service_gap(scheduler, make_step("j", objective_at=60.0)) == MAX_POLL_INTERVAL_S
+    scheduler.put_step(make_step("half", needs=HALF, objective_at=60.0))
+    scheduler.schedule(0.0)
+    assert scheduler.poll_interval_s("w") == SCARCE_POLL_INTERVAL_S
 
 
 def test_looks_come_soonest_where_what_waits_has_to_wait_for_ends() -> None:
-    made = scheduler(worker("w"))
-    made.put_step(step("waits", needs=HALF, objective_at=60.0))
-    assert _service_gap(made, step("j", needs=WHOLE, objective_at=5.0)) == BACKLOG_GAP_S
+    scheduler = make_scheduler(make_worker("w"))
+    scheduler.put_step(make_step("waits", needs=HALF, objective_at=60.0))
+    assert _service_gap(scheduler, make_step("j", needs=WHOLE, objective_at=5.0)) == BACKLOG_POLL_INTERVAL_S
 
 
 def test_the_wait_for_the_rack_of_the_data_follows_what_is_lost_elsewhere() -> None:
-    for far_times, patience_s in ((1.5, 0.45), (3.0, 1.8)):
-        made = Scheduler(Random(1), far_times)
-        made.set_queues((queue(),))
-        made.put_worker(worker("near", "r1", capacity=SMALL))
-        made.put_worker(worker("far", "r2"))
-        made.put_step(step("first", affinity="r1"))
-        made.schedule(0.0)
-        made.put_step(step("second", affinity="r1", estimate_s=0.6))
-        assert not made.schedule(patience_s - 0.1).placements
-        assert [placement.instance for placement in made.schedule(patience_s).placements] == ["far"]
+    for remote_factor, patience_s in ((1.5, 0.45), (3.0, 1.8)):
+        scheduler = Scheduler(Random(1), remote_factor)
+        scheduler.set_queues((make_queue(),))
+        scheduler.put_worker(make_worker("near", "r1", capacity=SMALL))
+        scheduler.put_worker(make_worker("far", "r2"))
+        scheduler.put_step(make_step("first", affinity="r1"))
+        scheduler.schedule(0.0)
+        scheduler.put_step(make_step("second", affinity="r1", estimate_s=0.6))
+        assert not scheduler.schedule(patience_s - 0.1).placements
+        assert [placement.instance for placement in scheduler.schedule(patience_s).placements] == ["far"]
 
 
 def test_tasks_go_to_workers_that_run_something_already() -> None:
-    made = scheduler(*(worker(f"w{number}") for number in range(8)))
-    made.put_step(step("jobs", count=40))
-    assert len({placement.instance for placement in made.schedule(0.0).placements}) <= 5
+    scheduler = make_scheduler(*(make_worker(f"w{number}") for number in range(8)))
+    scheduler.put_step(make_step("jobs", count=40))
+    assert len({placement.instance for placement in scheduler.schedule(0.0).placements}) <= 5
 
 
 def _earned_under_overload() -> Earned:
@@ -1376,62 +1399,64 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The late share alone, as it was measured: with the size of a job counted as without a backlog."""
-    monkeypatch.setattr("millethead.scheduling.state.OVERLOAD_SIZE_DELAY", SIZE_DELAY)
-    standing = _earned_under_overload()
-    monkeypatch.setattr("millethead.scheduling.state.LATE_SHARE", 0.8)  # steps on the verge of being late go first
+    monkeypatch.setattr("millethead.scheduling.state.OVERLOAD_SIZE_DELAY_FACTOR", SIZE_DELAY_FACTOR)
+    current = _earned_under_overload()
+    monkeypatch.setattr(
+        "millethead.scheduling.state.SAFE_START_CHAIN_FACTOR", 0.8
+    )  # steps on the verge of being late go first
     before = _earned_under_overload()
-    assert standing.worth >= before.worth + 0.01
-    assert standing.worst_windows >= before.worst_windows + 0.02
-    assert standing.in_time >= before.in_time + 0.02
-    assert standing.largest_served >= before.largest_served - 0.05
+    assert current.worth >= before.worth + 0.01
+    assert current.worst_windows >= before.worst_windows + 0.02
+    assert current.in_time >= before.in_time + 0.02
+    assert current.largest_served >= before.largest_served - 0.05
 
 
 def test_late_share_and_size_by_backlog_together_earn_more_under_overload(monkeypatch: pytest.MonkeyPatch) -> None:
-    standing = _earned_under_overload()
-    monkeypatch.setattr("millethead.scheduling.state.LATE_SHARE", 0.8)
-    monkeypatch.setattr("millethead.scheduling.state.OVERLOAD_SIZE_DELAY", SIZE_DELAY)
+    current = _earned_under_overload()
+    monkeypatch.setattr("millethead.scheduling.state.SAFE_START_CHAIN_FACTOR", 0.8)
+    monkeypatch.setattr("millethead.scheduling.state.OVERLOAD_SIZE_DELAY_FACTOR", SIZE_DELAY_FACTOR)
     before = _earned_under_overload()
-    assert standing.worth >= before.worth + 0.01
-    assert standing.worst_windows >= before.worst_windows + 0.02
-    assert standing.in_time >= before.in_time + 0.02
-    assert standing.largest_served >= before.largest_served - 0.05
+    assert current.worth >= before.worth + 0.01
+    assert current.worst_windows >= before.worst_windows + 0.02
+    assert current.in_time >= before.in_time + 0.02
+    assert current.largest_served >= before.largest_served - 0.05
 
 
 def test_the_size_of_jobs_counts_the_more_the_more_work_waits(monkeypatch: pytest.MonkeyPatch) -> None:
-    standing = _earned_under_overload()
-    monkeypatch.setattr("millethead.scheduling.state.OVERLOAD_SIZE_DELAY", SIZE_DELAY)
+    current = _earned_under_overload()
+    monkeypatch.setattr("millethead.scheduling.state.OVERLOAD_SIZE_DELAY_FACTOR", SIZE_DELAY_FACTOR)
     before = _earned_under_overload()
-    assert standing.worth >= before.worth + 0.03
-    assert standing.worst_windows >= before.worst_windows + 0.03
-    assert standing.in_time >= before.in_time + 0.03
-    assert standing.largest_served >= before.largest_served - 0.05
+    assert current.worth >= before.worth + 0.03
+    assert current.worst_windows >= before.worst_windows + 0.03
+    assert current.in_time >= before.in_time + 0.03
+    assert current.largest_served >= before.largest_served - 0.05
 
 
 def test_delay_by_size_follows_the_backlog() -> None:
-    made = scheduler(worker("w"))
-    sized = step("sized", estimate_s=2.0)
+    scheduler = make_scheduler(make_worker("w"))
+    sized = make_step("sized", estimate_s=2.0)
     sized.work_left = 10.0
-    made.put_step(sized)
-    made.schedule(0.0)
-    flow = made._steps[sized.key].flow
-    assert flow.size_delay(10.0) == pytest.approx(SIZE_DELAY * flow.slack)  # what waits fits into the room
-    many = step("many", count=200, needs=HALF, estimate_s=2.0)
+    scheduler.put_step(sized)
+    scheduler.schedule(0.0)
+    queue = scheduler._steps[sized.key].queue
+    assert queue.size_delay(10.0) == pytest.approx(SIZE_DELAY_FACTOR * queue.slack)  # what waits fits into the room
+    many = make_step("many", count=200, needs=HALF, estimate_s=2.0)
     many.work_left = 10.0
-    made.put_step(many)
-    assert flow.pool.backlog_s > OVERLOAD_SHARE * flow.slack
-    assert flow.size_delay(10.0) == pytest.approx(OVERLOAD_SIZE_DELAY * flow.slack)
+    scheduler.put_step(many)
+    assert queue.pool.backlog_s > OVERLOAD_SLACK_FRACTION * queue.slack
+    assert queue.size_delay(10.0) == pytest.approx(OVERLOAD_SIZE_DELAY_FACTOR * queue.slack)
 
 
 def test_backlog_counts_what_waits_by_the_scarcest_resource() -> None:
-    made = scheduler(worker("w"))
-    made.put_step(step("waits", count=10, needs=HALF, estimate_s=2.0))
-    pool = made._pool("s")
+    scheduler = make_scheduler(make_worker("w"))
+    scheduler.put_step(make_step("waits", count=10, needs=HALF, estimate_s=2.0))
+    pool = scheduler._pool("s")
     assert pool.backlog_s == pytest.approx(10.0)
-    first, second = made.schedule(0.0).placements
+    first, second = scheduler.schedule(0.0).placements
     assert pool.backlog_s == pytest.approx(8.0)
-    end(made, first, 2.0)
-    made.task_waits(first.key, PendingTask(first.index, "", 2.0), 2.0)
+    finish_run(scheduler, first, 2.0)
+    scheduler.task_waits(first.key, PendingTask(first.index, "", 2.0), 2.0)
     assert pool.backlog_s == pytest.approx(9.0)
-    made.remove_step(first.key)
-    end(made, second, 2.0)
+    scheduler.remove_step(first.key)
+    finish_run(scheduler, second, 2.0)
     assert pool.backlog_s == 0.0
