--- a/millethead/scheduling/__init__.py
+++ b/millethead/scheduling/__init__.py
@@ -1,1 +1,3 @@
-"""Which waiting task starts next, and on which worker: pure decisions, called by the head of the core."""
+"""Decides which waiting task starts next and on which worker. The decisions are pure functions of their inputs; the
+control-plane head calls them.
+"""
--- a/millethead/scheduling/choosing.py
+++ b/millethead/scheduling/choosing.py
@@ -1,7 +1,9 @@
-"""Which workers one unit gets now, if any: retries away from where they failed, data near, gangs whole.
+"""Selects the workers for one unit: retries avoid workers on which they failed, tasks run near their data, gangs are
+placed whole.
 
-A unit may wait by choice for something better than what is free: a task for the rack of its data or for a worker on
-which it has not failed, a gang for one rack. It waits a bounded time, noted in the step as `look_at`.
+A unit may be delayed although a worker is free: a task may wait for the rack of its data or for a worker on which it
+has not failed, and a gang may wait for one rack. The delay is bounded, and `Step.retry_at` holds the time of the next
+attempt.
 """
 
 from __future__ import annotations
@@ -25,42 +27,43 @@
 )
 from millethead.scheduling.state import Pool, Step
 
-MAX_CANDIDATES = 16  # fitting hosts weighed for one pick; of more, a random part
-REMOTE_RUNTIME_FACTOR = 1.5  # times as long away from the data, unless the deployment says otherwise
-RACK_WAIT_FACTOR = (
-    1.5  # times the time that a task loses elsewhere which it may wait for the rack: ends there come often
-)
-GANG_RACK_WAIT_FACTOR = 0.6  # the same for a gang and one rack for all of it
+MAX_CANDIDATES = 16  # fitting hosts considered for one choice; if more fit, a random subset is used
+REMOTE_RUNTIME_FACTOR = 1.5  # default ratio of a task's runtime away from the rack of its data to its runtime there
+# Maximum wait for the rack of the data, as a multiple of the runtime lost elsewhere. It exceeds 1 because runs in the
+# rack end often.
+RACK_WAIT_FACTOR = 1.5
+GANG_RACK_WAIT_FACTOR = 0.6  # the same multiple for a gang that waits for a single rack
 RETRY_ELSEWHERE_WAIT_S = 1.0  # how long a retry waits for a worker on which it has not failed
-SOUND_WORKERS_WAIT_S = 1.5  # how long a gang waits for workers whose health is not in doubt
-MAX_AVOID_SETS = 3  # different sets of avoided workers tried within a step
-IDLE_HOST_WEIGHT = 0.03  # weight of a host on which nothing runs, or that is slow: each one in use has to be looked at
-LONG_RUNNING_SPREAD = 2.0  # how strongly a task that lasts keeps away from hosts that carry others of the kind
+SOUND_WORKERS_WAIT_S = 1.5  # how long a gang is restricted to workers in state SOUND
+MAX_AVOID_SETS = 3  # distinct sets of avoided workers tried for one step
+# Weight factor of an idle or slow host: every host in use has to be polled, so fewer hosts cost less.
+IDLE_HOST_WEIGHT = 0.03
+LONG_RUNNING_SPREAD = 2.0  # strength of the anti-affinity between long-running tasks
 
 
 @dataclass(frozen=True, slots=True)
 class Assignment:
-    """A task, and the host that it is to go to."""
+    """A task and the host on which it is to run."""
 
     task: PendingTask
     host: Host
 
 
-Assignments = list[Assignment]  # of one unit; empty where it is not to be placed now
+Assignments = list[Assignment]  # the tasks of one unit; empty if the unit cannot be placed now
 
 
 class HostSelector:
-    """Picks the workers for units."""
+    """Selects the hosts on which a unit runs."""
 
     def __init__(self, random: Random, remote_factor: float = REMOTE_RUNTIME_FACTOR) -> None:
         self._random = random
-        self._remote_loss = remote_factor - 1.0  # what a task loses away from its rack, as part of the estimate
+        self._remote_loss = remote_factor - 1.0  # extra runtime away from the data, as a fraction of the estimate
 
     def select(self, step: Step, pool: Pool, candidates: list[Host] | None, now: float) -> Assignments:
-        """Tasks of one unit with their places; empty where it is not to be placed now.
+        """Returns the tasks of one unit with their hosts, or an empty list if no unit of the step can be placed now.
 
-        `among` holds the hosts on which room has grown since the step was last looked at without success; None: look
-        at all.
+        `candidates` holds the hosts whose free resources have grown since the last failed attempt for the step. None
+        means that all hosts are considered.
         """
         if candidates is None:
             step.retry_at = inf
@@ -79,7 +82,10 @@
         return []
 
     def select_unconditionally(self, step: Step, pool: Pool, now: float) -> Assignments:
-        """Tasks of one unit on whatever has room for them, the best first where there is a choice."""
+        """Places one unit of a starving step on any hosts with enough free resources.
+
+        Health and reservations are ignored. A single task still prefers healthy hosts on which it has not failed.
+        """
         demand = step.demand(now, unconditional=True)
         if step.spec.gang:
             hosts = place_gang(demand, step.spec.count, pool.hosts, self._random)
@@ -119,7 +125,7 @@
         return list(islice((host for host in hosts if demand.fit_on(host)), MAX_CANDIDATES))
 
     def _waits_to_avoid_failed_host(self, step: Step, task: PendingTask, pool: Pool, now: float) -> bool:
-        """Whether a retry waits for a worker on which it has not failed."""
+        """Returns whether a retry keeps waiting for a worker on which it has not failed."""
         until = task.waiting_since + RETRY_ELSEWHERE_WAIT_S
         demand = step.demand(now, task.avoid)
         if now >= until or not any(demand.fit_when_empty(host) and host.health > 0.0 for host in pool.hosts):
@@ -128,7 +134,11 @@
         return True
 
     def _prefer_rack(self, step: Step, task: PendingTask, hosts: list[Host], pool: Pool, now: float) -> list[Host]:
-        """The hosts near the task's data; all of them once it has waited enough for these."""
+        """Returns the hosts in the rack of the task's data, or all hosts once the task has waited long enough for that
+        rack.
+
+        The list is empty while the task still waits.
+        """
         demand = step.demand(now, task.avoid)
         rack = pool.hosts.by_rack.get(step.spec.affinity, [])
         near = [host for host in rack if demand.fit_on(host)]
@@ -143,7 +153,10 @@
     # ---- gangs -----------------------------------------------------------------------------------------------------
 
     def _select_gang(self, step: Step, pool: Pool, candidates: list[Host] | None, now: float) -> Assignments:
-        """All members, on one rack where that matters and is worth the wait; else none."""
+        """Places all members of a gang or none.
+
+        Hosts on which a member failed are avoided for a bounded time if the other hosts could hold the gang.
+        """
         avoid = frozenset[str]().union(*(task.avoid for task in step.tasks.values()))
         if not avoid:
             return self._select_gang_for(step.demand(now), step, pool, candidates, now)
@@ -177,22 +190,25 @@
         return _assign_members(step, hosts)
 
     def _gang_hosts(self, step: Step, demand: Demand, pool: Pool, now: float) -> list[Host]:
-        """Hosts whose health is not in doubt, since one failing member ends all; any if these could never do, or had
-        no room for a while."""
-        is_sound = [host for host in pool.hosts if host.is_sound]
-        if len(is_sound) == len(pool.hosts) or now >= _sound_workers_wait_end(step):
+        """Returns the hosts that a gang may use: those in state SOUND, since one failing member ends the whole gang.
+
+        All hosts are returned if the sound hosts could not hold the gang even when empty, or once the gang has waited
+        long enough for them.
+        """
+        sound_hosts = [host for host in pool.hosts if host.is_sound]
+        if len(sound_hosts) == len(pool.hosts) or now >= _sound_workers_wait_end(step):
             return list(pool.hosts)
-        enough = sum(demand.fit_when_empty(host) for host in is_sound) >= step.spec.count
-        return is_sound if enough else list(pool.hosts)
+        enough = sum(demand.fit_when_empty(host) for host in sound_hosts) >= step.spec.count
+        return sound_hosts if enough else list(pool.hosts)
 
     def _candidate_racks(self, step: Step, pool: Pool) -> list[list[Host]]:
-        """The racks of which one should hold the whole gang."""
+        """Returns the racks, one of which should hold the whole gang."""
         if step.spec.affinity:
             return [pool.hosts.by_rack.get(step.spec.affinity, [])]
         return list(pool.hosts.by_rack.values()) if step.spec.same_rack else []
 
     def _place_gang_in_rack(self, step: Step, demand: Demand, pool: Pool, now: float) -> list[Host] | None:
-        """Places within one rack: of those with room, the one that has least to spare."""
+        """Places the gang in one rack: of the racks that can hold it, the one with the least spare capacity."""
         fitting_by_rack = [
             (sum(demand.fit_on(host) for host in rack), rack) for rack in self._candidate_racks(step, pool)
         ]
@@ -205,7 +221,7 @@
     def _place_gang_anywhere(
         self, step: Step, demand: Demand, usable: list[Host], pool: Pool, now: float
     ) -> list[Host] | None:
-        """Places on any racks, unless it still waits for one that could hold it whole."""
+        """Places the gang across racks, unless it still waits for a rack that could hold all members."""
         since = max(task.waiting_since for task in step.tasks.values())
         until = since + GANG_RACK_WAIT_FACTOR * self._remote_loss * step.spec.estimate_s
         if now < until and any(
@@ -216,24 +232,28 @@
             return None
         return place_gang(demand, step.spec.count, usable, self._random)
 
-    # ---- weights and reasons ---------------------------------------------------------------------------------------
+    # ---- weights ---------------------------------------------------------------------------------------------------
 
     def _host_weight(self, host: Host, step: Step, large_needs: Resources | None, pool: Pool) -> float:
-        """Room, in such tasks, times health; less where the task would break up room for a larger one, or would be the
-        only one. Tasks that last keep apart."""
+        """Returns the weight of a host in the random choice: the number of such tasks that fit, times the host's
+        health.
+
+        The weight is lower if the task would be the only one on the host, or if it would fragment resources that a
+        larger task needs. Long-running tasks get lower weights near other long-running tasks.
+        """
         weight = fit_count(host.free, step.spec.needs) * host.health
         if (not host.runs or host.health < 1.0) and not step.spec.long_running:
             weight *= IDLE_HOST_WEIGHT
         if large_needs is not None:
             weight *= fragmentation_factor(host, step.spec.needs, large_needs)
         if step.spec.long_running:
-            rack = sum(other.long_running_count for other in pool.hosts.by_rack[host.rack])
-            weight /= 1.0 + LONG_RUNNING_SPREAD * host.long_running_count + rack
+            in_rack = sum(other.long_running_count for other in pool.hosts.by_rack[host.rack])
+            weight /= 1.0 + LONG_RUNNING_SPREAD * host.long_running_count + in_rack
         return weight
 
 
 def wait_reason(step: Step, pool: Pool, now: float) -> WaitReason:
-    """Why no host takes a unit of the step, looked at from what changes least."""
+    """Returns why no host accepts a unit of the step. Causes that rarely change are checked first."""
     if now < step.retry_at < inf:
         return step.reason
     if not len(pool.hosts):
@@ -259,10 +279,10 @@
 
 
 def _assign_members(step: Step, hosts: list[Host] | None) -> Assignments:
-    """A whole gang at these hosts, one for each member."""
+    """Pairs each member of a gang with one of the hosts."""
     return [Assignment(task, host) for task, host in zip(step.tasks.values(), hosts, strict=True)] if hosts else []
 
 
 def _sound_workers_wait_end(step: Step) -> float:
-    """Until when a gang goes only to workers whose health is not in doubt."""
+    """Returns the time until which a gang is restricted to workers in state SOUND."""
     return max(task.waiting_since for task in step.tasks.values()) + SOUND_WORKERS_WAIT_S
--- a/millethead/scheduling/finding.py
+++ b/millethead/scheduling/finding.py
@@ -1,6 +1,7 @@
-"""The first unit of a queue that fits somewhere: its lanes by urgency, and of each the first steps.
+"""Finds the first unit of a queue that can be placed: the queue's buckets by urgency, and the first steps of each.
 
-What did not fit is looked at again only on the hosts that have grown since, or when a wait by choice is over.
+A step that did not fit is tried again only on hosts whose free resources have grown since, or when its bounded wait is
+over.
 """
 
 from __future__ import annotations
@@ -13,18 +14,18 @@
 from millethead.scheduling.placement import Host, covers
 from millethead.scheduling.state import Pool, QueueState, ShapeBucket, Step
 
-MAX_FAILED_STEPS = 8  # steps of one lane that do not fit before the lane is passed over
-MAX_SCANNED_STEPS = 64  # steps of one lane looked at, with those that wait by choice
+MAX_FAILED_STEPS = 8  # steps of one bucket that may fail to fit before the bucket is skipped
+MAX_SCANNED_STEPS = 64  # steps of one bucket examined in one scan, including those in a bounded wait
 
 
 class QueueScanner:
-    """Finds the next unit of a queue, and places for it."""
+    """Finds the next unit of a queue that fits, and the hosts for it."""
 
-    def __init__(self, chooser: HostSelector) -> None:
-        self._chooser = chooser
+    def __init__(self, host_selector: HostSelector) -> None:
+        self._host_selector = host_selector
 
     def first_fitting(self, queue: QueueState, now: float) -> tuple[Step, Assignments] | None:
-        """The most urgent unit of a queue that fits, with its place. Those for which room is kept go first."""
+        """Returns the most urgent unit of a queue that fits, with its hosts. Steps with a reservation come first."""
         for reservation in queue.pool.reservations.values():
             if reservation.step.queue is queue:
                 assignments = self._try_step(reservation.step, queue.pool, now)
@@ -40,7 +41,7 @@
         return None
 
     def _buckets_to_scan(self, queue: QueueState, now: float) -> list[ShapeBucket]:
-        """The lanes of which something may fit that did not at the last look."""
+        """Returns the buckets in which a step may fit that did not fit in the last scan."""
         pool, capacity_generation = queue.pool, queue.pool.capacity_generation
         free_by_generation: dict[int, Resources | None] = {}
         buckets: list[ShapeBucket] = []
@@ -59,19 +60,22 @@
         return buckets
 
     def _try_step(self, step: Step, pool: Pool, now: float) -> Assignments:
-        """Look for a place for one unit of a step, on the hosts that have grown since the last look."""
+        """Tries to place one unit of a step on the hosts that have grown since the last attempt."""
         candidates = None if now >= step.retry_at else pool.hosts_grown_since(step.tried_generation)
         if candidates is not None and not (candidates and _any_host_fits(step, candidates)):
             step.tried_generation = pool.capacity_generation
             return []
-        assignments = self._chooser.select(step, pool, candidates, now)
+        assignments = self._host_selector.select(step, pool, candidates, now)
         if not assignments:
             step.tried_generation = pool.capacity_generation
         return assignments
 
     def _first_in_bucket(self, bucket: ShapeBucket, pool: Pool, now: float) -> tuple[Step, Assignments] | None:
-        """The first step of a lane that fits. Those that wait by choice do not use up the looks, nor do those that
-        need no less than one that has just found no place."""
+        """Returns the first step of a bucket that fits.
+
+        Steps in a bounded wait do not count towards `MAX_FAILED_STEPS`. Steps that need at least as much as a step that
+        was just rejected are skipped.
+        """
         bucket.retry_at = inf
         failed_steps = 0
         rejected: Step | None = None
@@ -95,11 +99,11 @@
 
 
 def _needs_at_least(step: Step, rejected: Step) -> bool:
-    """Whether a step fits nowhere where another one of its lane does not."""
+    """Returns whether a step cannot fit anywhere because a less demanding step of the same bucket was rejected."""
     return step.spec.estimate_s >= rejected.spec.estimate_s and covers(step.spec.needs, rejected.spec.needs)
 
 
 def _any_host_fits(step: Step, hosts: list[Host]) -> bool:
-    """Whether one of the hosts has room for a task of the step."""
+    """Returns whether one of the hosts has enough free resources for a task of the step."""
     needs = step.spec.needs
     return any(covers(host.free, needs) for host in hosts)
--- a/millethead/scheduling/headroom.py
+++ b/millethead/scheduling/headroom.py
@@ -1,9 +1,9 @@
-"""Room that queues of worse priorities leave to better ones.
+"""Headroom that queues of lower priority leave to queues of higher priority.
 
-Tasks of a worse priority that fill a service hold its room until they end, and short tasks of a better one that come
-meanwhile wait for that. So a queue of much longer tasks takes only what is free beyond what the work of better
-priorities is expected to take, by what has arrived lately, and does not take yet. A due floor of the queue goes before
-that, and so does a step that starves (`starvation`).
+Long tasks of a lower priority that fill a service hold its resources until they end, and short tasks of a higher
+priority that arrive meanwhile have to wait. So a queue whose tasks are much longer may use only what exceeds the
+expected demand of the higher priorities. That demand is estimated from recent arrivals, less what these queues already
+use. A due floor of the queue (`tags`) and starvation (`starvation`) take precedence over the headroom.
 """
 
 from __future__ import annotations
@@ -14,43 +14,46 @@
 from millethead.scheduling.state import RATE_WINDOW_S, Pool, QueueState, Step
 from millethead.scheduling.tags import Phase
 
-HEADROOM_FACTOR = 2.0  # times the mean of what better priorities take that is left to them: their work comes unevenly
-MIN_OBSERVATION_S = 2.0  # what came in a shorter time says little of a mean
-LONG_TASK_FACTOR = 6.0  # times as long as the others' tasks a queue's take, for it to leave room: shorter ones end soon
+HEADROOM_FACTOR = 2.0  # multiple of the mean demand that is kept free, because arrivals are uneven
+MIN_OBSERVATION_S = 2.0  # shorter observations do not give a usable mean
+LONG_TASK_FACTOR = 6.0  # ratio of mean runtimes above which a queue leaves headroom; shorter tasks end soon enough
 
 
 def record_arrival(step: Step, tasks: int, now: float) -> None:
-    """Work of a queue has come. Tasks that last have no length, and take no part in this."""
+    """Adds arriving tasks to the demand of their queue. Long-running tasks have no runtime estimate and are not
+    counted.
+    """
     if not step.spec.long_running:
         step.queue.first_arrival_at = min(step.queue.first_arrival_at, now)
         step.queue.core_arrivals.add(tasks * core_equivalents(step.spec.needs) * step.spec.estimate_s, now)
 
 
 def record_runs(step: Step, runs: int) -> None:
-    """Runs of a step are booked, or released where the number is negative."""
+    """Adds the cores of new runs of a step to those in use; a negative number of runs releases cores."""
     if not step.spec.long_running:
         step.queue.cores_in_use += runs * core_equivalents(step.spec.needs)
 
 
 def expected_cores(queue: QueueState, now: float) -> float:
-    """What the work of a queue takes on average, by what has come within the window; of a queue that is new here, by
-    the shorter time for which it has been known."""
+    """Returns the mean number of cores that the arriving work of a queue occupies.
+
+    The mean covers `RATE_WINDOW_S`, or the shorter time since the queue's first arrival.
+    """
     observed_s = max(MIN_OBSERVATION_S, now - queue.first_arrival_at)
     return queue.core_arrivals.rate(now) / (1.0 - exp(-observed_s / RATE_WINDOW_S))
 
 
 class PriorityHeadroom:
-    """What is left to better priorities in one round of the scheduler at a service."""
+    """The headroom left to higher priorities in one scheduling round of a service."""
 
     def __init__(self, pool: Pool, now: float) -> None:
         self._pool, self._now = pool, now
-        self._higher_priority: dict[
-            QueueState, tuple[QueueState, ...]
-        ] = {}  # of each queue, those to which it leaves room
-        self._targets: dict[QueueState, float] = {}  # cores that a queue should find free or have
+        # For each queue, those to which it leaves headroom.
+        self._higher_priority: dict[QueueState, tuple[QueueState, ...]] = {}
+        self._targets: dict[QueueState, float] = {}  # cores that a queue should have in use or find free
 
     def must_leave_headroom(self, queue: QueueState) -> bool:
-        """Whether a queue has to leave the room that is free now to better ones."""
+        """Returns whether a queue must leave the currently free cores to queues of higher priority."""
         reserved = sum(
             max(0.0, self._target_cores(other) - other.cores_in_use) for other in self._higher_priority_queues(queue)
         )
--- a/millethead/scheduling/health.py
+++ b/millethead/scheduling/health.py
@@ -1,14 +1,15 @@
-"""What is learnt of the workers from the ends and the progress of their runs, and which are avoided for it.
+"""Tracks the health of workers from the outcomes and the progress of their runs.
 
-A worker is SOUND until most of its recent runs fail, its runs stand still, or it is far slower than others at the same
-work. Then it is AVOIDED for a pause that doubles each time, and after it PROBING: one task at a time tries it out.
+A worker is SOUND until most of its recent runs fail, its runs stall, or it is far slower than other workers at the same
+work. It is then AVOIDED for a pause whose length doubles each time, and afterwards PROBING: it gets one task at a time
+until a task succeeds.
 
-Some work fails always and everywhere. So failures of a step count against a worker only while the step has not failed
-on another sound worker too; and of several failures of one step at one worker only one counts, unless tasks of the step
-have succeeded elsewhere, and none has failed there. That earlier steps of its job succeeded says nothing. Paces are
-compared between tasks of one step where possible, since estimates are rough.
+Some tasks fail on every worker. Failures of a step therefore count against a worker only while the step has not failed
+on another sound worker. If a step fails several times on one worker, one failure counts, unless tasks of the step have
+succeeded on other workers and none has failed there. Successes of earlier steps of the job do not matter. Paces are
+compared between tasks of one step where possible, because estimates are rough.
 
-Times are seconds of a steady clock.
+Times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -21,31 +22,31 @@
 from millethead.execution.messages import RunEnd
 from millethead.scheduling.model import MIN_HOST_WEIGHT, StepKey
 
-FIRST_PAUSE_S, MAX_PAUSE_S = 3.0, 12.0
-MAX_OUTCOMES = 8  # recent ends that a verdict rests on
-OUTCOME_MAX_AGE_S = 20.0  # older ends say nothing any more
-FAILURE_STREAK_LIMIT = 3  # counted failures since the last success that make a worker avoided
-INITIAL_FAILURE_LIMIT = 2  # the same where no success is among the recent ends
-FAILURE_MAJORITY_LIMIT = 4  # or so many among the recent ends, if they are the larger part
-MAX_FAILURES_PER_STEP = 3  # failures of one step counted at most where its tasks succeed elsewhere
-STALL_S, STALL_FRACTION = 2.0, 0.5  # a run stands still after this long, and this part of its estimate
-MIN_PACE_SPAN_S = 0.2  # shorter spans between two reports say nothing about pace
-SLOW_PACE, VERY_SLOW_PACE = 1.25, 3.0  # times others' pace from which a worker is chosen less, and avoided
-MIN_PACE_SAMPLES = 3  # before a worker is avoided for its pace
-STEP_PACE_SMOOTHING, QUEUE_PACE_SMOOTHING = (
-    0.4,
-    0.1,
-)  # how far one sample moves a worker's pace, by what it is compared with
-QUEUE_MEAN_SMOOTHING = 0.05
-MAX_STEPS = 4096  # remembered
-MAX_CHANGES = 256  # until they are told
-
-RunKey = tuple[StepKey, int, str]  # step, index, instance
-StepId = tuple[str, int]  # a step of a job, whatever its time
+FIRST_PAUSE_S, MAX_PAUSE_S = 3.0, 12.0  # pauses of an avoided worker: the first and the longest
+MAX_OUTCOMES = 8  # recent outcomes on which the state of a worker is based
+OUTCOME_MAX_AGE_S = 20.0  # older outcomes are ignored
+FAILURE_STREAK_LIMIT = 3  # counted failures since the last success from which a worker is avoided
+INITIAL_FAILURE_LIMIT = 2  # the same if no recent run succeeded
+FAILURE_MAJORITY_LIMIT = 4  # the same among the recent outcomes, if failures outnumber successes
+MAX_FAILURES_PER_STEP = 3  # counted failures of one step if its tasks succeed on other workers
+# Time without progress after which a run is stalled: the larger of the seconds and the fraction of its estimate.
+STALL_S, STALL_FRACTION = 2.0, 0.5
+MIN_PACE_SPAN_S = 0.2  # shorter spans between two progress reports give no usable pace
+# ratio to the pace of others from which a worker is used less, and from which it is avoided
+SLOW_PACE, VERY_SLOW_PACE = 1.25, 3.0
+MIN_PACE_SAMPLES = 3  # required before a worker is avoided for its pace
+# Smoothing factors of a worker's pace for a sample compared within its step, and within its queue.
+STEP_PACE_SMOOTHING, QUEUE_PACE_SMOOTHING = 0.4, 0.1
+QUEUE_MEAN_SMOOTHING = 0.05  # smoothing factor of the mean pace of a queue
+MAX_STEPS = 4096  # steps for which outcomes and paces are kept
+MAX_CHANGES = 256  # changes of state kept until they are read
+
+RunKey = tuple[StepKey, int, str]  # step, task index, instance
+StepId = tuple[str, int]  # job ID and step number, for all times K of the job
 
 
 class HealthState(Enum):
-    """What is held of a worker."""
+    """The health state of a worker. The values appear in operators' reports."""
 
     SOUND = "sound"
     AVOIDED = "avoided"
@@ -53,7 +54,7 @@
 
 
 class Cause(Enum):
-    """Why a worker is not sound."""
+    """Why a worker is not in state SOUND. The values appear in operators' reports."""
 
     NONE = "none"
     FAILS = "fails"
@@ -63,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthChange:
-    """A worker is held to be something else from now on."""
+    """A change of a worker's health state."""
 
     instance: str
     state: HealthState
@@ -82,10 +83,10 @@
     instance: str
     state: HealthState = HealthState.SOUND
     cause: Cause = Cause.NONE
-    until: float = -inf  # end of the pause
-    pause: float = FIRST_PAUSE_S  # the next one
+    until: float = -inf  # end of the current pause
+    pause: float = FIRST_PAUSE_S  # length of the next pause
     probe: RunKey | None = None
-    pace: float = 0.0  # logarithm of its time over that of others
+    pace: float = 0.0  # logarithm of the ratio of its runtimes to those of others
     samples: int = 0
     outcomes: deque[_Outcome] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))
     stalled: set[RunKey] = field(default_factory=set)
@@ -93,7 +94,7 @@
 
 @dataclass(slots=True)
 class _StepRecord:
-    """Where tasks of a step have ended well, and where not."""
+    """The instances on which tasks of a step have succeeded, and those on which they have failed."""
 
     done_on: set[str] = field(default_factory=set)
     failed_on: set[str] = field(default_factory=set)
@@ -101,7 +102,7 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """A run's progress: `percent` since `moved_at`."""
+    """The progress of a run: `percent` since `changed_at`."""
 
     percent: int
     changed_at: float
@@ -109,7 +110,7 @@
 
 @dataclass(slots=True)
 class _Pace:
-    """Mean logarithm of time over estimate, with the instances that it comes from."""
+    """Mean logarithm of runtime over estimate, with the instances that contributed to it."""
 
     mean: float
     count: int
@@ -117,7 +118,7 @@
 
 
 class Health:
-    """The standing of all workers. `changed` collects the instances whose standing or weight has changed."""
+    """The health states of all workers. `changed` collects the instances whose state or weight has changed."""
 
     def __init__(self) -> None:
         self.changed: set[str] = set()
@@ -129,26 +130,26 @@
         self._paused: set[str] = set()
         self._changes: deque[HealthChange] = deque(maxlen=MAX_CHANGES)
 
-    # ---- what is asked ---------------------------------------------------------------------------------------------
+    # ---- queries ---------------------------------------------------------------------------------------------------
 
     def state(self, instance: str) -> HealthState:
-        """What is held of a worker."""
+        """Returns the health state of a worker."""
         worker = self._workers.get(instance)
         return worker.state if worker else HealthState.SOUND
 
     def cause(self, instance: str) -> Cause:
-        """Why a worker is not sound."""
+        """Returns why a worker is not in state SOUND."""
         worker = self._workers.get(instance)
         return worker.cause if worker else Cause.NONE
 
     def take_changes(self) -> list[HealthChange]:
-        """The changes of standing since the last time, the last ones of very many."""
+        """Returns and clears the changes of state since the last call, the last `MAX_CHANGES` of them."""
         taken = list(self._changes)
         self._changes.clear()
         return taken
 
     def weight(self, instance: str) -> float:
-        """A factor of the worker's weight, at most 1; 0: it gets nothing."""
+        """Returns the health factor of the worker's weight, from 0 to 1. A worker with weight 0 gets no tasks."""
         worker = self._workers.get(instance)
         if worker is None:
             return 1.0
@@ -160,36 +161,36 @@
         return 1.0 if slowness < SLOW_PACE else max(MIN_HOST_WEIGHT, slowness**-2)
 
     def stalled(self) -> list[RunKey]:
-        """Runs that stand still though they should move."""
+        """Returns the runs that have made no progress for too long."""
         return [run for worker in self._workers.values() for run in sorted(worker.stalled)]
 
     @property
     def next_pause_end(self) -> float:
-        """When the next pause ends; infinite if none is under way."""
+        """The time at which the next pause ends; infinite if no worker is paused."""
         return min((self._workers[instance].until for instance in self._paused), default=inf)
 
-    # ---- what is learnt --------------------------------------------------------------------------------------------
+    # ---- observations ----------------------------------------------------------------------------------------------
 
     def start_probes(self, now: float) -> None:
-        """Begin to probe the workers whose pause is over."""
+        """Starts probing the workers whose pause has ended."""
         for instance in [instance for instance in self._paused if self._workers[instance].until <= now]:
             worker = self._workers[instance]
             self._set_state(worker, HealthState.PROBING, worker.cause, now)
 
     def remove_worker(self, instance: str) -> None:
-        """The worker's life is over."""
+        """Forgets a worker whose process has ended."""
         self._workers.pop(instance, None)
         self._paused.discard(instance)
 
     def run_started(self, run: RunKey) -> None:
-        """A run is placed."""
+        """Records a placed run. The first run on a worker in state PROBING is its probe."""
         worker = self._workers.get(run[2])
         if worker is not None and worker.state is HealthState.PROBING and worker.probe is None:
             worker.probe = run
             self.changed.add(worker.instance)
 
     def run_ended(self, run: RunKey, outcome: RunEnd, now: float) -> None:
-        """A run is over. What ended neither `done` nor `failed` says nothing of the worker."""
+        """Records the end of a run. Outcomes other than DONE and FAILED do not affect the worker's health."""
         self._progress.pop(run, None)
         worker = self._worker(run[2])
         was_probe = worker.probe == run
@@ -198,15 +199,18 @@
             worker.probe = None
             self.changed.add(worker.instance)
         if outcome is RunEnd.DONE:
-            self._succeeded(worker, _step_id(run), was_probe, now)
+            self._record_success(worker, _step_id(run), was_probe, now)
         elif outcome is RunEnd.FAILED:
-            self._failed(worker, _step_id(run), was_probe, now)
+            self._record_failure(worker, _step_id(run), was_probe, now)
 
     def run_progressed(
         self, run: RunKey, queue: str, expected_s: float, grace_s: float, percent: int, now: float
     ) -> None:
-        """A report of a run's percentage. `expected_s` is what the run should take in all there; `patience_s` is added
-        to the time for which it may stand still."""
+        """Records the progress report of a run.
+
+        `expected_s` is the expected total runtime of the run on this worker. `grace_s` extends the time without
+        progress after which the run counts as stalled.
+        """
         progress = self._progress.get(run)
         if progress is None:
             self._progress[run] = _Progress(percent, now)
@@ -215,14 +219,18 @@
             if now - progress.changed_at > max(STALL_S, STALL_FRACTION * expected_s) + grace_s:
                 self._run_stalled(run, now)
             return
-        span, part = now - progress.changed_at, (percent - progress.percent) / 100.0
-        if progress.percent and part > 0.0 and span >= MIN_PACE_SPAN_S:
-            self.record_pace(run, queue, span / part / max(expected_s, 1e-3), now)
+        span, fraction = now - progress.changed_at, (percent - progress.percent) / 100.0
+        if progress.percent and fraction > 0.0 and span >= MIN_PACE_SPAN_S:
+            self.record_pace(run, queue, span / fraction / max(expected_s, 1e-3), now)
         progress.percent, progress.changed_at = percent, now
         self._run_resumed(run, now)
 
     def record_pace(self, run: RunKey, queue: str, ratio: float, now: float) -> None:
-        """A run, or a part of it, took `ratio` times what was expected: compared with others at the same work."""
+        """Records that a run, or a part of it, took `ratio` times the expected time.
+
+        The ratio is compared with those of other runs of the same step, or of the same queue if there are none on other
+        workers.
+        """
         key, _, instance = run
         sample = log(min(100.0, max(0.01, ratio)))
         step = self._step_paces.get(key)
@@ -237,10 +245,10 @@
         self.changed.add(instance)
         self._evaluate_pace(worker, now)
 
-    # ---- verdicts --------------------------------------------------------------------------------------------------
+    # ---- transitions -----------------------------------------------------------------------------------------------
 
     def _set_state(self, worker: _Worker, state: HealthState, cause: Cause, now: float) -> None:
-        """The one place where a worker's standing changes."""
+        """Changes the state of a worker. All changes of state go through this method."""
         worker.state, worker.cause = state, cause
         self._changes.append(HealthChange(worker.instance, state, cause))
         worker.probe = None
@@ -254,7 +262,7 @@
             worker.pause = FIRST_PAUSE_S
             worker.outcomes.clear()
 
-    def _succeeded(self, worker: _Worker, step_id: StepId, was_probe: bool, now: float) -> None:
+    def _record_success(self, worker: _Worker, step_id: StepId, was_probe: bool, now: float) -> None:
         record = self._step_record(step_id)
         record.done_on.add(worker.instance)
         if was_probe and worker.cause is Cause.SLOW and exp(worker.pace) > VERY_SLOW_PACE:
@@ -266,7 +274,7 @@
         for instance in record.failed_on:
             self._evaluate_outcomes(self._worker(instance), now)
 
-    def _failed(self, worker: _Worker, step_id: StepId, was_probe: bool, now: float) -> None:
+    def _record_failure(self, worker: _Worker, step_id: StepId, was_probe: bool, now: float) -> None:
         record = self._step_record(step_id)
         record.failed_on.add(worker.instance)
         if was_probe and not self._step_is_at_fault(record, worker.instance):
@@ -277,7 +285,7 @@
             self._evaluate_outcomes(self._worker(instance), now)
 
     def _evaluate_outcomes(self, worker: _Worker, now: float) -> None:
-        """Avoid a worker whose ends speak against it; clear one whose jobs have turned out to fail everywhere."""
+        """Avoids a worker whose recent runs fail. Readmits one if its steps turn out to fail on other workers too."""
         failing = self._is_failing(worker, now)
         if failing and worker.state is HealthState.SOUND:
             self._set_state(worker, HealthState.AVOIDED, Cause.FAILS, now)
@@ -315,11 +323,11 @@
         return counted[step_id] <= (MAX_FAILURES_PER_STEP if only_here else 1)
 
     def _step_is_at_fault(self, record: _StepRecord, instance: str) -> bool:
-        """Whether a step's failures lie with itself: it failed on other sound workers too, and never succeeded."""
+        """Returns whether a step causes its own failures: it failed on other sound workers and never succeeded."""
         return not record.done_on and self._fails_elsewhere(record, instance)
 
     def _fails_elsewhere(self, record: _StepRecord, instance: str) -> bool:
-        """Whether tasks of a step have failed on another sound worker: some of them may be at fault themselves."""
+        """Returns whether tasks of a step have failed on another sound worker, so that the tasks may be at fault."""
         return any(self.state(other) is HealthState.SOUND for other in record.failed_on - {instance})
 
     def _run_stalled(self, run: RunKey, now: float) -> None:
@@ -341,7 +349,7 @@
         elif worker.cause is Cause.SLOW and slowness < VERY_SLOW_PACE / 2:
             self._set_state(worker, HealthState.SOUND, Cause.NONE, now)
 
-    # ---- memory ----------------------------------------------------------------------------------------------------
+    # ---- records ---------------------------------------------------------------------------------------------------
 
     def _update_pace_means(self, key: StepKey, queue: str, instance: str, sample: float) -> None:
         mean = self._queue_means.get(queue, sample)
@@ -369,6 +377,6 @@
 
 
 def _step_id(run: RunKey) -> StepId:
-    """The work that a run does."""
+    """Returns the job and step number of a run."""
     key = run[0]
     return key.job, key.step
--- a/millethead/scheduling/model.py
+++ b/millethead/scheduling/model.py
@@ -1,7 +1,7 @@
-"""What goes into and comes out of the scheduler: queues, steps with their waiting tasks, workers, decisions.
+"""The scheduler's inputs and outputs: queues, steps with their waiting tasks, workers and decisions.
 
-Times are seconds of one steady clock. A *step* stands for the tasks of one step of a job at one time K. A *unit* is
-what is placed in one go: one task, or all the tasks of a gang.
+Times are seconds of one monotonic clock. A *step* holds the tasks of one step of a job at one time K. A *unit* is what
+is placed at once: a single task, or all tasks of a gang.
 """
 
 from __future__ import annotations
@@ -11,13 +11,15 @@
 
 from millethead.execution.messages import Resources
 
-MIN_HOST_WEIGHT = 0.02  # factor of the weight of a worker in doubt, where it is asked all the same
+MIN_HOST_WEIGHT = 0.02  # weight factor of an unhealthy or very slow worker if it is used all the same
 
 
 @dataclass(frozen=True, slots=True)
 class QueueSpec:
-    """A route of the configuration in force. Priority 0 goes first; `skew` times a job's work, plus `target_s`, is its
-    objective."""
+    """A route of the configuration in force. Priority 0 is the highest.
+
+    The objective of a job is `skew` times its work, plus `target_s`.
+    """
 
     name: str
     service: str
@@ -38,7 +40,7 @@
 
 @dataclass(slots=True)
 class PendingTask:
-    """A task that waits for a worker. `avoid`: instances on which it failed lately."""
+    """A task that waits for a worker. `avoid` holds the instances on which it failed recently."""
 
     index: int
     checkpoint: str
@@ -50,10 +52,10 @@
 class PendingStep:
     """The tasks of one step that may run now.
 
-    `objective_at` is when the job stops being in time, `tail_s` the longest chain of steps after this one by estimate,
-    `work_left` what is left of the job at this time K, in core-seconds with this step's. `tasks` wait for a worker; a
-    gang is placeable only while all `count` wait. `running` names the instance of every task that has a run now, also
-    of those being stopped.
+    `objective_at` is the time at which the job stops being in time. `tail_s` is the estimated length of the longest
+    chain of steps after this one. `work_left` is the remaining work of the job at this time K, including this step, in
+    core-seconds. `tasks` holds the tasks that wait for a worker; a gang can be placed only while all `count` tasks
+    wait. `running` maps each task that has a run now to its instance, including runs that are being stopped.
     """
 
     key: StepKey
@@ -79,8 +81,11 @@
 
 @dataclass(slots=True)
 class WorkerState:
-    """One life of a worker. `free` is kept by the scheduler: capacity less what is booked. `remaining_s`: what is left
-    at least while it drains."""
+    """One incarnation of a worker process.
+
+    The scheduler maintains `free`: capacity less the allocated resources. `remaining_s` is the least time left to a
+    draining worker.
+    """
 
     instance: str
     node: str
@@ -96,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """A task to be started at a worker; its room is booked already."""
+    """A task to be started on a worker. Its resources are already allocated."""
 
     key: StepKey
     index: int
@@ -106,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Preemption:
-    """A running task to be stopped; it waits again with its checkpoint once its run has ended."""
+    """A running task to be stopped. Once its run has ended, the task waits again with its checkpoint."""
 
     key: StepKey
     index: int
@@ -115,7 +120,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What one round decided. `next_look`: when something that waits by choice is due for another look, if any."""
+    """The result of one scheduling round.
+
+    `next_round_at` is the time at which a unit in a bounded wait needs another round; None if there is no such unit.
+    """
 
     placements: tuple[Placement, ...]
     preemptions: tuple[Preemption, ...]
@@ -123,28 +131,28 @@
 
 
 class WaitReason(Enum):
-    """Why a task has not been placed."""
+    """Why a task has not been placed. The values appear in operators' reports."""
 
     NOT_WAITING = "not waiting"
-    READY = "ready"  # it has not been looked at since something changed
-    TURN = "turn"  # its queue has others that go first
+    READY = "ready"  # not examined since the last change
+    TURN = "turn"  # other units of its queue, or other queues, go first
     ROOM = "no room"
     SERVICE = "no worker of the service"
-    LABEL = "label"  # no worker that takes tasks has the required label
-    TOO_LARGE = "too large"  # no worker could hold it even when empty
-    SPREAD = "anti-affinity"  # every worker with room carries as many of the step as it may
-    GANG = "gang"  # not all members wait, or there is no room for all of them
-    RACK = "rack wait"  # it waits a little for the rack of its data, or for one rack for the whole gang
-    RESERVED = "reserved"  # the room there is kept for a larger unit
-    AVOIDING = "avoiding"  # the workers with room are avoided, for it or for all
+    LABEL = "label"  # no worker that accepts tasks has the required label
+    TOO_LARGE = "too large"  # no worker could hold it even if the worker were empty
+    SPREAD = "anti-affinity"  # every worker with free resources runs as many tasks of the step as anti-affinity allows
+    GANG = "gang"  # not all members wait, or not all of them fit
+    RACK = "rack wait"  # bounded wait for the rack of the data, or for one rack that holds the whole gang
+    RESERVED = "reserved"  # the free resources are reserved for a larger unit
+    AVOIDING = "avoiding"  # the workers with free resources are avoided, by this task or by all tasks
 
 
 class SchedulingError(Exception):
-    """A call that does not fit what the scheduler knows."""
+    """A call that is inconsistent with the state of the scheduler."""
 
 
 class UnknownStep(SchedulingError):
-    """The step was never put, or has been removed."""
+    """The step was never added, or has been removed."""
 
     def __init__(self, key: StepKey) -> None:
         super().__init__(f"unknown step {key.job}.{key.time}.{key.step}")
--- a/millethead/scheduling/placement.py
+++ b/millethead/scheduling/placement.py
@@ -1,8 +1,8 @@
-"""Where a unit goes: the workers of one service with their free room, and the random pick weighted by room.
+"""The hosts of one service with their free resources, and the weighted random choice of a host.
 
-A *host* is a worker as the scheduler books it. Only hosts that fit by label, anti-affinity and capacity are picked
-from; among these the weight of a host is the number of such tasks that it has room for, times its health, less where
-the task would break up room that a larger unit needs.
+A *host* is a worker with the resources that the scheduler has allocated on it. Only hosts that fit by label,
+anti-affinity and capacity are candidates. The weight of a candidate is the number of such tasks that fit, times its
+health. It is lower if the task would fragment resources that a larger unit needs.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 if TYPE_CHECKING:
     from millethead.scheduling.state import Run
 
-FRAGMENTATION_WEIGHT = 0.15  # weight of a host on which a task would take the place of a larger unit
-SLOTS_PER_WORKER = 8.0  # a slot, the spacing unit of the tags, is this part of the largest worker
-MIN_SLOTS = 0.1
-UNLIMITED_TASKS = 1 << 16
-CORES_PER_GPU = 8.0  # cores that a GPU counts for
+FRAGMENTATION_WEIGHT = 0.15  # weight factor of a host on which a task would displace a larger unit
+SLOTS_PER_WORKER = 8.0  # a slot, the unit of size for the tags, is this part of the largest worker
+MIN_SLOTS = 0.1  # least size of a task in slots
+UNLIMITED_TASKS = 1 << 16  # number of tasks that stands for no limit
+CORES_PER_GPU = 8.0  # cores that one GPU is equivalent to
 NOTHING = Resources(0, 0, 0)
 
 
 def fit_count(available: Resources, needs: Resources) -> int:
-    """How many tasks of these needs a room holds."""
+    """Returns how many tasks with these needs fit in the available resources."""
     count = available.cpu // needs.cpu if needs.cpu else UNLIMITED_TASKS
     if needs.mem_mb:
         count = min(count, available.mem_mb // needs.mem_mb)
@@ -38,27 +38,27 @@
 
 
 def covers(available: Resources, needs: Resources) -> bool:
-    """Whether a room holds one task of these needs."""
+    """Returns whether the available resources cover one task with these needs."""
     return available.cpu >= needs.cpu and available.mem_mb >= needs.mem_mb and available.gpu >= needs.gpu
 
 
 def add(left: Resources, right: Resources) -> Resources:
-    """The sum."""
+    """Returns the sum of each kind of resource."""
     return Resources(left.cpu + right.cpu, left.mem_mb + right.mem_mb, left.gpu + right.gpu)
 
 
 def subtract(left: Resources, right: Resources) -> Resources:
-    """The difference, nothing below 0."""
+    """Returns the difference of each kind of resource, but at least 0."""
     return Resources(max(0, left.cpu - right.cpu), max(0, left.mem_mb - right.mem_mb), max(0, left.gpu - right.gpu))
 
 
 def scale(needs: Resources, count: int) -> Resources:
-    """The needs of `count` tasks."""
+    """Returns the needs of `count` tasks."""
     return Resources(needs.cpu * count, needs.mem_mb * count, needs.gpu * count)
 
 
 def dominant_share(needs: Resources, capacity: Resources) -> float:
-    """The largest part of any kind of resource that the needs take of the capacity."""
+    """Returns the largest fraction that the needs take of any kind of resource of the capacity."""
     return max(
         needs.cpu / max(capacity.cpu, 1),
         needs.mem_mb / max(capacity.mem_mb, 1),
@@ -67,20 +67,20 @@
 
 
 def core_equivalents(needs: Resources) -> float:
-    """What the prices count: cores, with each GPU as several."""
+    """Returns the needs as a number of cores, with each GPU counted as `CORES_PER_GPU`."""
     return needs.cpu / 1000.0 + CORES_PER_GPU * needs.gpu
 
 
 class HostReservation(Protocol):
-    """Room that is kept on a host for one step."""
+    """The reservation of a step, as a host refers to it."""
 
     @property
     def owner(self) -> object:
-        """The step for which it is kept."""
+        """The step that holds the reservation."""
 
     @property
     def start_at(self) -> float:
-        """When it is expected to be used."""
+        """When the reserved resources are expected to be used."""
 
     @property
     def priority(self) -> int:
@@ -88,36 +88,41 @@
 
     @property
     def resources_by_instance(self) -> Mapping[str, Resources]:
-        """What is kept at each instance."""
+        """The resources reserved on each instance."""
 
 
 @dataclass(slots=True, eq=False)
 class Host:
-    """A worker with what is booked there. `free` is capacity less bookings, and never below 0. `health` is a factor of
-    its weight; at 0 it is avoided. `proven` is False while its health is only being tried out."""
+    """A worker with its allocations.
+
+    `free` is the capacity less the allocated resources, never below 0. `health` is a factor of the host's weight; a
+    host with health 0 is avoided. `is_sound` is False while the worker is avoided or probed.
+    """
 
     state: WorkerState
     allocated: Resources = NOTHING
     free: Resources = NOTHING
     health: float = 1.0
-    own_health: float = 1.0  # its health by itself, whatever is held of the other workers
+    own_health: float = 1.0  # its health regardless of the other workers of the service
     is_sound: bool = True
     reservation: HostReservation | None = None
-    long_running_count: int = 0  # runs of tasks that last
+    long_running_count: int = 0  # number of long-running tasks on it
     runs: dict[Run, None] = field(default_factory=dict)
-    schedulable: bool = False
+    schedulable: bool = False  # reachable and not draining
     service: str = ""
     rack: str = ""
     capacity: Resources = NOTHING
     labels: frozenset[str] = frozenset()
-    free_cpu_bits: int = 0
-    position: int = 0
+    free_cpu_bits: int = 0  # bit length of the free thousandths of a core; the list of `Hosts` in which it is
+    position: int = 0  # its index in that list
 
     def __post_init__(self) -> None:
         self.update(self.state)
 
     def update(self, state: WorkerState) -> None:
-        """Take over what the worker says of itself: a copy, since the caller may go on to change its record."""
+        """Applies the reported state of the worker. The fields are copied because the caller may change its record
+        later.
+        """
         self.state = state
         self.schedulable = state.reachable and not state.draining
         self.service, self.rack = state.service, state.rack
@@ -125,7 +130,7 @@
         self.update_free()
 
     def is_unchanged(self, state: WorkerState) -> bool:
-        """Whether nothing is new in it that decides where tasks fit."""
+        """Returns whether a reported state changes nothing that decides which tasks fit."""
         return (self.schedulable, self.service, self.rack, self.capacity, self.labels) == (
             state.reachable and not state.draining,
             state.service,
@@ -136,31 +141,31 @@
 
     @property
     def instance(self) -> str:
-        """The worker's life."""
+        """The instance ID of the worker."""
         return self.state.instance
 
     def accepts(self, requires: str) -> bool:
-        """Whether it takes tasks that require this label."""
+        """Returns whether it accepts tasks that require this label; an empty label is always present."""
         return self.schedulable and (not requires or requires in self.labels)
 
     def update_free(self) -> None:
-        """Derive the free room."""
+        """Recomputes the free resources."""
         self.free = subtract(self.capacity, self.allocated)
         self.state.free = self.free
 
 
 class Hosts:
-    """The hosts of one service, indexed by free processor room, so that a full fleet is not searched."""
+    """The hosts of one service, indexed by free CPU so that a full fleet is not searched."""
 
     def __init__(self) -> None:
         self.by_instance: dict[str, Host] = {}
         self.by_rack: dict[str, list[Host]] = {}
-        self.largest = NOTHING  # the most of each kind of resource that a host has
-        self._capacity = self._allocated = NOTHING  # of all open hosts together
-        self._schedulable_count = self._healthy_count = 0  # how many are open, and of these have a merit
-        self._hosts_by_free_cpu_bits: list[list[Host]] = [
-            [] for _ in range(33)
-        ]  # by bits of the free thousandths of a core
+        self.largest = NOTHING  # the maximum of each kind of resource over the hosts
+        self._capacity = self._allocated = NOTHING  # totals of all schedulable hosts
+        # Numbers of schedulable hosts, and of those with own health above 0.
+        self._schedulable_count = self._healthy_count = 0
+        # Indexed by the bit length of the free thousandths of a core.
+        self._hosts_by_free_cpu_bits: list[list[Host]] = [[] for _ in range(33)]
 
     def __iter__(self) -> Iterator[Host]:
         return iter(self.by_instance.values())
@@ -169,10 +174,10 @@
         return len(self.by_instance)
 
     def add(self, host: Host) -> None:
-        """Take in a host."""
+        """Adds a host."""
         self.by_instance[host.instance] = host
         self.by_rack.setdefault(host.rack, []).append(host)
-        self._add_to_level(host)
+        self._add_to_index(host)
         if host.schedulable:
             self._capacity, self._allocated = add(self._capacity, host.capacity), add(self._allocated, host.allocated)
             self._schedulable_count += 1
@@ -180,13 +185,13 @@
         self._update_largest()
 
     def remove(self, host: Host) -> None:
-        """Leave a host out."""
+        """Removes a host."""
         del self.by_instance[host.instance]
         rack = self.by_rack[host.rack]
         rack.remove(host)
         if not rack:
             del self.by_rack[host.rack]
-        self._remove_from_level(host)
+        self._remove_from_index(host)
         if host.schedulable:
             self._capacity, self._allocated = (
                 subtract(self._capacity, host.capacity),
@@ -197,41 +202,44 @@
         self._update_largest()
 
     def allocate(self, host: Host, needs: Resources) -> None:
-        """Take room."""
+        """Allocates resources on a host."""
         self._set_allocated(host, add(host.allocated, needs))
 
     def release(self, host: Host, needs: Resources) -> None:
-        """Give room back."""
+        """Releases resources on a host."""
         self._set_allocated(host, subtract(host.allocated, needs))
 
     @property
     def capacity(self) -> Resources:
-        """Of all open hosts together."""
+        """The total capacity of all schedulable hosts."""
         return self._capacity
 
     @property
     def allocated(self) -> Resources:
-        """On all open hosts together."""
+        """The total allocated resources of all schedulable hosts."""
         return self._allocated
 
     @property
     def used_share(self) -> float:
-        """The largest part of any kind of resource that is booked on the open hosts together."""
+        """The largest fraction of any kind of resource that is allocated on the schedulable hosts."""
         return dominant_share(self._allocated, self._capacity)
 
     def set_own_health(self, host: Host, own_health: float) -> None:
-        """What is held of a host by itself."""
+        """Sets the health of a host regardless of the other workers of the service."""
         if host.schedulable:
             self._healthy_count += (own_health > 0.0) - (host.own_health > 0.0)
         host.own_health = own_health
 
     @property
     def mostly_unhealthy(self) -> bool:
-        """Whether less than half of the open hosts have any merit."""
+        """Whether fewer than half of the schedulable hosts have own health above 0."""
         return 2 * self._healthy_count < self._schedulable_count
 
     def with_capacity(self, needs: Resources, random: Random) -> Iterator[Host]:
-        """Hosts that have room for one task: by powers of two of their free cores, from a random one on in each."""
+        """Yields the hosts with enough free resources for one task: those with most free CPU first, by powers of two.
+
+        Within a power of two, the hosts are yielded in a circle from a random start.
+        """
         for free_cpu_bits in range(32, needs.cpu.bit_length() - 1, -1):
             hosts = self._hosts_by_free_cpu_bits[free_cpu_bits]
             if not hosts:
@@ -242,7 +250,7 @@
                     yield host
 
     def slots(self, needs: Resources) -> float:
-        """The size of a task in slots: parts of the largest worker."""
+        """Returns the size of a task in slots (`SLOTS_PER_WORKER`)."""
         return max(MIN_SLOTS, SLOTS_PER_WORKER * min(1.0, dominant_share(needs, self.largest)))
 
     def _set_allocated(self, host: Host, allocated: Resources) -> None:
@@ -251,16 +259,16 @@
         host.allocated = allocated
         host.update_free()
         if host.free.cpu.bit_length() != host.free_cpu_bits:
-            self._remove_from_level(host)
-            self._add_to_level(host)
+            self._remove_from_index(host)
+            self._add_to_index(host)
 
-    def _add_to_level(self, host: Host) -> None:
+    def _add_to_index(self, host: Host) -> None:
         host.free_cpu_bits = host.free.cpu.bit_length()
         hosts = self._hosts_by_free_cpu_bits[host.free_cpu_bits]
         host.position = len(hosts)
         hosts.append(host)
 
-    def _remove_from_level(self, host: Host) -> None:
+    def _remove_from_index(self, host: Host) -> None:
         hosts = self._hosts_by_free_cpu_bits[host.free_cpu_bits]
         last = hosts.pop()
         if last is not host:
@@ -278,11 +286,11 @@
 
 @dataclass(slots=True)
 class Demand:
-    """What a unit of a step asks of the hosts.
+    """The requirements of a unit of a step.
 
-    `most` is how many tasks of the step an instance carries at most, `carried` how many it carries now. `ends_at` is
-    when a task placed now is expected to end. `shunned` instances are left out. `unconditional`: neither the health
-    of a host counts nor what is kept there for others.
+    `max_per_instance` limits the tasks of the step on one instance; `tasks_by_instance` holds how many run there now.
+    `ends_at` is the expected end of a task placed now. Hosts in `excluded` are not used. An `unconditional` demand
+    ignores the health of hosts and the reservations of other steps.
     """
 
     owner: object
@@ -296,7 +304,7 @@
     unconditional: bool = False
 
     def fit_on(self, host: Host) -> int:
-        """How many such tasks a host takes now, by label, anti-affinity, capacity, health and what is kept there."""
+        """Returns how many such tasks a host accepts now by label, anti-affinity, capacity, health and reservations."""
         free, needs = host.free, self.needs
         if free.cpu < needs.cpu or free.mem_mb < needs.mem_mb or free.gpu < needs.gpu:
             return 0
@@ -312,22 +320,25 @@
         return count if self.max_per_instance >= UNLIMITED_TASKS else min(count, self.spread_capacity(host))
 
     def spread_capacity(self, host: Host) -> int:
-        """How many tasks of the step anti-affinity still lets a host take."""
+        """Returns how many more tasks of the step anti-affinity allows on a host."""
         return max(0, self.max_per_instance - self.tasks_by_instance.get(host.instance, 0))
 
     def has_room(self, host: Host) -> bool:
-        """Whether one such task fits in the free room, whatever of the step runs there."""
+        """Returns whether one such task fits in the free resources, regardless of anti-affinity."""
         return covers(host.free, self.needs)
 
     def fit_when_empty(self, host: Host) -> int:
-        """How many a host could take if nothing ran there."""
+        """Returns how many such tasks a host could accept if nothing ran there."""
         if not host.accepts(self.requires) or host.instance in self.excluded:
             return 0
         return min(fit_count(host.capacity, self.needs), self.max_per_instance)
 
     def _unreserved(self, host: Host, reservation: HostReservation) -> Resources:
-        """The room that the demand may use where some is kept: all of it with a better priority or when the task ends
-        before the claim is used, else what is left beside the claim."""
+        """Returns the resources that the demand may use on a host with a reservation.
+
+        All free resources count if the reservation belongs to the same step, if the demand has a higher priority, or if
+        the task ends before the reservation starts (backfill). Otherwise the reserved resources are subtracted.
+        """
         if (
             reservation.owner is self.owner
             or self.priority < reservation.priority
@@ -338,7 +349,7 @@
 
 
 def weighted_choice(hosts: list[Host], weights: list[float], random: Random) -> Host | None:
-    """A random host, by weight; None if all weights are 0."""
+    """Returns a random host by weight, or None if all weights are 0."""
     sums = list(accumulate(weights))
     if not sums or sums[-1] <= 0.0:
         return None
@@ -347,7 +358,7 @@
 
 
 def fragmentation_factor(host: Host, needs: Resources, large_needs: Resources) -> float:
-    """The factor by which a host's weight falls where the task takes the place of a larger one."""
+    """Returns the weight factor of a host: lower than 1 if the task would displace a larger one."""
     before = fit_count(host.free, large_needs)
     if not before:
         return 1.0
@@ -355,7 +366,10 @@
 
 
 def place_gang(demand: Demand, count: int, hosts: Iterable[Host], random: Random) -> list[Host] | None:
-    """Hosts for all members of a gang, few of them: one that is picked is filled. None if there is no room for all."""
+    """Returns a host for each member of a gang, or None if the members do not all fit.
+
+    Each chosen host is filled before the next one is chosen, so that few hosts are used.
+    """
     fit_by_host = {host: number for host in hosts if (number := demand.fit_on(host))}
     if sum(fit_by_host.values()) < count:
         return None
--- a/millethead/scheduling/preemption.py
+++ b/millethead/scheduling/preemption.py
@@ -1,8 +1,8 @@
-"""Which runs are stopped for units of priority 0 that would otherwise be late.
+"""Selects the runs to stop for units of priority 0 that would otherwise be late.
 
-Only runs of worse priorities are stopped, those first of which least work is thrown away: a step that checkpoints loses
-only the restart, another all that it has done; a gang loses that of every member, and all of them are stopped. What is
-thrown away may not exceed the worth of the unit, in core-seconds.
+Only runs of lower priorities are stopped, those with the least lost work first. A step with checkpoints loses only the
+restart, any other step all work done so far. If a member of a gang is stopped, all members are stopped and their lost
+work counts. The lost work may not exceed the value of the unit, in core-seconds.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from millethead.scheduling.state import Pool, Run, Step
 
 PREEMPTING_PRIORITY = 0
-MAX_TASKS_PER_PLAN = 8  # tasks of one step for which room is made at once
-RESTART_S = 0.5  # work lost when a run that checkpoints is stopped and started again
-LONG_RUNNING_RESTART_S = 1.5  # the same for one that lasts
-LONG_RUNNING_VALUE_S = 20.0  # time counted as the work of a task that lasts
-MAX_WASTE_FRACTION = 1.0  # work thrown away for a unit, at most this part of its own
-MAX_VICTIMS_PER_TASK = 8  # runs stopped for one unit
+MAX_TASKS_PER_PLAN = 8  # tasks of one step for which runs are stopped at once
+RESTART_S = 0.5  # work lost when a run with checkpoints is stopped and restarted
+LONG_RUNNING_RESTART_S = 1.5  # the same for a long-running task, at most
+LONG_RUNNING_VALUE_S = 20.0  # runtime that a long-running task is valued at
+MAX_WASTE_FRACTION = 1.0  # lost work for a unit, at most this fraction of the unit's own work
+MAX_VICTIMS_PER_TASK = 8  # runs stopped for one task
 
 
 @dataclass(frozen=True, slots=True)
 class PreemptionPlan:
-    """Runs to be stopped, and where that makes room."""
+    """The runs to stop, and the hosts on which this frees resources."""
 
     victims: tuple[Run, ...]
     plan: Plan
@@ -33,14 +33,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _Victim:
-    """Runs that can only be stopped together, with the core-seconds that this throws away."""
+    """Runs that can only be stopped together, with the core-seconds of work that are lost."""
 
     runs: tuple[Run, ...]
     waste: float
 
 
 def lost_work_s(run: Run, now: float) -> float:
-    """Seconds of work that a stop of the run throws away. One that was taken over may be about to end."""
+    """Returns the seconds of work that are lost if the run is stopped.
+
+    The start of a run inherited from an earlier head is unknown. The run may be about to end, so it is assumed to have
+    run for at least its estimate.
+    """
     if run.step.spec.checkpoints:
         return RESTART_S
     elapsed = max(0.0, now - run.started, run.step.spec.estimate_s if run.inherited else 0.0)
@@ -48,7 +52,9 @@
 
 
 def plan_preemption(step: Step, pool: Pool, now: float) -> PreemptionPlan | None:
-    """The cheapest runs to stop for one unit of a step, or for a few of its tasks; None if it is not worth it."""
+    """Returns the cheapest runs to stop for one unit of a step or for a few of its tasks, or None if the cost is too
+    high.
+    """
     demand = step.demand(now)
     wanted = step.spec.count if step.spec.gang else min(MAX_TASKS_PER_PLAN, step.units)
     chosen_runs: dict[Run, None] = {}
@@ -58,7 +64,7 @@
         LONG_RUNNING_VALUE_S if step.spec.long_running else step.spec.estimate_s
     )
     for number in range(wanted):
-        candidate = _cheapest(step, demand, pool, chosen_runs, counts, now)
+        candidate = _cheapest_host(step, demand, pool, chosen_runs, counts, now)
         if candidate is None or waste + candidate[1] > MAX_WASTE_FRACTION * value * (number + 1):
             if step.spec.gang or not number:
                 return None
@@ -72,10 +78,10 @@
     return PreemptionPlan(tuple(chosen_runs), Plan(now, counts))
 
 
-def _cheapest(
+def _cheapest_host(
     step: Step, demand: Demand, pool: Pool, chosen_runs: dict[Run, None], counts: dict[str, int], now: float
 ) -> tuple[Host, float, tuple[Run, ...]] | None:
-    """The host on which room for one more task costs least."""
+    """Returns the host on which stopping runs for one more task costs least, with the cost and the runs."""
     best: tuple[Host, float, tuple[Run, ...]] | None = None
     for host in pool.hosts:
         reserved_by_other = (
@@ -96,7 +102,7 @@
 def _victims_on(
     host: Host, demand: Demand, task_count: int, chosen_runs: dict[Run, None], now: float
 ) -> tuple[float, tuple[Run, ...]] | None:
-    """The runs that must be stopped for so many tasks on a host, and what that wastes."""
+    """Returns the cost and the runs to stop so that `task_count` tasks fit on a host, or None if they cannot fit."""
     free = host.free
     for run in host.runs:
         if run in chosen_runs or run.stopping:
@@ -118,7 +124,7 @@
 
 
 def _victims(host: Host, demand: Demand, chosen_runs: dict[Run, None], now: float) -> list[_Victim]:
-    """What may be stopped on a host, a gang as a whole."""
+    """Returns the runs on a host that may be stopped, each gang as a whole."""
     victims: dict[int, _Victim] = {}
     for run in host.runs:
         if run in chosen_runs or run.stopping or run.step.queue.spec.priority <= demand.priority:
--- a/millethead/scheduling/reservation.py
+++ b/millethead/scheduling/reservation.py
@@ -1,9 +1,9 @@
-"""Room kept for large units, so that smaller ones do not starve them.
+"""Reservations for large units, so that smaller units do not starve them.
 
-A gang or a large task that has waited long gets a *reservation*: hosts that are kept free for it, chosen where room
-comes up first by the estimates of what runs there. Others may use that room only if they end before it is expected to
-be used, if enough is left beside it, or with a better priority (`placement.Demand`). The number of reservations of a
-service is bounded.
+A gang or a large task that has waited long gets a *reservation* on the hosts on which it is expected to fit first,
+according to the estimates of the runs there. Other units may use the reserved resources only if they end before the
+expected start (backfill), if enough is left beside the reservation, or if they have a higher priority
+(`placement.Demand`). The number of reservations of a service is bounded.
 """
 
 from __future__ import annotations
@@ -17,48 +17,46 @@
 from millethead.scheduling.placement import Demand, Host, add, dominant_share, fit_count, scale
 from millethead.scheduling.state import Pool, Reservation, Run, Step
 
-MIN_RESERVATION_DELAY_S, RESERVATION_DELAY_FRACTION = (
-    1.0,
-    0.15,
-)  # a large unit waits so long, or this part of its objective
-LARGE_TASK_SHARE = 0.2  # part of the largest host from which a task is large
-HOSTS_PER_RESERVATION = 4  # one reservation, and one more for so many hosts
-MAX_RESERVED_FRACTION = 0.5  # part of the hosts that further reservations may touch
-MAX_PLAN_HOSTS = 96  # hosts weighed for a plan
-OVERDUE_REMAINING_FRACTION = 0.25  # part of its estimate that a run which should be over is taken to need still
-STOP_TIME_S = 0.4  # a run that is being stopped is gone by then
-RESERVATION_TIMEOUT_S = 10.0  # a reservation that was not used by so long after its expected start is given up
-RESERVATION_RETRY_S = 1.0
-WORTHLESS_FACTOR = 3.0  # times its objective after which a job earns nothing
+# A large unit waits this long, or this fraction of its objective if that is longer, before it gets a reservation.
+MIN_RESERVATION_DELAY_S, RESERVATION_DELAY_FRACTION = 1.0, 0.15
+LARGE_TASK_SHARE = 0.2  # fraction of the largest host from which a task is large
+HOSTS_PER_RESERVATION = 4  # a service may have one reservation, and one more for each this many hosts
+MAX_RESERVED_FRACTION = 0.5  # no further reservation is made once this fraction of the hosts is reserved
+MAX_PLAN_HOSTS = 96  # hosts considered for one plan
+OVERDUE_REMAINING_FRACTION = 0.25  # assumed remaining time of an overdue run, as a fraction of its estimate
+STOP_TIME_S = 0.4  # expected time until a run that is being stopped has ended
+RESERVATION_TIMEOUT_S = 10.0  # an unused reservation expires this long after its expected start
+RESERVATION_RETRY_S = 1.0  # delay before a step may get another reservation
+WORTHLESS_FACTOR = 3.0  # multiple of its objective after which a job earns nothing
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """When `counts` tasks of a step could start at each instance, by estimate."""
+    """How many tasks of a step each instance gets (`counts`), and when all of them are expected to be able to start."""
 
     start_at: float
     counts: dict[str, int]
 
 
 def is_large(step: Step, pool: Pool) -> bool:
-    """Whether the step's units may have room kept for them."""
+    """Returns whether the units of a step may get a reservation."""
     return step.spec.gang or dominant_share(step.spec.needs, pool.hosts.largest) >= LARGE_TASK_SHARE
 
 
 def reservation_due_at(step: Step) -> float:
-    """The time from which a step may have room kept for it."""
+    """Returns the time from which a step may get a reservation."""
     since = next(iter(step.tasks.values())).waiting_since
     delay_s = max(MIN_RESERVATION_DELAY_S, RESERVATION_DELAY_FRACTION * (step.spec.objective_at - step.arrived_at))
     return max(since + delay_s, step.reserve_at)
 
 
 def is_worthless(step: Step, now: float) -> bool:
-    """Whether the job is so late that it earns nothing."""
+    """Returns whether the job is so late that it earns nothing."""
     return now > step.arrived_at + WORTHLESS_FACTOR * max(0.0, step.spec.objective_at - step.arrived_at)
 
 
 def expected_end(run: Run, now: float) -> float:
-    """When a run is expected to end; tasks that last do not."""
+    """Returns when a run is expected to end; infinite for long-running tasks that are not being stopped."""
     spec = run.step.spec
     if run.stopping:
         return now + STOP_TIME_S
@@ -68,8 +66,11 @@
 
 
 def plan_earliest_start(step: Step, pool: Pool, count: int, now: float) -> Plan | None:
-    """Where `count` tasks of a step could start together first, by estimate; None: never. Hosts that are kept for
-    other steps are left out. A gang that suffers from more than one rack gets one where that costs little."""
+    """Returns the plan by which `count` tasks of a step can start together earliest, or None if they never can.
+
+    Hosts that other steps have reserved are not used. A gang that prefers a single rack gets one if that delays it by
+    at most half of its estimate.
+    """
     demand, own = step.demand(now), pool.reservations.get(step.key)
     hosts = _plan_hosts(demand, own, pool.hosts)
     plan = _plan_on(hosts, demand, count, now)
@@ -98,7 +99,7 @@
 
 
 def task_start_times(host: Host, demand: Demand, limit: int, now: float) -> list[float]:
-    """The times at which a first, second and further task would fit on a host as its runs end."""
+    """Returns the times at which a first, second and further task would fit on a host as its runs end."""
     free, starts = host.free, [now] * min(limit, fit_count(host.free, demand.needs), demand.spread_capacity(host))
     for end, needs in sorted(((expected_end(run, now), run.needs) for run in host.runs), key=lambda entry: entry[0]):
         if len(starts) >= limit or end == inf:
@@ -110,7 +111,7 @@
 
 
 def reserve(step: Step, pool: Pool, plan: Plan) -> Reservation:
-    """Keep the planned room for a step."""
+    """Reserves the planned resources for a step and replaces its earlier reservation."""
     cancel_reservation(step, pool)
     resources_by_instance = {instance: scale(step.spec.needs, count) for instance, count in plan.counts.items()}
     reservation = Reservation(step, plan.start_at, resources_by_instance)
@@ -121,7 +122,7 @@
 
 
 def cancel_reservation(step: Step, pool: Pool) -> None:
-    """Keep no more room for a step."""
+    """Cancels the reservation of a step, if it has one."""
     reservation = pool.reservations.pop(step.key, None)
     if reservation is None:
         return
@@ -130,7 +131,10 @@
 
 
 def consume_reservation(step: Step, pool: Pool, instance: str, needs: Resources) -> None:
-    """A task of the step has been placed: so much less is kept for it, there or anywhere."""
+    """Reduces the reservation of a step after one of its tasks has been placed.
+
+    The share of that instance is reduced, or any other share if the instance is not reserved.
+    """
     reservation = pool.reservations.get(step.key)
     if reservation is None:
         return
@@ -154,7 +158,7 @@
 
 
 def expire_reservations(pool: Pool, now: float) -> None:
-    """Give up what was not used in time."""
+    """Cancels the reservations that were not used in time."""
     for reservation in list(pool.reservations.values()):
         if now > reservation.start_at + RESERVATION_TIMEOUT_S:
             reservation.step.reserve_at = now + RESERVATION_RETRY_S
@@ -162,7 +166,7 @@
 
 
 def can_reserve_more(pool: Pool) -> bool:
-    """Whether a further reservation may be made."""
+    """Returns whether a service may have another reservation."""
     count = len(pool.reservations)
     if not count:
         return True
--- a/millethead/scheduling/room_making.py
+++ b/millethead/scheduling/room_making.py
@@ -1,4 +1,4 @@
-"""Room kept or made for units that would come too late: reservations, and runs of worse priorities that are stopped."""
+"""Reserves resources and preempts runs of lower priority for units that would otherwise start too late."""
 
 from __future__ import annotations
 
@@ -21,16 +21,18 @@
 )
 from millethead.scheduling.state import Pool, Step
 
-MAX_BLOCKED_STEPS = 4  # steps of one lane that may have room kept or made for them
-MAX_PLANS_PER_ROUND = 4  # steps for which room is planned in one look
-PLANNING_INTERVAL_S = 0.1  # between two looks at what could have room kept or made for it
-PREEMPTION_MIN_FRACTION = 0.5  # part of the estimate that must fit before the objective for runs to be stopped
-PREEMPTION_INTERVAL_S = 0.2  # between two looks at what could be stopped for one step
+MAX_BLOCKED_STEPS = 4  # steps of each bucket considered for reservation and preemption
+MAX_PLANS_PER_ROUND = 4  # steps for which reservations, and preemptions, are planned in one round
+PLANNING_INTERVAL_S = 0.1  # least time between two planning rounds of a service
+PREEMPTION_MIN_FRACTION = 0.5  # part of the estimate that must fit before the objective for preemption to be considered
+PREEMPTION_INTERVAL_S = 0.2  # least time between two preemption plans for one step
 
 
 def reserve_or_preempt(pool: Pool, now: float) -> list[Preemption]:
-    """Keep or make room for units that would come too late. Looked at now and then only: it costs more than a
-    placement."""
+    """Makes reservations and returns the runs to preempt for units that would start too late.
+
+    The planning is limited to once per `PLANNING_INTERVAL_S`, because it costs more than a placement.
+    """
     if now < pool.next_planning_at:
         if any(blocked_steps(pool)):
             pool.next_round_at = min(pool.next_round_at, pool.next_planning_at)
@@ -46,7 +48,7 @@
 
 
 def _make_reservations(pool: Pool, blocked: list[Step], now: float) -> None:
-    """Keep room for large units that have waited long, the most urgent first."""
+    """Makes reservations for large units that have waited long, the most urgent first."""
     waiting: list[Step] = []
     for step in blocked:
         if step.key in pool.reservations or not is_large(step, pool) or is_worthless(step, now):
@@ -68,7 +70,7 @@
 
 
 def _preempt(pool: Pool, blocked: list[Step], now: float) -> list[Preemption]:
-    """Stop runs of worse priorities for units of the best one that would be late otherwise."""
+    """Selects runs of lower priorities to stop for units of the highest priority that would otherwise be late."""
     first = [step for step in blocked if step.queue.spec.priority == PREEMPTING_PRIORITY and now >= step.preempt_at]
     first.sort(key=lambda step: (step.late, step.latest_start, step.order))
     preemptions: list[Preemption] = []
@@ -87,6 +89,7 @@
 
 
 def _preemption_limit_reached(step: Step, pool: Pool) -> bool:
+    """Returns whether runs are already being stopped for the step, or for as many steps as the service allows."""
     own_reservation = pool.reservations.get(step.key)
     preempting_count = sum(reservation.preempts for reservation in pool.reservations.values())
     return (own_reservation is not None and own_reservation.preempts) or preempting_count > len(
@@ -95,7 +98,7 @@
 
 
 def _needs_preemption(step: Step, pool: Pool, now: float) -> bool:
-    """Whether a step would be late if it waited for runs to end by themselves, but not if some are stopped."""
+    """Returns whether a step would be late if it waited for runs to end, but not if some runs are stopped."""
     spec = step.spec
     if now + PREEMPTION_MIN_FRACTION * spec.estimate_s > spec.objective_at and not spec.long_running:
         return False
@@ -107,5 +110,5 @@
 
 
 def blocked_steps(pool: Pool) -> Iterator[Step]:
-    """The first steps of each lane that do not wait by choice."""
+    """Yields the first steps of each bucket that are not in a bounded wait."""
     return (step for step in pool.first_steps(MAX_BLOCKED_STEPS) if step.retry_at == inf)
--- a/millethead/scheduling/scheduler.py
+++ b/millethead/scheduling/scheduler.py
@@ -1,18 +1,20 @@
-"""Which waiting task starts next, and on which worker. Pure: time is an argument, randomness is given.
+"""Decides which waiting task starts next and on which worker. Deterministic: the time and the random source are
+arguments.
 
-When room frees, the queue with the smallest due local tag has its turn, otherwise that with the smallest global tag
-(`tags`); a queue of which nothing fits is passed over. Within the queue the most urgent unit that fits goes (`state`),
-to a random fitting worker weighted by room (`placement`).
+When resources become free, the queue with the smallest due local tag gets the next turn, otherwise the queue with the
+smallest global tag (`tags`). A queue from which nothing fits is skipped. Within the queue, the most urgent unit that
+fits is placed (`state`) on a random fitting worker, weighted by free resources (`placement`).
 
-Floors and weights follow from the configuration and from the work that arrives, both in slot-starts per second (a slot
-is an eighth of the service's largest worker; a unit's size is the room it takes, in slots):
+Floors and weights follow from the configuration and from the arriving work. Both are rates in slots started per second.
+A slot is an eighth of the service's largest worker, and the size of a unit is the number of slots that it occupies.
 
-- M_i = arrival rate x `FLOOR_STEP` ** priority: priority 0 is guaranteed what it brings, the others ever less of it;
-- w_i = arrival rate x `WEIGHT_STEP` ** -priority / slack, where slack = target + (skew - 1) x mean estimate is the time
-  that a job of the queue may lose by waiting: equal priorities share what is left so that each waits about as long as
-  it can bear.
+- M_i = arrival rate x `FLOOR_RATIO` ** priority: priority 0 is guaranteed its arrival rate, each lower priority a
+  smaller part of its own.
+- w_i = arrival rate x `WEIGHT_RATIO` ** -priority / slack, where slack = target + (skew - 1) x mean estimate is the
+  time that a job of the queue can wait without being late. Queues of equal priority share the rest so that each waits
+  in proportion to its slack.
 
-A new head starts with all queues anew at now: the tags are not replicated.
+The tags are not replicated. A new head starts all queues anew at its own start time.
 """
 
 from __future__ import annotations
@@ -52,12 +54,12 @@
 
 
 class Scheduler:
-    """The decisions for all workers and queues of one cell."""
+    """The scheduling decisions for all workers and queues of one cell."""
 
     def __init__(self, random: Random, remote_factor: float = REMOTE_RUNTIME_FACTOR) -> None:
         self._host_selector = HostSelector(random, remote_factor)
         self._queue_scanner = QueueScanner(self._host_selector)
-        self.health = Health()  # what is held of the workers
+        self.health = Health()  # health states of the workers
         self._runtime_observer = RuntimeObserver(self.health, remote_factor)
         self._host_health = HostHealthUpdater(self.health)
         self._queues: dict[str, QueueSpec] = {}
@@ -67,10 +69,10 @@
         self._runs: dict[RunKey, Run] = {}
         self._steps_seen = 0
 
-    # ---- what is known ---------------------------------------------------------------------------------------------
+    # ---- events ----------------------------------------------------------------------------------------------------
 
     def set_queues(self, queues: Iterable[QueueSpec]) -> None:
-        """Take over the queues in force; those that stay keep their tags."""
+        """Sets the configured queues. Queues that stay keep their tags."""
         self._queues = {queue.name: queue for queue in queues}
         for pool in self._pools.values():
             for queue in pool.queues.values():
@@ -79,7 +81,7 @@
             pool.capacity_grew()
 
     def put_worker(self, worker: WorkerState) -> None:
-        """A worker is new or has changed. What is booked there stays booked."""
+        """Adds a worker or updates its state. Its allocations are kept."""
         host = self._hosts.get(worker.instance)
         if host is None:
             self._new_host(worker)
@@ -100,7 +102,7 @@
         self._host_health.mark_changed(pool, host)
 
     def remove_worker(self, instance: str) -> None:
-        """A worker is gone. Its runs stay known until `run_ended`."""
+        """Removes a worker. Its runs remain until `run_ended`."""
         host = self._hosts.pop(instance, None)
         if host is not None:
             pool = self._pool(host.service)
@@ -111,13 +113,13 @@
         self.health.remove_worker(instance)
 
     def worker(self, instance: str) -> WorkerState | None:
-        """A worker with its free room."""
+        """Returns the state of a worker with its free resources, or None if it is unknown."""
         host = self._hosts.get(instance)
         return host.state if host else None
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing waits, runs, or has room kept for it."""
+        """Whether there are no steps, runs, waiting units or reservations."""
         idle = all(
             not pool.reservations
             and not any(queue.waiting for queue in pool.tags.queues.values())
@@ -127,7 +129,9 @@
         return idle and not self._steps and not self._runs
 
     def put_step(self, step: PendingStep) -> None:
-        """A step becomes known, or more of its tasks wait. The waiting times of its tasks count as its arrival."""
+        """Adds a step, or more waiting tasks of a known step. The latest waiting time of its tasks counts as the
+        arrival time.
+        """
         record = self._steps.get(step.key)
         now = max((task.waiting_since for task in step.tasks.values()), default=step.objective_at)
         if record is None:
@@ -137,19 +141,19 @@
         update_step_bookkeeping(record, now)
 
     def task_waits(self, key: StepKey, task: PendingTask, now: float) -> None:
-        """A task waits (again) for a worker. Raises UnknownStep."""
+        """Adds a waiting task of a known step. Raises UnknownStep."""
         step = self._step(key)
         step.tasks[task.index] = task
         update_step_bookkeeping(step, now)
 
     def task_withdrawn(self, key: StepKey, index: int) -> None:
-        """A task no longer waits."""
+        """Removes a waiting task."""
         step = self._steps.get(key)
         if step is not None and step.tasks.pop(index, None) is not None:
             update_step_bookkeeping(step, None)
 
     def remove_step(self, key: StepKey) -> None:
-        """A step is over or cancelled. What of it still runs stays booked until `run_ended`."""
+        """Removes a step that is finished or cancelled. Its runs stay allocated until `run_ended`."""
         step = self._steps.pop(key, None)
         if step is None:
             return
@@ -161,8 +165,10 @@
         self._remove_idle_queues(step.queue.pool)
 
     def run_started(self, key: StepKey, index: int, instance: str, run: int, now: float) -> None:
-        """A run is known to exist; it is booked unless `schedule` has booked it. Raises UnknownStep where neither the
-        run nor its step is known."""
+        """Records that a run exists and allocates its resources unless `schedule` has done so.
+
+        Raises UnknownStep if neither the run nor its step is known.
+        """
         known_run = self._runs.get((key, index, instance))
         if known_run is None:
             known_run = self._allocate_run(self._step(key), index, instance, now)
@@ -173,13 +179,13 @@
             update_step_bookkeeping(known_run.step, now)
 
     def record_runtime(self, key: StepKey, index: int, instance: str, run: int, seconds: float) -> None:
-        """How long a run ran, as its agent saw it; its end follows."""
+        """Records the runtime of a run (s), as measured by its agent. `run_ended` follows."""
         known_run = self._runs.get((key, index, instance))
         if known_run is not None and known_run.number == run:
             known_run.runtime_s = seconds
 
     def run_ended(self, key: StepKey, index: int, instance: str, run: int, outcome: RunEnd, now: float) -> None:
-        """A run is over and its room is free. An end of a run that is older than the one booked is passed over."""
+        """Records the end of a run and releases its resources. The end of an older run is ignored."""
         known_run = self._runs.get((key, index, instance))
         if known_run is None or run < known_run.number:
             return
@@ -191,7 +197,7 @@
         self._apply_health()
 
     def progress(self, key: StepKey, index: int, instance: str, percent: int, now: float) -> None:
-        """A worker has listed a run with its percentage."""
+        """Records the percentage that a worker has reported for a run."""
         run = self._runs.get((key, index, instance))
         if run is None:
             return
@@ -199,20 +205,25 @@
         self._apply_health()
 
     def stalled(self, now: float) -> tuple[Preemption, ...]:
-        """Runs that stand still though they should move, also those that are being stopped: they may be moved, if that
-        is worth the work thrown away."""
-        return tuple(Preemption(*name) for name in self.health.stalled() if name in self._runs)
+        """Returns the stalled runs, including those that are being stopped.
+
+        The caller decides whether moving a run is worth the work lost.
+        """
+        return tuple(Preemption(*run) for run in self.health.stalled() if run in self._runs)
 
     def poll_interval_s(self, instance: str) -> float:
-        """The least time between two looks at a worker (s), whatever runs there."""
+        """Returns the least time between two polls of a worker (s), regardless of what runs there."""
         host = self._hosts.get(instance)
         return service_poll_interval_s(self._pool(host.service)) if host is not None else SCARCE_POLL_INTERVAL_S
 
     # ---- decisions -------------------------------------------------------------------------------------------------
 
     def schedule(self, now: float) -> Decision:
-        """Place what can be placed, and say what is to be stopped. Placements are booked, and each must be followed by
-        `run_ended` some time; what is to be stopped is expected to end soon."""
+        """Places all units that can be placed and selects the runs to stop.
+
+        Placements are allocated at once, and each must be followed by `run_ended` eventually. Preempted runs are
+        expected to end soon.
+        """
         self.health.start_probes(now)
         self._apply_health()
         placements: list[Placement] = []
@@ -229,7 +240,7 @@
         )
 
     def why_waiting(self, key: StepKey, index: int, now: float) -> WaitReason:
-        """Why a task has not been placed, as of the last round."""
+        """Returns why a task was not placed in the last round."""
         step = self._steps.get(key)
         if step is None or index not in step.tasks:
             return WaitReason.NOT_WAITING
@@ -238,11 +249,15 @@
         return wait_reason(step, step.queue.pool, now)
 
     def _schedule_pool(self, pool: Pool, now: float) -> list[Placement]:
-        """Turns by the tags until nothing fits. Room only shrinks meanwhile: a queue passed over stays so."""
+        """Gives the queues their turns in tag order until nothing fits.
+
+        Resources only shrink during a round, so that a queue from which nothing fits is not tried again.
+        """
         pool.dirty, pool.next_round_at = False, inf
         placements: list[Placement] = []
         headroom = PriorityHeadroom(pool, now)
-        open_queues = {name: None for name, queue in pool.queues.items() if queue.buckets}  # in a fixed order
+        # A dict keeps the order of the queues deterministic.
+        open_queues = {name: None for name, queue in pool.queues.items() if queue.buckets}
         while open_queues:
             for name in pool.tags.order(open_queues, now):
                 queue = pool.queues[name]
@@ -261,7 +276,7 @@
         return placements
 
     def _place_starving(self, pool: Pool, now: float) -> list[Placement]:
-        """Units that nothing but a lack of room may hold back any more (`starvation`)."""
+        """Places starving units, for which only free resources, labels and anti-affinity count (`starvation`)."""
         update_underused_since(pool, now)
         placements: list[Placement] = []
         for step in starving_steps(pool, now):
@@ -316,7 +331,7 @@
         pool.capacity_grew(host)
 
     def _cancel_host_reservation(self, host: Host, pool: Pool) -> None:
-        """The host can keep no room any more: the step looks for another."""
+        """Cancels the reservation on a host that can no longer hold it. The step may reserve other hosts later."""
         if host.reservation is not None:
             reservation = next(known for known in pool.reservations.values() if known is host.reservation)
             cancel_reservation(reservation.step, pool)
@@ -338,7 +353,7 @@
         self._pool(host.service).hosts.allocate(host, run.needs)
 
     def _release_run(self, run: Run) -> None:
-        """Undo a booking."""
+        """Releases the allocation of a run."""
         del self._runs[run.key]
         run.step.remove_run(run.index, run.instance)
         del run.step.runs[run]
@@ -355,7 +370,7 @@
     # ---- health ----------------------------------------------------------------------------------------------------
 
     def _apply_health(self) -> None:
-        """Carry what has changed over to the hosts."""
+        """Applies changed health states to the hosts."""
         for instance in sorted(self.health.changed):
             host = self._hosts.get(instance)
             if host is not None:
@@ -364,7 +379,7 @@
         self._host_health.apply()
 
     def _remove_idle_queues(self, pool: Pool) -> None:
-        """Drop queues that are no longer configured and of which nothing is known."""
+        """Removes queues that are no longer configured and have no steps."""
         for name in [name for name, queue in pool.queues.items() if not queue.known_steps and name not in self._queues]:
             del pool.queues[name]
             pool.tags.forget(name)
--- a/millethead/scheduling/starvation.py
+++ b/millethead/scheduling/starvation.py
@@ -1,9 +1,9 @@
-"""Units that wait although their service is little used.
+"""Finds steps that starve although their service is underused.
 
-A unit may wait by choice (for the rack of its data, for another worker than the one it failed on), or because the
-workers with room are avoided for their health or keep it for a larger unit. While less than about half of the service
-is in use, none of that may hold a step back for long of which nothing runs: after `STARVATION_S` only room, labels and
-anti-affinity count. The rules call a job LOST whose step waits for 3 s in that way.
+A unit may be delayed by a bounded wait (for the rack of its data, or for a worker on which it has not failed), or
+because the workers with free resources are unhealthy or reserved for a larger unit. While the service is underused,
+none of that may delay a step without any run for long: after `STARVATION_S` only free resources, labels and
+anti-affinity count. By the scheduling rules, a job is LOST if one of its steps waits in this way for 3 s.
 """
 
 from __future__ import annotations
@@ -13,20 +13,22 @@
 
 from millethead.scheduling.state import Pool, Step
 
-STARVATION_S = 2.0  # leaves a second to commit the assignment and to start the run
-UNDERUSED_SHARE = 0.6  # part of the service that is booked; of that, up to a tenth has not begun or has ended already
-MAX_BUSY_SPELL_S = 1.0  # a service that is more in use for less than this counts as little used meanwhile
-MAX_IDLE_STEPS = 4  # idle steps of each lane that are looked at
-MAX_SCANNED_STEPS = 64  # steps of each lane among which they are sought
+STARVATION_S = 2.0  # leaves 1 s of the 3 s to commit the assignment and to start the run
+# Allocated share below which a service is underused, which is about half in actual use: up to a tenth is allocated to
+# runs that have not started yet or have already ended.
+UNDERUSED_SHARE = 0.6
+MAX_BUSY_SPELL_S = 1.0  # shorter spells of higher use do not end an underused period
+MAX_IDLE_STEPS = 4  # steps without runs examined in each bucket
+MAX_SCANNED_STEPS = 64  # steps of each bucket among which they are searched
 
 
 def is_underused(pool: Pool) -> bool:
-    """Whether so little of a service is in use that nothing may wait there by choice for long."""
+    """Returns whether so little of a service is in use that no step may be delayed for long."""
     return pool.hosts.used_share < UNDERUSED_SHARE
 
 
 def update_underused_since(pool: Pool, now: float) -> None:
-    """Note since when the service has been little used, short spells apart; called after every change of bookings."""
+    """Updates the time since when the service has been underused. Called after every change of allocations."""
     if not is_underused(pool):
         pool.busy_since = min(pool.busy_since, now)
         return
@@ -37,14 +39,14 @@
 
 
 def starving_steps(pool: Pool, now: float) -> list[Step]:
-    """Steps of which nothing runs and which have waited too long while the service was little used."""
+    """Returns the steps without runs that have waited too long while the service was underused."""
     if not is_underused(pool) or now < pool.underused_since + STARVATION_S:
         return []
     return [step for step in _idle_steps(pool) if now >= step.idle_since + STARVATION_S]
 
 
 def next_starvation_at(pool: Pool, now: float) -> float:
-    """When the next step may have waited too long; infinite where none can."""
+    """Returns the time at which the next step may starve; infinite if none can."""
     if not is_underused(pool):
         return inf
     ends = (max(step.idle_since, pool.underused_since) + STARVATION_S for step in _idle_steps(pool))
@@ -52,7 +54,7 @@
 
 
 def _idle_steps(pool: Pool) -> list[Step]:
-    """The first steps of each lane of which nothing runs."""
+    """Returns the first steps of each bucket without runs."""
     buckets = (bucket for queue in pool.queues.values() for bucket in queue.buckets.values())
     return [
         step
--- a/millethead/scheduling/tags.py
+++ b/millethead/scheduling/tags.py
@@ -1,16 +1,16 @@
-"""The tag arithmetic of RBFQ (RePAIR, 3.1 and 3.3), for any resource: real-time dual tags per queue.
+"""Tag arithmetic of the fair-queueing algorithm RBFQ (RePAIR, sections 3.1 and 3.3): real-time dual tags per queue.
 
-A unit that arrives at time t in queue i gets a local tag l = max(l_prev + s/M_i, t) and a global tag
-g = max(g_prev + s/w_i, t), where s is its size, M_i the queue's floor and w_i its weight. On each arrival all global
-tags shift so that the smallest equals t. The smallest due local tag goes first; when none is due, the smallest global
-tag goes, and the waiting local tags of its queue drop by s/M_i. A queue that returns from idleness may lag by at most
-the idle credit sigma/w_i.
+A unit that arrives at time t in queue i gets a local tag l = max(l_prev + s/M_i, t) and a global tag g = max(g_prev +
+s/w_i, t), where s is its size, M_i the floor of the queue and w_i its weight. On each arrival all global tags shift so
+that the smallest equals t. The queue with the smallest due local tag is served first. If no local tag is due, the queue
+with the smallest global tag is served, and its waiting local tags decrease by s/M_i. A queue that becomes active again
+may lag by at most the idle credit sigma/w_i.
 
-Tags belong to the turns of a queue, not to its units: whichever unit takes a turn, the queue's oldest tag is used up.
-Waiting tags are stored as arithmetic progressions, so that ten thousand tasks of one step cost one record. Global tags
-are stored without the shift; local tags are stored `lowered` too high.
+Tags belong to the turns of a queue, not to its units: whichever unit takes a turn, the oldest tag of the queue is used
+up. Waiting tags are stored as arithmetic progressions, so that ten thousand tasks of one step need one record. Stored
+global tags do not include the shift. Stored local tags do not include the reduction by global turns.
 
-Times are in one unit of the caller's choice, rates in sizes per that unit.
+The caller chooses the unit of time. Rates are sizes per that unit.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from enum import IntEnum
 from math import exp, inf
 
-IDLE_CREDIT = 2.0  # sigma: sizes' worth of global lag that a returning queue keeps
-MIN_RATE = 1e-9  # floors and weights are never 0
+IDLE_CREDIT = 2.0  # sigma: the global lag, in sizes, that a queue may keep when it becomes active again
+MIN_RATE = 1e-9  # least floor and weight, which avoids a division by zero
 
 
 class Phase(IntEnum):
-    """Which tag decides a turn; the local phase goes first."""
+    """The tag that decides a turn. The local phase comes first."""
 
     LOCAL = 0
     GLOBAL = 1
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class _Progression:
-    """`count` tags, the first at `local_tag` and `global_tag`, each further one by the steps later."""
+    """`count` tags: the first at `local_tag` and `global_tag`, the following ones at intervals of the two steps."""
 
     local_tag: float
     global_tag: float
@@ -45,8 +45,9 @@
 
 @dataclass(slots=True)
 class QueueTags:
-    """The waiting tags of one queue, oldest first. Change `floor` and `weight` at will: they count from the next
-    arrival on."""
+    """The waiting tags of one queue, oldest first. `floor` and `weight` may be changed; new values apply from the next
+    arrival on.
+    """
 
     floor: float = 1.0
     weight: float = 1.0
@@ -63,11 +64,11 @@
 
     @property
     def stored_global_tag(self) -> float:
-        """The smallest waiting global tag, without the common shift; infinite if nothing waits."""
+        """The smallest waiting global tag without the common shift; infinite if nothing waits."""
         return self._tags[0].global_tag if self._tags else inf
 
     def append(self, size: float, count: int, now: float, shift: float) -> None:
-        """Tag-Assignment for `count` units of one size."""
+        """Adds tags for `count` units of one size (Tag-Assignment in the paper)."""
         local_step = size / max(self.floor, MIN_RATE)
         global_step = size / max(self.weight, MIN_RATE)
         idle = not self.waiting and self._last_global != -inf
@@ -80,7 +81,7 @@
         self.waiting += count
 
     def pop(self, now: float) -> Phase:
-        """Use up the oldest tag; in the global phase the waiting local tags drop."""
+        """Uses up the oldest tag. In the global phase the waiting local tags decrease."""
         first = self._tags[0]
         phase = Phase.LOCAL if self.local_tag <= now else Phase.GLOBAL
         if phase is Phase.GLOBAL:
@@ -91,7 +92,7 @@
         return phase
 
     def drop(self) -> None:
-        """Take back the newest tag: a unit no longer waits and was not served."""
+        """Removes the newest tag, because a unit was withdrawn without being served."""
         last = self._tags[-1]
         self._last_local -= last.local_step
         self._last_global -= last.global_step
@@ -109,36 +110,39 @@
 
 
 class TagSchedule:
-    """The queues that compete for one pool of workers. A queue that is new starts at now; a process that takes over
-    starts with all queues anew at now: tags only order what waits, they owe nothing from the time before."""
+    """The tags of the queues that compete for one pool of workers.
+
+    A new queue starts at the current time. After a takeover all queues start anew: tags only order the waiting units
+    and carry no entitlement from earlier times.
+    """
 
     def __init__(self) -> None:
         self.queues: dict[str, QueueTags] = {}
         self._shift = 0.0
 
     def queue(self, name: str) -> QueueTags:
-        """The tags of a queue, made on first use."""
+        """Returns the tags of a queue, created on first use."""
         if name not in self.queues:
             self.queues[name] = QueueTags()
         return self.queues[name]
 
     def forget(self, name: str) -> None:
-        """Drop a queue with all its tags."""
+        """Removes a queue with all its tags."""
         self.queues.pop(name, None)
 
     def arrive(self, name: str, size: float, count: int, now: float) -> None:
-        """Tag-Adjustment, then Tag-Assignment."""
+        """Shifts the global tags and adds tags for new units (Tag-Adjustment and Tag-Assignment in the paper)."""
         smallest = min((queue.stored_global_tag for queue in self.queues.values()), default=inf)
         if smallest < inf:
             self._shift = now - smallest
         self.queue(name).append(size, count, now, self._shift)
 
     def global_tag(self, name: str) -> float:
-        """The smallest global tag of a queue with the shift; infinite if nothing waits."""
+        """Returns the smallest global tag of a queue including the shift; infinite if nothing waits."""
         return self.queues[name].stored_global_tag + self._shift
 
     def rank(self, name: str, now: float) -> tuple[Phase, float]:
-        """What is compared between queues: the smallest goes first."""
+        """Returns the sort key of a queue; the smallest is served first."""
         queue = self.queues[name]
         local_tag = queue.local_tag
         if local_tag <= now:
@@ -146,21 +150,21 @@
         return Phase.GLOBAL, queue.stored_global_tag
 
     def order(self, names: Iterable[str], now: float) -> list[str]:
-        """The queues in the order of their turns, those without a waiting tag left out."""
+        """Returns the queues in the order of their turns, without those that have no waiting tag."""
         return sorted((name for name in names if self.queues[name].waiting), key=lambda name: self.rank(name, now))
 
     def take(self, name: str, now: float) -> Phase:
-        """Request Scheduling: the queue's turn is used."""
+        """Uses the turn of a queue (Request Scheduling in the paper)."""
         return self.queues[name].pop(now)
 
     def withdraw(self, name: str) -> None:
-        """One unit of the queue no longer waits."""
+        """Removes the tag of a unit that no longer waits."""
         if self.queues[name].waiting:
             self.queues[name].drop()
 
 
 class ArrivalRate:
-    """Sizes that arrive per unit of time, with an exponential window."""
+    """The arriving size per unit of time, averaged over an exponential window."""
 
     __slots__ = ("_rate", "_window", "_at")
 
@@ -168,10 +172,10 @@
         self._rate, self._window, self._at = start, window, -inf
 
     def add(self, size: float, now: float) -> None:
-        """Note an arrival."""
+        """Records an arrival."""
         self._rate = self.rate(now) + size / self._window
         self._at = now
 
     def rate(self, now: float) -> float:
-        """The rate as of `now`."""
+        """Returns the rate as of `now`."""
         return self._rate if self._at == -inf else self._rate * exp(-max(0.0, now - self._at) / self._window)
--- a/millethead/scheduling/trust.py
+++ b/millethead/scheduling/trust.py
@@ -1,7 +1,8 @@
-"""How much the hosts of a service are used, by the health of their workers.
+"""Derives the health of the hosts of a service from the health of their workers.
 
-Where less than half of a service's workers are trusted, the fault is hardly theirs, and there is nobody else: then none
-is left out altogether. Only hosts whose standing has changed are looked at, all of them where that half is crossed.
+If fewer than half of a service's workers are healthy, the cause is unlikely to be the workers, and there are no others
+to use. Then no host is excluded entirely. Only hosts whose worker has changed are updated; all hosts are updated if the
+service crosses that limit.
 """
 
 from __future__ import annotations
@@ -15,18 +16,18 @@
 
 
 class HostHealthUpdater:
-    """Carries the standing of workers over to the hosts that stand for them."""
+    """Applies the health of workers to their hosts."""
 
     def __init__(self, health: Health) -> None:
         self._health = health
         self._changed: dict[Pool, dict[Host, None]] = {}
 
     def mark_changed(self, pool: Pool, *hosts: Host) -> None:
-        """These hosts are to be looked at, and whether their service trusts enough of its workers."""
+        """Marks hosts for the next `apply`, which also checks how many workers of the service are healthy."""
         self._changed.setdefault(pool, {}).update(dict.fromkeys(hosts))
 
     def apply(self) -> None:
-        """Show what has been noted; a host that is to be used more may fit what waits."""
+        """Updates the marked hosts. A host whose health improves may fit waiting units."""
         changed, self._changed = self._changed, {}
         for pool, hosts in changed.items():
             hosts_by_instance = pool.hosts.by_instance
--- a/millethead/scheduling/upkeep.py
+++ b/millethead/scheduling/upkeep.py
@@ -1,4 +1,4 @@
-"""Keeps tags, lane and backlog in line with the units of a step that wait."""
+"""Keeps tags, buckets and backlog consistent with the waiting units of a step."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def update_step_bookkeeping(step: Step, now: float | None) -> None:
-    """The waiting tasks or the runs of a step have changed; `now` is None where no unit can have come."""
+    """Updates the bookkeeping after the waiting tasks or the runs of a step have changed.
+
+    `now` is None if no unit can have been added.
+    """
     queue = step.queue
     added_units = step.units - step.tagged_units
     if added_units > 0 and now is not None:
@@ -25,7 +28,7 @@
 
 
 def _units_arrived(step: Step, units: int, now: float) -> None:
-    """Units have come: they count for the rate of their queue, and get tags."""
+    """Counts new units in the arrival rates of their queue and adds their tags."""
     queue = step.queue
     size = queue.pool.hosts.slots(step.spec.needs) * step.members
     queue.rate.add(size * units, now)
@@ -36,7 +39,7 @@
 
 
 def _update_bucket(step: Step, now: float | None) -> None:
-    """A step stands in its lane while a unit of it waits."""
+    """Keeps a step in its bucket while at least one of its units waits."""
     buckets = step.queue.buckets
     if step.units and step.bucket is not None:
         step.bucket.tried_generation = -1
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""The scheduler's decisions: tags, places, gangs, reservations, preemption and what is learnt of workers."""
+"""The scheduler's decisions: tags, placement, gangs, reservations, preemption, worker health and polling intervals."""
 
 from __future__ import annotations
 
@@ -143,7 +143,7 @@
     assert tags.global_tag("a") == pytest.approx(5.25)
 
 
-def test_a_global_turn_lowers_the_waiting_local_tags() -> None:
+def test_global_turn_reduces_waiting_local_tags() -> None:
     tags = TagSchedule()
     tags.queue("a").floor = 10.0
     tags.arrive("a", 1.0, 3, 5.0)
@@ -152,7 +152,7 @@
     assert tags.queue("a").local_tag == pytest.approx(5.1)
 
 
-def test_an_arrival_shifts_all_global_tags_so_that_the_smallest_is_now() -> None:
+def test_arrival_shifts_global_tags_so_that_the_smallest_equals_now() -> None:
     tags = TagSchedule()
     tags.arrive("a", 1.0, 2, 1.0)
     tags.arrive("b", 1.0, 1, 3.0)
@@ -161,7 +161,7 @@
     assert min(tags.global_tag(name) for name in "abc") == pytest.approx(9.0)
 
 
-def test_spacing_grows_with_the_size_of_the_unit() -> None:
+def test_tag_spacing_is_proportional_to_unit_size() -> None:
     tags = TagSchedule()
     tags.queue("a").floor = 2.0
     tags.arrive("a", 4.0, 2, 0.0)
@@ -169,7 +169,7 @@
     assert tags.queue("a").local_tag == pytest.approx(2.0)
 
 
-def test_a_queue_that_was_idle_lags_by_its_credit_at_most() -> None:
+def test_reactivated_queue_lags_by_at_most_its_idle_credit() -> None:
     tags = TagSchedule()
     tags.queue("a").weight = tags.queue("b").weight = 1.0
     tags.arrive("a", 1.0, 1, 0.0)
@@ -181,7 +181,7 @@
     assert tags.global_tag("a") == pytest.approx(1.0 - 2.0)
 
 
-def test_a_withdrawn_unit_takes_the_newest_tag_with_it() -> None:
+def test_withdrawn_unit_removes_the_newest_tag() -> None:
     tags = TagSchedule()
     tags.arrive("a", 1.0, 2, 0.0)
     tags.arrive("a", 1.0, 1, 0.0)
@@ -193,10 +193,10 @@
     assert tags.queue("a").waiting == 0
 
 
-def _served(
+def _count_turns(
     floors: dict[str, float], weights: dict[str, float], rate: float, starts: int, backlog: int = 10
 ) -> Counter[str]:
-    """Starts of each queue at one start per 1 / rate; each start is followed by an arrival."""
+    """Returns the turns of each queue at one turn per 1 / rate; each turn is followed by an arrival."""
     tags, served = TagSchedule(), Counter[str]()
     for name in floors:
         tags.queue(name).floor, tags.queue(name).weight = floors[name], weights[name]
@@ -210,24 +210,24 @@
     return served
 
 
-def test_shares_follow_the_weights_when_floors_are_met() -> None:
-    served = _served({"a": 1.0, "b": 1.0, "c": 1.0}, {"a": 1.0, "b": 2.0, "c": 5.0}, 100.0, 10_000)
+def test_shares_follow_weights_when_floors_are_met() -> None:
+    served = _count_turns({"a": 1.0, "b": 1.0, "c": 1.0}, {"a": 1.0, "b": 2.0, "c": 5.0}, 100.0, 10_000)
     assert served["a"] == pytest.approx(1250, rel=0.05)
     assert served["b"] == pytest.approx(2500, rel=0.05)
     assert served["c"] == pytest.approx(6250, rel=0.05)
 
 
-def test_a_floor_holds_whatever_the_weights() -> None:
-    served = _served({"a": 40.0, "b": 1e-6}, {"a": 1.0, "b": 99.0}, 100.0, 10_000)
+def test_floor_is_met_regardless_of_weights() -> None:
+    served = _count_turns({"a": 40.0, "b": 1e-6}, {"a": 1.0, "b": 99.0}, 100.0, 10_000)
     assert served["a"] == pytest.approx(4000, rel=0.05)
 
 
-def test_floors_beyond_capacity_share_in_their_ratio() -> None:
-    served = _served({"a": 100.0, "b": 200.0}, {"a": 9.0, "b": 1.0}, 100.0, 10_000, backlog=10_000)
+def test_floors_beyond_capacity_share_in_proportion() -> None:
+    served = _count_turns({"a": 100.0, "b": 200.0}, {"a": 9.0, "b": 1.0}, 100.0, 10_000, backlog=10_000)
     assert served["a"] == pytest.approx(3333, rel=0.05)
 
 
-def test_the_arrival_rate_forgets() -> None:
+def test_arrival_rate_decays() -> None:
     rate = ArrivalRate(10.0)
     for number in range(1000):
         rate.add(2.0, number * 0.1)
@@ -235,10 +235,10 @@
     assert rate.rate(200.0) < 0.01
 
 
-# ---- places ------------------------------------------------------------------------------------------------
+# ---- placement ---------------------------------------------------------------------------------------------
 
 
-def test_a_task_goes_to_a_worker_of_its_service_with_room() -> None:
+def test_task_is_placed_on_a_worker_of_its_service_with_capacity() -> None:
     scheduler = make_scheduler(make_worker("other", service="t"), make_worker("w"))
     scheduler.put_step(make_step("j", count=20))
     decision = scheduler.schedule(0.0)
@@ -248,7 +248,7 @@
     assert scheduler.why_waiting(StepKey("j", 0, 0), 17, 0.0) is WaitReason.ROOM
 
 
-def test_room_comes_back_only_with_the_end() -> None:
+def test_resources_are_released_only_when_the_run_ends() -> None:
     scheduler = make_scheduler(make_worker("w"))
     scheduler.put_step(make_step("j", count=2, needs=WHOLE))
     first = scheduler.schedule(0.0).placements
@@ -258,7 +258,7 @@
     assert len(scheduler.schedule(2.0).placements) == 1
 
 
-def test_an_older_run_does_not_free_the_room_of_a_newer_one() -> None:
+def test_end_of_an_older_run_does_not_release_a_newer_one() -> None:
     scheduler = make_scheduler(make_worker("w"))
     scheduler.put_step(make_step("j", needs=WHOLE))
     (placement,) = scheduler.schedule(0.0).placements
@@ -269,7 +269,7 @@
     assert free_cpu(scheduler, "w") == 32_000
 
 
-def test_known_runs_are_booked_before_and_after_their_worker_is_known() -> None:
+def test_known_runs_are_allocated_whether_or_not_their_worker_is_known_yet() -> None:
     scheduler = make_scheduler(make_worker("a"))
     scheduler.put_step(make_step("j", count=2, needs=HALF))
     scheduler.run_started(StepKey("j", 0, 0), 0, "a", 1, 0.0)
@@ -279,7 +279,7 @@
     assert not scheduler.schedule(0.0).placements
 
 
-def test_a_worker_that_says_something_new_keeps_its_bookings() -> None:
+def test_updated_worker_keeps_its_allocations() -> None:
     scheduler = make_scheduler(make_worker("w"))
     scheduler.put_step(make_step("j", needs=HALF))
     scheduler.schedule(0.0)
@@ -289,7 +289,7 @@
     assert free_cpu(scheduler, "w") == 0
 
 
-def test_a_label_is_required() -> None:
+def test_required_label_restricts_placement() -> None:
     scheduler = make_scheduler(make_worker("plain"), make_worker("fits", labels=frozenset({"a"})))
     scheduler.put_step(make_step("j", count=30, requires="a"))
     assert {placement.instance for placement in scheduler.schedule(0.0).placements} == {"fits"}
@@ -299,7 +299,7 @@
 
 
 @pytest.mark.parametrize("closed", [make_worker("w", draining=True), make_worker("w", reachable=False)])
-def test_closed_workers_get_nothing(closed: WorkerState) -> None:
+def test_unschedulable_workers_get_no_tasks(closed: WorkerState) -> None:
     scheduler = make_scheduler(closed)
     scheduler.put_step(make_step("j"))
     assert not scheduler.schedule(0.0).placements
@@ -318,7 +318,7 @@
     assert again.instance == first[0].instance
 
 
-def test_anti_affinity_counts_runs_named_in_the_step() -> None:
+def test_anti_affinity_counts_runs_listed_in_the_step() -> None:
     scheduler = make_scheduler(make_worker("a"))
     pending = make_step("j", count=2, anti_affinity=1)
     del pending.tasks[0]
@@ -327,7 +327,7 @@
     assert not scheduler.schedule(0.0).placements
 
 
-def test_picks_follow_room() -> None:
+def test_choice_of_workers_is_weighted_by_capacity() -> None:
     scheduler = make_scheduler(make_worker("wide"), make_worker("narrow", capacity=Resources(8_000, 65_536, 8)))
     picks: Counter[str] = Counter()
     for number in range(2000):
@@ -338,7 +338,7 @@
     assert picks["narrow"] == pytest.approx(2000 * 4 / 12, rel=0.15)
 
 
-def test_the_nearest_objective_goes_first_and_hopeless_jobs_last() -> None:
+def test_nearest_objective_goes_first_and_hopeless_jobs_last() -> None:
     scheduler = make_scheduler(make_worker("w"))
     scheduler.put_step(make_step("later", needs=WHOLE, objective_at=9.0))
     scheduler.put_step(make_step("hopeless", needs=WHOLE, objective_at=1.0))
@@ -351,7 +351,7 @@
     assert order == ["near", "later", "hopeless"]
 
 
-def test_a_better_priority_goes_first() -> None:
+def test_higher_priority_goes_first() -> None:
     queues = (make_queue("low", 2), make_queue("high", 0))
     scheduler = make_scheduler(make_worker("w"), queues=queues)
     scheduler.put_step(make_step("l", count=40, queue="low", needs=HALF))
@@ -379,7 +379,7 @@
         scheduler.task_waits(StepKey("k", 0, 0), PendingTask(0, "", 0.0), 0.0)
 
 
-def test_a_checkpoint_goes_with_the_placement() -> None:
+def test_placement_carries_the_checkpoint() -> None:
     scheduler = make_scheduler(make_worker("w"))
     scheduler.put_step(make_step("j"))
     (placement,) = scheduler.schedule(0.0).placements
@@ -389,7 +389,7 @@
     assert again.checkpoint == "saved"
 
 
-def test_room_that_came_back_on_a_lost_or_moved_worker_is_not_used() -> None:
+def test_released_resources_of_a_removed_or_moved_worker_are_not_used() -> None:
     scheduler = make_scheduler(make_worker("a"), make_worker("b"))
     scheduler.put_step(make_step("j", count=4, needs=WHOLE))
     first = scheduler.schedule(0.0).placements
@@ -400,7 +400,7 @@
     assert not scheduler.schedule(1.0).placements
 
 
-def test_tasks_that_last_are_spread() -> None:
+def test_long_running_tasks_are_spread() -> None:
     scheduler = make_scheduler(*(make_worker(f"w{number}", f"r{number // 2}") for number in range(6)))
     for number in range(6):
         scheduler.put_step(make_step(f"j{number}", long_running=True))
@@ -408,13 +408,13 @@
     assert max(Counter(placement.instance for placement in placements).values()) <= 2
 
 
-def test_small_tasks_leave_room_for_large_ones() -> None:
+def test_small_tasks_avoid_fragmenting_room_for_large_ones() -> None:
     scheduler = make_scheduler(make_worker("empty"), make_worker("used"))
-    large_needs = Resources(6_500, 17_000, 4)
+    large_step = Resources(6_500, 17_000, 4)
     scheduler.put_step(make_step("l", needs=Resources(1_000, 1_000, 6)))
     (placed,) = scheduler.schedule(0.0).placements
     other = "empty" if placed.instance == "used" else "used"
-    scheduler.put_step(make_step("large", needs=large_needs, requires="nowhere", since=30.0, objective_at=99.0))
+    scheduler.put_step(make_step("large", needs=large_step, requires="nowhere", since=30.0, objective_at=99.0))
     picks: Counter[str] = Counter()
     for number in range(200):
         scheduler.put_step(make_step(f"j{number}", needs=Resources(500, 500, 1), since=31.0))
@@ -427,12 +427,11 @@
 # ---- racks and retries -------------------------------------------------------------------------------------
 
 
-def test_a_task_waits_a_little_for_the_rack_of_its_data() -> None:
+def test_task_waits_a_bounded_time_for_the_rack_of_its_data() -> None:
     scheduler = make_scheduler(make_worker("near", "r1"), make_worker("far", "r2"), make_worker("other", "r3"))
     scheduler.put_step(make_step("block", needs=WHOLE, requires="r1"))
-    scheduler.put_step(
-        make_step("use", needs=WHOLE, requires="r3")
-    )  # of a service that is little used, nobody waits so long
+    # Uses enough of the service that the task does not starve before its wait ends.
+    scheduler.put_step(make_step("use", needs=WHOLE, requires="r3"))
     scheduler.schedule(0.0)
     scheduler.put_step(make_step("j", affinity="r1", estimate_s=4.0, since=1.0))
     decision = scheduler.schedule(1.0)
@@ -443,20 +442,20 @@
     assert placement.instance == "far"
 
 
-def test_a_free_rack_with_the_data_is_preferred() -> None:
+def test_rack_with_the_data_is_preferred() -> None:
     scheduler = make_scheduler(*(make_worker(f"w{number}", f"r{number}") for number in range(8)))
     for number in range(12):
         scheduler.put_step(make_step(f"j{number}", affinity="r3"))
     assert {placement.instance for placement in scheduler.schedule(0.0).placements} == {"w3"}
 
 
-def test_nobody_waits_for_a_rack_that_is_gone() -> None:
+def test_task_does_not_wait_for_a_missing_rack() -> None:
     scheduler = make_scheduler(make_worker("far", "r2"))
     scheduler.put_step(make_step("j", affinity="r1"))
     assert scheduler.schedule(0.0).placements
 
 
-def test_a_retry_goes_elsewhere_but_not_for_ever() -> None:
+def test_retry_avoids_the_failed_worker_while_another_exists() -> None:
     scheduler = make_scheduler(make_worker("a"), make_worker("b"))
     scheduler.put_step(make_step("j", avoid=frozenset({"a"})))
     (placement,) = scheduler.schedule(0.0).placements
@@ -468,7 +467,7 @@
     assert scheduler.why_waiting(StepKey("k", 0, 0), 0, 0.0) is WaitReason.ROOM
 
 
-def test_a_retry_waits_for_another_worker_a_bounded_time() -> None:
+def test_retry_waits_a_bounded_time_for_another_worker() -> None:
     scheduler = make_scheduler(make_worker("a"), make_worker("b"))
     scheduler.put_step(make_step("block", needs=WHOLE, avoid=frozenset({"a"})))
     scheduler.schedule(0.0)
@@ -484,7 +483,7 @@
 # ---- gangs -------------------------------------------------------------------------------------------------
 
 
-def test_a_gang_is_placed_whole_or_not_at_all() -> None:
+def test_gang_is_placed_whole_or_not_at_all() -> None:
     scheduler = make_scheduler(make_worker("a"), make_worker("b"))
     scheduler.put_step(make_step("block", needs=HALF))
     (blocking,) = scheduler.schedule(0.0).placements
@@ -495,7 +494,7 @@
     assert sorted(placement.index for placement in placements) == [0, 1, 2, 3]
 
 
-def test_a_gang_waits_for_all_members_and_all_ends() -> None:
+def test_gang_waits_for_all_members_and_all_ends() -> None:
     scheduler = make_scheduler(make_worker("a"), make_worker("b"))
     scheduler.put_step(make_step("g", count=2, gang=True))
     first = scheduler.schedule(0.0).placements
@@ -508,7 +507,7 @@
     assert len(scheduler.schedule(1.2).placements) == 2
 
 
-def test_a_gang_goes_back_to_where_it_failed_after_a_while() -> None:
+def test_gang_returns_to_the_failed_worker_after_a_bounded_wait() -> None:
     scheduler = make_scheduler(make_worker("a"), make_worker("b"))
     scheduler.put_step(make_step("block", needs=WHOLE, avoid=frozenset({"a"}), long_running=True))
     scheduler.schedule(0.0)
@@ -520,7 +519,7 @@
     assert {placement.instance for placement in scheduler.schedule(2.0).placements} == {"a"}
 
 
-def test_a_record_that_its_owner_changes_is_looked_at_when_it_is_put() -> None:
+def test_worker_record_changed_by_its_owner_takes_effect_with_put_worker() -> None:
     record = make_worker("w")
     scheduler = make_scheduler(record)
     record.reachable = False
@@ -532,7 +531,7 @@
     assert scheduler.schedule(0.0).placements
 
 
-def test_a_gang_prefers_one_rack_and_spreads_after_a_while() -> None:
+def test_gang_prefers_one_rack_and_spreads_after_a_bounded_wait() -> None:
     scheduler = make_scheduler(
         make_worker("a1", "r1"),
         make_worker("a2", "r1"),
@@ -540,7 +539,8 @@
         make_worker("b2", "r2"),
         make_worker("c", "r3"),
     )
-    for rack in ("r1", "r2", "r3"):  # of a service that is little used, nobody waits so long
+    # Uses enough of the service that the gang does not starve before its wait ends.
+    for rack in ("r1", "r2", "r3"):
         scheduler.put_step(make_step(f"block-{rack}", needs=WHOLE, requires=rack, long_running=True))
     scheduler.schedule(0.0)
     scheduler.put_step(make_step("g", count=2, needs=WHOLE, gang=True, same_rack=True, estimate_s=10.0, since=0.0))
@@ -551,13 +551,13 @@
     assert len(placements) == 2
 
 
-def test_a_gang_of_one_rack_goes_where_it_fits_whole() -> None:
+def test_same_rack_gang_is_placed_in_a_rack_that_holds_it() -> None:
     scheduler = make_scheduler(make_worker("a", "r1"), make_worker("b", "r2"), make_worker("c", "r2"))
     scheduler.put_step(make_step("g", count=2, needs=WHOLE, gang=True, same_rack=True))
     assert {placement.instance for placement in scheduler.schedule(0.0).placements} == {"b", "c"}
 
 
-def test_anti_affinity_holds_within_a_gang() -> None:
+def test_anti_affinity_applies_within_a_gang() -> None:
     scheduler = make_scheduler(make_worker("a"), make_worker("b"))
     scheduler.put_step(make_step("g", count=3, gang=True, anti_affinity=1))
     assert not scheduler.schedule(0.0).placements
@@ -569,21 +569,23 @@
 # ---- reservations ------------------------------------------------------------------------------------------
 
 
-def _stream(large_needs: PendingStep, seconds: float) -> float | None:
-    """When a large unit starts that competes with a steady stream of small tasks which alone would fill two workers,
-    in seconds from its arrival; None: not within so many seconds."""
+def _start_delay_under_load(large_step: PendingStep, seconds: float) -> float | None:
+    """Returns how long after its arrival a large unit starts (s), or None if it does not start within `seconds`.
+
+    It competes with a steady stream of small tasks that alone would fill two workers.
+    """
     scheduler = make_scheduler(make_worker("a"), make_worker("b"), seed=3)
     random = Random(4)
     running: list[tuple[float, Placement]] = []
     now, number = 0.0, 0
     while now < seconds + 5.0:
         if 5.0 <= now < 5.05:
-            for task in large_needs.tasks.values():
+            for task in large_step.tasks.values():
                 task.waiting_since = now
-            scheduler.put_step(large_needs)
-        for ended in [entry for entry in running if entry[0] <= now]:
-            running.remove(ended)
-            finish_run(scheduler, ended[1], now)
+            scheduler.put_step(large_step)
+        for finished in [entry for entry in running if entry[0] <= now]:
+            running.remove(finished)
+            finish_run(scheduler, finished[1], now)
         for _ in range(2):
             number += 1
             small = make_step(
@@ -591,7 +593,7 @@
             )
             scheduler.put_step(small)
         for placement in scheduler.schedule(now).placements:
-            if placement.key == large_needs.key:
+            if placement.key == large_step.key:
                 return now - 5.0
             running.append((now + random.uniform(0.8, 1.2), placement))
         now += 0.05
@@ -599,19 +601,19 @@
 
 
 def test_a_large_task_is_not_starved() -> None:
-    started = _stream(make_step("large", needs=WHOLE, estimate_s=5.0, objective_at=20.0), 20.0)
+    started = _start_delay_under_load(make_step("large", needs=WHOLE, estimate_s=5.0, objective_at=20.0), 20.0)
     assert started is not None and started < 6.0
 
 
 def test_a_large_gang_is_not_starved() -> None:
-    large_needs = make_step(
+    large_step = make_step(
         "large", count=4, needs=Resources(15_000, 15_000, 0), gang=True, estimate_s=5.0, objective_at=20.0
     )
-    started = _stream(large_needs, 20.0)
+    started = _start_delay_under_load(large_step, 20.0)
     assert started is not None and started < 6.0
 
 
-def test_reserved_room_takes_what_ends_in_time() -> None:
+def test_reserved_resources_are_backfilled_by_tasks_that_end_in_time() -> None:
     scheduler = make_scheduler(make_worker("w"))
     scheduler.put_step(make_step("long", needs=HALF, estimate_s=10.0))
     scheduler.schedule(0.0)
@@ -624,7 +626,7 @@
     assert scheduler.why_waiting(StepKey("too-long", 0, 0), 0, 3.0) is WaitReason.ROOM
 
 
-def test_a_reservation_ends_with_its_step() -> None:
+def test_reservation_is_cancelled_with_its_step() -> None:
     scheduler = make_scheduler(make_worker("w"))
     scheduler.put_step(make_step("long", needs=HALF, estimate_s=10.0))
     scheduler.schedule(0.0)
@@ -643,8 +645,10 @@
 HIGH_AND_LOW = (make_queue("high", 0, 0.25), make_queue("mid", 1), make_queue("low", 2, 3.0))
 
 
-def _full(victim: PendingStep, *, when: float = 3.0) -> tuple[Scheduler, Decision, tuple[Placement, ...]]:
-    """A worker full of one step, and an urgent task that comes later."""
+def _urgent_task_on_full_worker(
+    victim: PendingStep, *, when: float = 3.0
+) -> tuple[Scheduler, Decision, tuple[Placement, ...]]:
+    """Fills a worker with one step and adds an urgent task later."""
     scheduler = make_scheduler(make_worker("w"), queues=HIGH_AND_LOW)
     scheduler.put_step(victim)
     running = scheduler.schedule(0.0).placements
@@ -653,9 +657,9 @@
     return scheduler, scheduler.schedule(when), running
 
 
-def test_the_first_priority_stops_runs_that_checkpoint() -> None:
+def test_highest_priority_preempts_runs_with_checkpoints() -> None:
     victim = make_step("v", 2, HALF, queue="low", estimate_s=12.0, checkpoints=True, objective_at=60.0)
-    scheduler, decision, _ = _full(victim)
+    scheduler, decision, _ = _urgent_task_on_full_worker(victim)
     (preemption,) = decision.preemptions
     assert preemption.key.job == "v"
     assert not scheduler.schedule(3.1).preemptions
@@ -665,27 +669,29 @@
     assert placement.key.job == "urgent"
 
 
-def test_nothing_is_stopped_that_ends_in_time() -> None:
+def test_runs_that_end_in_time_are_not_preempted() -> None:
     victim = make_step("v", 2, HALF, queue="low", estimate_s=4.0, checkpoints=True, objective_at=60.0)
-    _, decision, _ = _full(victim)
+    _, decision, _ = _urgent_task_on_full_worker(victim)
     assert not decision.preemptions
 
 
-def test_nothing_is_stopped_that_has_more_to_lose() -> None:
+def test_runs_with_more_work_to_lose_are_not_preempted() -> None:
     victim = make_step("v", 2, HALF, queue="low", estimate_s=12.0, objective_at=60.0)
-    _, decision, _ = _full(victim)
+    _, decision, _ = _urgent_task_on_full_worker(victim)
     assert not decision.preemptions
 
 
-def test_runs_that_a_new_head_has_taken_over_are_not_taken_for_fresh_ones() -> None:
-    """Stopping one that has just begun costs little; these began before the head did."""
+def test_inherited_runs_are_not_treated_as_just_started() -> None:
+    """Stopping a run that has just begun loses little work. Inherited runs began before the head did, so that their
+    lost work is unknown.
+    """
     preempted = []
-    for taken_over in (False, True):
+    for inherited in (False, True):
         scheduler = make_scheduler(
             make_worker("w"), queues=(make_queue("low", 2), make_queue("urgent", 0, target_s=0.25))
         )
         scheduler.put_step(make_step("v", 2, HALF, queue="low", estimate_s=12.0, objective_at=60.0))
-        if taken_over:
+        if inherited:
             for index in range(2):
                 scheduler.run_started(StepKey("v", 0, 0), index, "w", 1, 0.0)
         scheduler.schedule(0.0)
@@ -694,7 +700,7 @@
     assert preempted == [1, 0]
 
 
-def test_runs_of_a_removed_step_are_not_stopped_again() -> None:
+def test_runs_of_a_removed_step_are_not_preempted_again() -> None:
     scheduler = make_scheduler(make_worker("w"), queues=HIGH_AND_LOW)
     scheduler.put_step(make_step("v", 2, HALF, queue="low", estimate_s=12.0, checkpoints=True, objective_at=60.0))
     placements = scheduler.schedule(0.0).placements
@@ -705,13 +711,13 @@
     assert decision.placements == decision.preemptions == ()
 
 
-def test_the_same_priority_is_never_stopped() -> None:
+def test_same_priority_is_never_preempted() -> None:
     victim = make_step("v", 2, HALF, queue="high", estimate_s=12.0, checkpoints=True, objective_at=60.0)
-    _, decision, _ = _full(victim)
+    _, decision, _ = _urgent_task_on_full_worker(victim)
     assert not decision.preemptions
 
 
-def test_lower_priorities_stop_nothing() -> None:
+def test_lower_priorities_preempt_nothing() -> None:
     scheduler = make_scheduler(make_worker("w"), queues=HIGH_AND_LOW)
     scheduler.put_step(make_step("v", 2, HALF, queue="low", estimate_s=12.0, checkpoints=True))
     scheduler.schedule(0.0)
@@ -719,28 +725,28 @@
     assert not scheduler.schedule(3.0).preemptions
 
 
-def test_a_gang_is_stopped_whole() -> None:
+def test_gang_is_preempted_whole() -> None:
     victim = make_step("v", 2, HALF, queue="low", estimate_s=12.0, checkpoints=True, gang=True, objective_at=60.0)
-    _, decision, _ = _full(victim)
+    _, decision, _ = _urgent_task_on_full_worker(victim)
     assert {preemption.index for preemption in decision.preemptions} == {0, 1}
 
 
 # ---- health ------------------------------------------------------------------------------------------------
 
 
-def _name(job: str, instance: str, index: int = 0) -> tuple[StepKey, int, str]:
+def _run_key(job: str, instance: str, index: int = 0) -> tuple[StepKey, int, str]:
     return StepKey(job, 0, 0), index, instance
 
 
 def _fail(health: Health, job: str, instance: str, now: float, index: int = 0) -> None:
-    health.run_ended(_name(job, instance, index), RunEnd.FAILED, now)
+    health.run_ended(_run_key(job, instance, index), RunEnd.FAILED, now)
 
 
 def _succeed(health: Health, job: str, instance: str, now: float) -> None:
-    health.run_ended(_name(job, instance), RunEnd.DONE, now)
+    health.run_ended(_run_key(job, instance), RunEnd.DONE, now)
 
 
-def test_a_worker_that_fails_what_others_do_is_avoided() -> None:
+def test_worker_that_fails_tasks_which_succeed_elsewhere_is_avoided() -> None:
     health = Health()
     for number in range(3):
         _succeed(health, f"ok{number}", "bad", 0.0)
@@ -752,7 +758,7 @@
     assert health.state("good") is HealthState.SOUND
 
 
-def test_jobs_that_fail_everywhere_condemn_nobody() -> None:
+def test_jobs_that_fail_everywhere_do_not_count_against_workers() -> None:
     health = Health()
     for number in range(40):
         for instance in ("a", "b", "c"):
@@ -761,14 +767,14 @@
     assert {health.state(instance) for instance in "abc"} == {HealthState.SOUND}
 
 
-def test_one_poison_job_with_many_tasks_condemns_nobody() -> None:
+def test_one_failing_job_with_many_tasks_does_not_count_against_its_worker() -> None:
     health = Health()
     for index in range(20):
         _fail(health, "poison", "a", 0.0, index)
     assert health.state("a") is HealthState.SOUND
 
 
-def test_a_worker_condemned_for_poison_is_cleared() -> None:
+def test_worker_avoided_for_a_failing_job_is_readmitted_once_it_fails_elsewhere() -> None:
     health = Health()
     _fail(health, "p1", "a", 0.0)
     _fail(health, "p2", "a", 0.1)
@@ -777,7 +783,7 @@
     assert health.state("a") is HealthState.SOUND
 
 
-def test_a_later_step_that_fails_everywhere_condemns_nobody_though_the_first_succeeded() -> None:
+def test_later_step_that_fails_everywhere_does_not_count_although_the_first_succeeded() -> None:
     health = Health()
     for number in range(20):
         for instance in ("a", "b"):
@@ -789,69 +795,75 @@
         assert {health.state(instance) for instance in "ab"} == {HealthState.SOUND}
 
 
-def test_a_step_of_which_some_tasks_fail_everywhere_condemns_nobody() -> None:
+def test_step_with_some_tasks_that_fail_everywhere_does_not_count_against_workers() -> None:
     health = Health()
     for index in range(4):
         _fail(health, "partly", "b", 0.0, index)
-        health.run_ended(_name("partly", "c", 10 + index), RunEnd.DONE, 0.0)
-    assert health.state("b") is HealthState.AVOIDED  # it fails there alone
+        health.run_ended(_run_key("partly", "c", 10 + index), RunEnd.DONE, 0.0)
+    assert health.state("b") is HealthState.AVOIDED  # it fails on b only
     _fail(health, "partly", "a", 0.1, 20)
     for index in range(4):
         _fail(health, "partly", "a", 0.2, index)
     assert {health.state(instance) for instance in "abc"} == {HealthState.SOUND}
 
 
-def _taken_over(scheduler: Scheduler, job: str, count: int, instance: str, now: float) -> None:
-    """Runs that this scheduler learns of while they are under way."""
+def _inherit_runs(scheduler: Scheduler, job: str, count: int, instance: str, now: float) -> None:
+    """Adds runs that were already under way when this scheduler learnt of them."""
     scheduler.put_step(make_step(job, count=count, since=now, objective_at=now + 20.0))
     for index in range(count):
         scheduler.run_started(StepKey(job, 0, 0), index, instance, 1, now)
 
 
-def _ends_well(scheduler: Scheduler, job: str, index: int, instance: str, now: float, runtime_s: float | None) -> None:
+def _finish_inherited_run(
+    scheduler: Scheduler, job: str, index: int, instance: str, now: float, runtime_s: float | None
+) -> None:
     if runtime_s is not None:
         scheduler.record_runtime(StepKey(job, 0, 0), index, instance, 1, runtime_s)
     scheduler.run_ended(StepKey(job, 0, 0), index, instance, 1, RunEnd.DONE, now)
 
 
-def test_a_new_head_does_not_take_sound_workers_for_slow() -> None:
-    """Runs that it has taken over end soon after it began: measured from then, all others would seem slow."""
+def test_new_head_does_not_classify_sound_workers_as_slow() -> None:
+    """Inherited runs end soon after the head began. If their runtimes counted from then, all later runs would seem
+    slow.
+    """
     scheduler = make_scheduler(*(make_worker(f"w{number}") for number in range(3)))
     for number in range(3):
-        _taken_over(scheduler, f"old{number}", 4, f"w{number}", 0.0)
+        _inherit_runs(scheduler, f"old{number}", 4, f"w{number}", 0.0)
         for index in range(4):
-            _ends_well(scheduler, f"old{number}", index, f"w{number}", 0.05, 2.0)
+            _finish_inherited_run(scheduler, f"old{number}", index, f"w{number}", 0.05, 2.0)
     for number in range(3):
-        _taken_over(scheduler, f"new{number}", 8, f"w{number}", 0.1)
+        _inherit_runs(scheduler, f"new{number}", 8, f"w{number}", 0.1)
         for index in range(8):
-            _ends_well(scheduler, f"new{number}", index, f"w{number}", 2.1, 2.0)
+            _finish_inherited_run(scheduler, f"new{number}", index, f"w{number}", 2.1, 2.0)
     assert {scheduler.health.state(f"w{number}") for number in range(3)} == {HealthState.SOUND}
     assert {scheduler.health.weight(f"w{number}") for number in range(3)} == {1.0}
 
 
-def test_ends_that_come_late_do_not_make_a_worker_slow() -> None:
-    """Its agent was cut off from the head for a while, or another process of the agent began meanwhile."""
+def test_late_end_reports_do_not_make_a_worker_slow() -> None:
+    """An end is reported late if the agent was cut off from the head, or if another process of the agent started
+    meanwhile.
+    """
     scheduler = make_scheduler(make_worker("w0"), make_worker("w1"))
-    _taken_over(scheduler, "j0", 8, "w0", 0.0)
-    _taken_over(scheduler, "j1", 8, "w1", 0.0)
+    _inherit_runs(scheduler, "j0", 8, "w0", 0.0)
+    _inherit_runs(scheduler, "j1", 8, "w1", 0.0)
     for index in range(8):
-        _ends_well(scheduler, "j0", index, "w0", 2.0, 2.0)
-        _ends_well(scheduler, "j1", index, "w1", 9.0, 2.0 if index % 2 else None)
+        _finish_inherited_run(scheduler, "j0", index, "w0", 2.0, 2.0)
+        _finish_inherited_run(scheduler, "j1", index, "w1", 9.0, 2.0 if index % 2 else None)
     assert scheduler.health.weight("w1") == 1.0
 
 
-def test_a_worker_on_which_work_takes_long_is_found_out_by_what_its_agent_measured() -> None:
+def test_slow_worker_is_detected_by_the_runtimes_its_agent_measured() -> None:
     scheduler = make_scheduler(make_worker("w0"), make_worker("w1"))
-    _taken_over(scheduler, "j0", 8, "w0", 0.0)
-    _taken_over(scheduler, "j1", 12, "w1", 0.0)
+    _inherit_runs(scheduler, "j0", 8, "w0", 0.0)
+    _inherit_runs(scheduler, "j1", 12, "w1", 0.0)
     for index in range(8):
-        _ends_well(scheduler, "j0", index, "w0", 2.0, 2.0)
+        _finish_inherited_run(scheduler, "j0", index, "w0", 2.0, 2.0)
     for index in range(12):
-        _ends_well(scheduler, "j1", index, "w1", 2.0, 18.0)
+        _finish_inherited_run(scheduler, "j1", index, "w1", 2.0, 18.0)
     assert scheduler.health.state("w1") is HealthState.AVOIDED
 
 
-def test_a_probe_is_the_way_back_and_pauses_grow() -> None:
+def test_successful_probe_readmits_a_worker_and_pauses_grow() -> None:
     health = Health()
     _fail(health, "j1", "a", 0.0)
     _fail(health, "j2", "a", 0.0)
@@ -862,7 +874,7 @@
         health.start_probes(now)
         assert health.state("a") is HealthState.PROBING
         assert health.weight("a") == 1.0
-        health.run_started(_name(f"probe{number}", "a"))
+        health.run_started(_run_key(f"probe{number}", "a"))
         assert health.weight("a") == 0.0
         if number < 3:
             _fail(health, f"probe{number}", "a", now)
@@ -871,32 +883,32 @@
     assert health.state("a") is HealthState.SOUND
 
 
-def test_a_very_slow_worker_comes_back_once_a_probe_was_fast() -> None:
+def test_very_slow_worker_is_readmitted_after_a_fast_probe() -> None:
     health = Health()
     for number in range(6):
         for instance, ratio in (("ok", 1.0), ("slow", 9.0)):
-            health.record_pace(_name(f"j{number}", instance), "q", ratio, 0.0)
+            health.record_pace(_run_key(f"j{number}", instance), "q", ratio, 0.0)
     assert health.state("slow") is HealthState.AVOIDED
     for number, ratio, expected in ((10, 9.0, HealthState.AVOIDED), (11, 1.0, HealthState.SOUND)):
         now = health.next_pause_end
         health.start_probes(now)
-        health.run_started(_name(f"j{number}", "slow"))
+        health.run_started(_run_key(f"j{number}", "slow"))
         for _ in range(4):
-            health.record_pace(_name(f"j{number}", "ok"), "q", 1.0, now)
-            health.record_pace(_name(f"j{number}", "slow"), "q", ratio, now)
+            health.record_pace(_run_key(f"j{number}", "ok"), "q", 1.0, now)
+            health.record_pace(_run_key(f"j{number}", "slow"), "q", ratio, now)
         _succeed(health, f"j{number}", "slow", now + 1.0)
         assert health.state("slow") is expected
 
 
-def test_ends_of_other_kinds_say_nothing() -> None:
+def test_other_outcomes_do_not_affect_health() -> None:
     health = Health()
     for outcome in (RunEnd.STOPPED, RunEnd.LAPSED, RunEnd.BROKEN, RunEnd.ALONE, RunEnd.LOST, RunEnd.NEVER):
         for number in range(10):
-            health.run_ended(_name(f"{outcome}{number}", "a"), outcome, 0.0)
+            health.run_ended(_run_key(f"{outcome}{number}", "a"), outcome, 0.0)
     assert health.state("a") is HealthState.SOUND
 
 
-def test_a_run_that_stands_still_is_told_and_its_worker_avoided() -> None:
+def test_stalled_run_is_reported_and_its_worker_avoided() -> None:
     scheduler = make_scheduler(make_worker("a"), make_worker("b"))
     scheduler.put_step(make_step("j", count=1, estimate_s=2.0))
     (placement,) = scheduler.schedule(0.0).placements
@@ -913,7 +925,7 @@
     assert placement.instance in {other.instance for other in scheduler.schedule(3.5).placements}
 
 
-def test_a_slow_worker_is_chosen_less() -> None:
+def test_slow_worker_gets_fewer_tasks() -> None:
     scheduler = make_scheduler(*(make_worker(f"w{number}") for number in range(4)), seed=5)
     running: dict[tuple[StepKey, int], tuple[float, Placement]] = {}
     picks: Counter[str] = Counter()
@@ -922,12 +934,12 @@
         if tick % 4 == 0:
             scheduler.put_step(make_step(f"j{tick}", count=4, since=now, objective_at=now + 20.0))
         for name, (started, placement) in list(running.items()):
-            accepts = 5.0 if placement.instance == "w0" else 2.0
-            if now >= started + accepts:
+            runtime_s = 5.0 if placement.instance == "w0" else 2.0
+            if now >= started + runtime_s:
                 del running[name]
                 finish_run(scheduler, placement, now)
             else:
-                scheduler.progress(*name, placement.instance, int(100 * (now - started) / accepts), now)
+                scheduler.progress(*name, placement.instance, int(100 * (now - started) / runtime_s), now)
         for placement in scheduler.schedule(now).placements:
             running[placement.key, placement.index] = now, placement
             picks[placement.instance] += 1
@@ -935,16 +947,16 @@
     assert picks["w0"] < 0.5 * others
 
 
-def test_a_worker_that_fails_everything_loses_few_attempts() -> None:
+def test_worker_that_fails_everything_gets_few_attempts() -> None:
     scheduler = make_scheduler(*(make_worker(f"w{number}") for number in range(4)), seed=6)
     random = Random(7)
     failures, running = 0, []
     for tick in range(400):
         now = tick * 0.1
         scheduler.put_step(make_step(f"j{tick}", since=now, objective_at=now + 5.0))
-        for ended in [entry for entry in running if entry[0] <= now]:
-            running.remove(ended)
-            placement = ended[1]
+        for finished in [entry for entry in running if entry[0] <= now]:
+            running.remove(finished)
+            placement = finished[1]
             if placement.instance != "w0" and random.random() > 0.03:
                 finish_run(scheduler, placement, now)
                 continue
@@ -956,12 +968,15 @@
     assert failures < 20
 
 
-# ---- any order of calls ------------------------------------------------------------------------------------
+# ---- arbitrary call order ----------------------------------------------------------------------------------
 
 
-class AnyOrder(RuleBasedStateMachine):
-    """Whatever happens in whatever order: no worker over capacity, no unfit worker, no gang in part, and nothing left
-    booked at the end."""
+class ArbitraryCallOrder(RuleBasedStateMachine):
+    """Checks invariants for arbitrary sequences of calls.
+
+    No worker exceeds its capacity, no task runs on an unfit worker, no gang runs in part, and nothing is left allocated
+    at the end.
+    """
 
     @initialize(seed=st.integers(0, 1 << 16))
     def start(self, seed: int) -> None:
@@ -989,19 +1004,19 @@
         if name in self.workers:
             old = self.workers[name]
             rack, kind, cpu = old.rack, next(iter(old.labels - {old.rack})), old.capacity.cpu // 1000
-        put = make_worker(
+        pending = make_worker(
             name,
             rack,
             labels=frozenset({kind}),
             draining=draining,
             capacity=Resources(cpu * 1000, cpu * 2000, cpu // 4),
         )
-        self.workers[name] = put
-        self.scheduler.put_worker(put)
+        self.workers[name] = pending
+        self.scheduler.put_worker(pending)
 
     @precondition(lambda self: self.workers)
     @rule(data=st.data())
-    def lose_worker(self, data: st.DataObject) -> None:
+    def worker_lost(self, data: st.DataObject) -> None:
         name = data.draw(st.sampled_from(sorted(self.workers)))
         del self.workers[name]
         self.scheduler.remove_worker(name)
@@ -1039,7 +1054,7 @@
         span: int,
     ) -> None:
         self.jobs += 1
-        put = make_step(
+        pending = make_step(
             f"j{self.jobs}",
             count,
             Resources(cpu, cpu, gpu),
@@ -1054,9 +1069,9 @@
             objective_at=self.now + span,
             since=self.now,
         )
-        self.steps[put.key] = put
-        self.waiting[put.key] = set(put.tasks)
-        self.scheduler.put_step(put)
+        self.steps[pending.key] = pending
+        self.waiting[pending.key] = set(pending.tasks)
+        self.scheduler.put_step(pending)
 
     @rule(seconds=st.sampled_from([0.0, 0.1, 0.5, 2.0, 7.0]))
     def schedule(self, seconds: float) -> None:
@@ -1079,9 +1094,9 @@
                 assert same <= self.steps[key[0]].anti_affinity
 
     def _check_place(self, placement: Placement) -> None:
-        place, put = self.workers[placement.instance], self.steps[placement.key]
-        assert not place.draining and place.service == put.service
-        assert not put.requires or put.requires in place.labels
+        worker_state, pending = self.workers[placement.instance], self.steps[placement.key]
+        assert not worker_state.draining and worker_state.service == pending.service
+        assert not pending.requires or pending.requires in worker_state.labels
 
     @precondition(lambda self: self.running)
     @rule(data=st.data(), outcome=st.sampled_from([RunEnd.DONE, RunEnd.FAILED, RunEnd.STOPPED, RunEnd.NEVER]))
@@ -1122,7 +1137,7 @@
         self.scheduler.task_withdrawn(key, index)
 
     @invariant()
-    def booked_is_what_runs(self) -> None:
+    def allocations_match_runs(self) -> None:
         for name in getattr(self, "workers", {}):
             state = self.scheduler.worker(name)
             assert state is not None
@@ -1131,9 +1146,9 @@
             assert state.free.mem_mb == state.capacity.mem_mb - sum(needs.mem_mb for needs in used) >= 0
             assert state.free.gpu == state.capacity.gpu - sum(needs.gpu for needs in used) >= 0
         for pool in self.scheduler._pools.values() if hasattr(self, "scheduler") else ():
-            opened = [host for host in pool.hosts if host.schedulable]
-            assert pool.hosts._allocated.cpu == sum(host.allocated.cpu for host in opened)
-            assert pool.hosts._capacity.cpu == sum(host.capacity.cpu for host in opened)
+            schedulable = [host for host in pool.hosts if host.schedulable]
+            assert pool.hosts._allocated.cpu == sum(host.allocated.cpu for host in schedulable)
+            assert pool.hosts._capacity.cpu == sum(host.capacity.cpu for host in schedulable)
 
     def teardown(self) -> None:
         if not hasattr(self, "scheduler"):
@@ -1142,17 +1157,17 @@
             self._end(key, index, RunEnd.DONE)
         for key in list(self.steps):
             self.scheduler.remove_step(key)
-        self.booked_is_what_runs()
+        self.allocations_match_runs()
         decision = self.scheduler.schedule(self.now)
         assert decision.placements == () and decision.preemptions == ()
         assert self.scheduler.is_empty
 
 
-AnyOrder.TestCase.settings = settings(max_examples=100, stateful_step_count=40, deadline=None)
-TestAnyOrder = AnyOrder.TestCase
+ArbitraryCallOrder.TestCase.settings = settings(max_examples=100, stateful_step_count=40, deadline=None)
+TestArbitraryCallOrder = ArbitraryCallOrder.TestCase
 
 
-def test_workers_are_not_all_left_out_where_most_of_a_service_is_in_doubt() -> None:
+def test_workers_are_still_used_if_most_of_a_service_is_unhealthy() -> None:
     scheduler = make_scheduler(make_worker("i-1"), make_worker("i-2"))
     for instance in ("i-1", "i-2"):
         scheduler.health._set_state(scheduler.health._worker(instance), HealthState.AVOIDED, Cause.FAILS, 0.0)
@@ -1168,7 +1183,7 @@
     scheduler.health._worker(instance).until = 100.0
 
 
-def test_a_step_goes_to_an_avoided_worker_where_it_would_starve_beside_free_room() -> None:
+def test_starving_step_is_placed_on_an_avoided_worker() -> None:
     scheduler = make_scheduler(make_worker("sound", "r1"), make_worker("avoided", "r2"), make_worker("other", "r1"))
     _avoid(scheduler, "avoided")
     scheduler.put_step(make_step("first", needs=SMALL, requires="r1", estimate_s=9.0))
@@ -1181,7 +1196,7 @@
     assert (placement.key.job, placement.instance) == ("starving", "avoided")
 
 
-def test_reserved_room_is_given_away_where_a_step_would_starve_and_the_service_is_little_used() -> None:
+def test_starving_step_uses_reserved_resources_of_an_underused_service() -> None:
     scheduler = make_scheduler(*(make_worker(name) for name in ("a", "b", "c", "d")))
     scheduler.put_step(make_step("lasting", needs=HALF, long_running=True))
     scheduler.schedule(0.0)
@@ -1197,7 +1212,7 @@
     assert placement.key.job == "small"
 
 
-def test_room_stays_reserved_where_a_service_is_well_used() -> None:
+def test_resources_stay_reserved_if_the_service_is_well_used() -> None:
     scheduler = make_scheduler(make_worker("a"), make_worker("b"), make_worker("c"))
     scheduler.put_step(make_step("lasting", count=2, needs=WHOLE, long_running=True))
     scheduler.schedule(0.0)
@@ -1212,7 +1227,7 @@
     assert not scheduler.schedule(9.0).placements
 
 
-def test_a_step_of_which_something_runs_does_not_starve() -> None:
+def test_step_with_a_run_does_not_starve() -> None:
     scheduler = make_scheduler(make_worker("sound", "r1"), make_worker("avoided", "r1"))
     _avoid(scheduler, "avoided")
     scheduler.put_step(make_step("spread", count=2, anti_affinity=1, estimate_s=9.0))
@@ -1220,7 +1235,7 @@
     assert not scheduler.schedule(5.0).placements
 
 
-def test_a_step_starves_behind_others_of_which_something_runs() -> None:
+def test_starving_step_is_found_behind_steps_with_runs() -> None:
     scheduler = make_scheduler(make_worker("sound", "r1"), make_worker("avoided", "r2"), make_worker("other", "r1"))
     _avoid(scheduler, "avoided")
     for number in range(6):
@@ -1232,7 +1247,7 @@
     assert [(placement.key.job, placement.instance) for placement in placed] == [("starving", "avoided")]
 
 
-def test_a_short_spell_of_use_does_not_begin_the_wait_anew() -> None:
+def test_short_spell_of_high_use_does_not_restart_the_starvation_time() -> None:
     scheduler = make_scheduler(make_worker("sound", "r1"), make_worker("avoided", "r2"), make_worker("other", "r1"))
     _avoid(scheduler, "avoided")
     scheduler.put_step(make_step("starving", requires="r2", since=0.0))
@@ -1246,7 +1261,7 @@
     assert [placement.key.job for placement in scheduler.schedule(2.0).placements] == ["starving"]
 
 
-def test_the_use_of_a_service_follows_its_open_workers() -> None:
+def test_used_share_counts_schedulable_workers_only() -> None:
     scheduler = make_scheduler(make_worker("a"), make_worker("b"))
     scheduler.put_step(make_step("j", needs=WHOLE))
     (placement,) = scheduler.schedule(0.0).placements
@@ -1261,13 +1276,13 @@
     assert hosts.used_share == 0.0
 
 
-# ---- the order within a queue --------------------------------------------------------------------------------
+# ---- order within a queue ----------------------------------------------------------------------------------
 
 
 def _waiting_step(job: str, *, work_left: float, tail_s: float = 0.0, objective_at: float = 30.0) -> PendingStep:
-    found = make_step(job, needs=WHOLE, objective_at=objective_at)
-    found.work_left, found.tail_s = work_left, tail_s
-    return found
+    step_with_chain = make_step(job, needs=WHOLE, objective_at=objective_at)
+    step_with_chain.work_left, step_with_chain.tail_s = work_left, tail_s
+    return step_with_chain
 
 
 def _first_placed(*steps: PendingStep, now: float = 0.0) -> str:
@@ -1278,99 +1293,101 @@
     return placement.key.job
 
 
-def test_where_not_all_fits_a_small_job_goes_before_a_large_one() -> None:
+def test_small_job_goes_before_a_large_one_if_not_all_fit() -> None:
     assert _first_placed(_waiting_step("large", work_left=400.0), _waiting_step("small", work_left=10.0)) == "small"
 
 
-def test_a_large_job_goes_first_where_its_objective_is_much_nearer() -> None:
+def test_large_job_goes_first_if_its_objective_is_much_nearer() -> None:
     small = _waiting_step("small", work_left=10.0, objective_at=60.0)
     assert _first_placed(_waiting_step("large", work_left=40.0, objective_at=10.0), small) == "large"
 
 
-def test_the_chain_after_a_step_counts_for_its_urgency() -> None:
+def test_chain_after_a_step_counts_for_its_urgency() -> None:
     assert (
         _first_placed(_waiting_step("short", work_left=10.0), _waiting_step("long", work_left=10.0, tail_s=20.0))
         == "long"
     )
 
 
-def test_a_step_whose_chain_cannot_be_in_time_any_more_goes_after_those_that_can() -> None:
+def test_step_whose_chain_can_no_longer_be_in_time_goes_last() -> None:
     hopeless = _waiting_step("hopeless", work_left=10.0, tail_s=20.0, objective_at=12.0)
     assert _first_placed(hopeless, _waiting_step("timely", work_left=10.0)) == "timely"
 
 
-def _small_in_time_under_overload() -> int:
-    """One worker gets half as much again as it can do for 20 s: how many of 108 small jobs are in time. All jobs end,
-    the 12 large ones too."""
-    scheduler, random, ended, running = make_scheduler(make_worker("w")), Random(5), {}, []
+def _small_jobs_in_time_under_overload() -> int:
+    """Returns how many of 108 small jobs are in time if one worker gets 1.5 times its capacity for 20 s.
+
+    All jobs end, including the 12 large ones.
+    """
+    scheduler, random, finished, running = make_scheduler(make_worker("w")), Random(5), {}, []
     arrivals = [(number * 0.17, f"j{number}", 40.0 if number % 10 == 0 else 4.0) for number in range(120)]
     now = 0.0
     while now < 90.0:
         while arrivals and arrivals[0][0] <= now:
             _, name, work = arrivals.pop(0)
-            new = make_step(name, count=int(work / 2.0), estimate_s=1.0, since=now, objective_at=now + 4.0)
-            new.work_left = work
-            scheduler.put_step(new)
+            pending = make_step(name, count=int(work / 2.0), estimate_s=1.0, since=now, objective_at=now + 4.0)
+            pending.work_left = work
+            scheduler.put_step(pending)
         for entry in [entry for entry in running if entry[0] <= now]:
             running.remove(entry)
             finish_run(scheduler, entry[1], now)
             key = entry[1].key
             if not scheduler._steps[key].tasks and not scheduler._steps[key].run_instances:
                 scheduler.remove_step(key)
-                ended[key.job] = now
+                finished[key.job] = now
         running += [(now + random.uniform(0.9, 1.1), placement) for placement in scheduler.schedule(now).placements]
         now += 0.05
-    assert len(ended) == 120
+    assert len(finished) == 120
     small = [number for number in range(120) if number % 10]
-    return sum(ended[f"j{number}"] <= number * 0.17 + 4.0 for number in small)
+    return sum(finished[f"j{number}"] <= number * 0.17 + 4.0 for number in small)
 
 
-def test_in_an_overload_the_size_of_jobs_brings_half_as_many_small_ones_more_in_time(
+def test_size_delay_brings_half_as_many_more_small_jobs_in_time_under_overload(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    with_size = _small_in_time_under_overload()
+    with_size = _small_jobs_in_time_under_overload()
     monkeypatch.setattr("millethead.scheduling.state.SIZE_DELAY_FACTOR", 0.0)
     monkeypatch.setattr("millethead.scheduling.state.OVERLOAD_SIZE_DELAY_FACTOR", 0.0)
-    assert with_size >= 1.5 * _small_in_time_under_overload() > 0
+    assert with_size >= 1.5 * _small_jobs_in_time_under_overload() > 0
 
 
-# ---- looks at workers ----------------------------------------------------------------------------------------
+# ---- polling intervals -------------------------------------------------------------------------------------
 
 
-def _service_gap(scheduler: Scheduler, job: PendingStep, now: float = 0.0) -> float:
+def _poll_interval_s(scheduler: Scheduler, job: PendingStep, now: float = 0.0) -> float:
     scheduler.put_step(job)
     (placement,) = scheduler.schedule(now).placements
     return scheduler.poll_interval_s(placement.instance)
 
 
-def test_looks_cost_a_job_a_quarter_of_what_it_can_spare_at_most() -> None:
+def test_polling_costs_a_job_at_most_a_quarter_of_its_slack() -> None:
     assert run_poll_interval_s(60.0, 1) == MAX_POLL_INTERVAL_S
     assert run_poll_interval_s(4.0, 1) == pytest.approx(1.0)
-    assert run_poll_interval_s(4.0, 2) == pytest.approx(0.5)  # every step of its chain may lose as much
+    assert run_poll_interval_s(4.0, 2) == pytest.approx(0.5)  # each step of the chain may lose as much
     assert run_poll_interval_s(0.7, 2) == pytest.approx(0.0875)
     assert run_poll_interval_s(0.01, 1) == run_poll_interval_s(-1.0, 1) == MIN_POLL_INTERVAL_S
 
 
-def test_a_service_asks_for_soon_looks_only_where_something_waits_or_room_is_scarce() -> None:
+def test_poll_interval_is_short_only_if_tasks_wait_or_resources_are_scarce() -> None:
     assert (
-        _service_gap(make_scheduler(make_worker("w")), make_step("j", needs=WHOLE, objective_at=60.0))
+        _poll_interval_s(make_scheduler(make_worker("w")), make_step("j", needs=WHOLE, objective_at=60.0))
         == SCARCE_POLL_INTERVAL_S
     )
     scheduler = make_scheduler(make_worker("w"))
     scheduler.put_step(make_step("waits", requires="nowhere", objective_at=60.0))
-    assert _service_gap(scheduler, make_step("j", objective_at=60.0)) == MAX_POLL_INTERVAL_S
+    assert _poll_interval_s(scheduler, make_step("j", objective_at=60.0)) == MAX_POLL_INTERVAL_S
     scheduler.put_step(make_step("half", needs=HALF, objective_at=60.0))
     scheduler.schedule(0.0)
     assert scheduler.poll_interval_s("w") == SCARCE_POLL_INTERVAL_S
 
 
-def test_looks_come_soonest_where_what_waits_has_to_wait_for_ends() -> None:
+def test_poll_interval_is_shortest_if_tasks_wait_for_runs_to_end() -> None:
     scheduler = make_scheduler(make_worker("w"))
     scheduler.put_step(make_step("waits", needs=HALF, objective_at=60.0))
-    assert _service_gap(scheduler, make_step("j", needs=WHOLE, objective_at=5.0)) == BACKLOG_POLL_INTERVAL_S
+    assert _poll_interval_s(scheduler, make_step("j", needs=WHOLE, objective_at=5.0)) == BACKLOG_POLL_INTERVAL_S
 
 
-def test_the_wait_for_the_rack_of_the_data_follows_what_is_lost_elsewhere() -> None:
+def test_wait_for_the_rack_of_the_data_is_proportional_to_the_loss_elsewhere() -> None:
     for remote_factor, patience_s in ((1.5, 0.45), (3.0, 1.8)):
         scheduler = Scheduler(Random(1), remote_factor)
         scheduler.set_queues((make_queue(),))
@@ -1383,63 +1400,64 @@
         assert [placement.instance for placement in scheduler.schedule(patience_s).placements] == ["far"]
 
 
-def test_tasks_go_to_workers_that_run_something_already() -> None:
+def test_tasks_are_packed_on_workers_in_use() -> None:
     scheduler = make_scheduler(*(make_worker(f"w{number}") for number in range(8)))
     scheduler.put_step(make_step("jobs", count=40))
     assert len({placement.instance for placement in scheduler.schedule(0.0).placements}) <= 5
 
 
-def _earned_under_overload() -> Earned:
-    """Means of eight histories."""
-    found = [Overload(Setting(1.5, length_s=45.0, busy_until_s=40.0), seed).play() for seed in range(8)]
-    return Earned(*(sum(values) / len(found) for values in zip(*map(astuple, found), strict=True)))
+def _mean_earnings_under_overload() -> Earned:
+    """Returns the means over eight simulated histories."""
+    step_with_chain = [Overload(Setting(1.5, length_s=45.0, busy_until_s=40.0), seed).play() for seed in range(8)]
+    return Earned(*(sum(values) / len(step_with_chain) for values in zip(*map(astuple, step_with_chain), strict=True)))
 
 
-def test_under_overload_less_work_is_spent_on_jobs_that_will_be_late_all_the_same(
+def test_under_overload_less_work_is_spent_on_jobs_that_will_be_late_anyway(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The late share alone, as it was measured: with the size of a job counted as without a backlog."""
+    """Compares the safe-start factor alone: the size of a job counts as much as without a backlog."""
     monkeypatch.setattr("millethead.scheduling.state.OVERLOAD_SIZE_DELAY_FACTOR", SIZE_DELAY_FACTOR)
-    current = _earned_under_overload()
-    monkeypatch.setattr(
-        "millethead.scheduling.state.SAFE_START_CHAIN_FACTOR", 0.8
-    )  # steps on the verge of being late go first
-    before = _earned_under_overload()
-    assert current.worth >= before.worth + 0.01
-    assert current.worst_windows >= before.worst_windows + 0.02
-    assert current.in_time >= before.in_time + 0.02
-    assert current.largest_served >= before.largest_served - 0.05
-
-
-def test_late_share_and_size_by_backlog_together_earn_more_under_overload(monkeypatch: pytest.MonkeyPatch) -> None:
-    current = _earned_under_overload()
+    current = _mean_earnings_under_overload()
+    # With this factor, steps that are about to be late go first.
+    monkeypatch.setattr("millethead.scheduling.state.SAFE_START_CHAIN_FACTOR", 0.8)
+    baseline = _mean_earnings_under_overload()
+    assert current.worth >= baseline.worth + 0.01
+    assert current.worst_windows >= baseline.worst_windows + 0.02
+    assert current.in_time >= baseline.in_time + 0.02
+    assert current.largest_served >= baseline.largest_served - 0.05
+
+
+def test_safe_start_and_size_delay_together_earn_more_under_overload(monkeypatch: pytest.MonkeyPatch) -> None:
+    current = _mean_earnings_under_overload()
     monkeypatch.setattr("millethead.scheduling.state.SAFE_START_CHAIN_FACTOR", 0.8)
     monkeypatch.setattr("millethead.scheduling.state.OVERLOAD_SIZE_DELAY_FACTOR", SIZE_DELAY_FACTOR)
-    before = _earned_under_overload()
-    assert current.worth >= before.worth + 0.01
-    assert current.worst_windows >= before.worst_windows + 0.02
-    assert current.in_time >= before.in_time + 0.02
-    assert current.largest_served >= before.largest_served - 0.05
+    baseline = _mean_earnings_under_overload()
+    assert current.worth >= baseline.worth + 0.01
+    assert current.worst_windows >= baseline.worst_windows + 0.02
+    assert current.in_time >= baseline.in_time + 0.02
+    assert current.largest_served >= baseline.largest_served - 0.05
 
 
-def test_the_size_of_jobs_counts_the_more_the_more_work_waits(monkeypatch: pytest.MonkeyPatch) -> None:
-    current = _earned_under_overload()
+def test_size_delay_that_grows_with_the_backlog_earns_more_under_overload(monkeypatch: pytest.MonkeyPatch) -> None:
+    current = _mean_earnings_under_overload()
     monkeypatch.setattr("millethead.scheduling.state.OVERLOAD_SIZE_DELAY_FACTOR", SIZE_DELAY_FACTOR)
-    before = _earned_under_overload()
-    assert current.worth >= before.worth + 0.03
-    assert current.worst_windows >= before.worst_windows + 0.03
-    assert current.in_time >= before.in_time + 0.03
-    assert current.largest_served >= before.largest_served - 0.05
+    baseline = _mean_earnings_under_overload()
+    assert current.worth >= baseline.worth + 0.03
+    assert current.worst_windows >= baseline.worst_windows + 0.03
+    assert current.in_time >= baseline.in_time + 0.03
+    assert current.largest_served >= baseline.largest_served - 0.05
 
 
-def test_delay_by_size_follows_the_backlog() -> None:
+def test_size_delay_follows_the_backlog() -> None:
     scheduler = make_scheduler(make_worker("w"))
     sized = make_step("sized", estimate_s=2.0)
     sized.work_left = 10.0
     scheduler.put_step(sized)
     scheduler.schedule(0.0)
     queue = scheduler._steps[sized.key].queue
-    assert queue.size_delay(10.0) == pytest.approx(SIZE_DELAY_FACTOR * queue.slack)  # what waits fits into the room
+    assert queue.size_delay(10.0) == pytest.approx(
+        SIZE_DELAY_FACTOR * queue.slack
+    )  # no overload: the waiting work fits
     many = make_step("many", count=200, needs=HALF, estimate_s=2.0)
     many.work_left = 10.0
     scheduler.put_step(many)
@@ -1447,7 +1465,7 @@
     assert queue.size_delay(10.0) == pytest.approx(OVERLOAD_SIZE_DELAY_FACTOR * queue.slack)
 
 
-def test_backlog_counts_what_waits_by_the_scarcest_resource() -> None:
+def test_backlog_counts_waiting_tasks_by_the_scarcest_resource() -> None:
     scheduler = make_scheduler(make_worker("w"))
     scheduler.put_step(make_step("waits", count=10, needs=HALF, estimate_s=2.0))
     pool = scheduler._pool("s")
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -1,5 +1,4 @@
-"""How much hosts are used by the health of their workers: kept up to date piece by piece, held against a derivation
-from the whole."""
+"""Host health is updated incrementally; these tests compare it with a full derivation from the health of all workers."""
 
 from __future__ import annotations
 
@@ -67,8 +66,8 @@
     return scheduler
 
 
-class WorkersComeFailAndGo(RuleBasedStateMachine):
-    """Any order of workers that come, change, leave, fail and succeed."""
+class WorkersJoinFailAndLeave(RuleBasedStateMachine):
+    """Workers join, change, leave, fail and succeed in arbitrary order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -81,19 +80,19 @@
         draining=st.booleans(),
         reachable=st.booleans(),
     )
-    def comes_or_changes(self, instance: str, service: str, draining: bool, reachable: bool) -> None:
+    def worker_joins_or_changes(self, instance: str, service: str, draining: bool, reachable: bool) -> None:
         self.scheduler.put_worker(make_worker(instance, service, draining=draining, reachable=reachable))
 
     @rule(instance=st.sampled_from(INSTANCES))
-    def comes_sound(self, instance: str) -> None:
+    def schedulable_worker_joins(self, instance: str) -> None:
         self.scheduler.put_worker(make_worker(instance))
 
     @rule(instance=st.sampled_from(INSTANCES))
-    def leaves(self, instance: str) -> None:
+    def worker_leaves(self, instance: str) -> None:
         self.scheduler.remove_worker(instance)
 
     @rule(count=st.integers(1, 6))
-    def jobs_come(self, count: int) -> None:
+    def jobs_arrive(self, count: int) -> None:
         for _ in range(count):
             self.jobs += 1
             self.scheduler.put_step(make_step(f"job-{self.jobs}", self.now))
@@ -101,57 +100,57 @@
         self.running += [(placement.key, placement.instance) for placement in decision.placements]
 
     @rule(outcome=st.sampled_from(ENDS), which=st.integers(0, 20))
-    def ends(self, outcome: RunEnd, which: int) -> None:
+    def run_ends(self, outcome: RunEnd, which: int) -> None:
         if self.running:
             key, instance = self.running.pop(which % len(self.running))
             self.scheduler.run_ended(key, 0, instance, 1, outcome, self.now)
 
     @rule(seconds=st.floats(0.1, 8.0))
-    def passes(self, seconds: float) -> None:
+    def time_passes(self, seconds: float) -> None:
         self.now += seconds
         decision = self.scheduler.schedule(self.now)
         self.running += [(placement.key, placement.instance) for placement in decision.placements]
 
     @invariant()
-    def each_host_shows_what_the_whole_says(self) -> None:
+    def host_health_matches_full_derivation(self) -> None:
         self.scheduler.schedule(self.now)
         health: Health = self.scheduler.health
         for pool in self.scheduler._pools.values():
             hosts = list(pool.hosts)
-            open_hosts = [host for host in hosts if host.schedulable]
-            trusted = sum(health.weight(host.instance) > 0.0 for host in open_hosts)
-            least = MIN_HOST_WEIGHT if 2 * trusted < len(open_hosts) else 0.0
+            schedulable_hosts = [host for host in hosts if host.schedulable]
+            healthy = sum(health.weight(host.instance) > 0.0 for host in schedulable_hosts)
+            min_health = MIN_HOST_WEIGHT if 2 * healthy < len(schedulable_hosts) else 0.0
             for host in hosts:
-                assert host.health == max(least, health.weight(host.instance))
+                assert host.health == max(min_health, health.weight(host.instance))
                 assert host.is_sound == (health.state(host.instance) is HealthState.SOUND)
 
 
-TestWorkersComeFailAndGo = WorkersComeFailAndGo.TestCase
-TestWorkersComeFailAndGo.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
+TestWorkersJoinFailAndLeave = WorkersJoinFailAndLeave.TestCase
+TestWorkersJoinFailAndLeave.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
 
 
-def test_an_end_looks_at_the_worker_concerned_only(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What a start costs must not grow with the fleet."""
-    scheduler, looked = make_scheduler(), list[str]()
+def test_run_end_updates_only_the_host_concerned(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The cost of the end of a run must not grow with the size of the fleet."""
+    scheduler, updated = make_scheduler(), list[str]()
     for number in range(FLEET):
         scheduler.put_worker(make_worker(f"w{number}"))
     scheduler.put_step(make_step("job-1", 0.0))
     (placement,) = scheduler.schedule(0.0).placements
-    show_host = HostHealthUpdater._update_host
+    update_host = HostHealthUpdater._update_host
 
-    def backlog_tasks(keeper, pool, host):  # type: ignore[no-untyped-def]
-        looked.append(host.instance)
-        show_host(keeper, pool, host)
+    def recording_update(updater, pool, host):  # type: ignore[no-untyped-def]
+        updated.append(host.instance)
+        update_host(updater, pool, host)
 
-    monkeypatch.setattr(HostHealthUpdater, "_update_host", backlog_tasks)
+    monkeypatch.setattr(HostHealthUpdater, "_update_host", recording_update)
     scheduler.run_started(placement.key, 0, placement.instance, 1, 0.1)
     scheduler.record_runtime(placement.key, 0, placement.instance, 1, 0.9)
     scheduler.run_ended(placement.key, 0, placement.instance, 1, RunEnd.DONE, 1.0)
-    assert set(looked) == {placement.instance}
+    assert set(updated) == {placement.instance}
 
 
-def fails_all(scheduler: Scheduler, instance: str) -> None:
-    """Jobs of which all fail at this worker."""
+def fail_all_jobs(scheduler: Scheduler, instance: str) -> None:
+    """Adds jobs that all fail on this worker."""
     for number in range(3):
         name = f"job-{instance}-{number}"
         scheduler.put_step(make_step(name, 0.0))
@@ -159,12 +158,12 @@
         scheduler.run_ended(StepKey(name, 0, 0), 0, instance, 1, RunEnd.FAILED, 1.0)
 
 
-def doubtful_two_of_three() -> Scheduler:
+def two_of_three_unhealthy() -> Scheduler:
     scheduler = make_scheduler()
     for number in range(3):
         scheduler.put_worker(make_worker(f"w{number}"))
-    fails_all(scheduler, "w1")
-    fails_all(scheduler, "w2")
+    fail_all_jobs(scheduler, "w1")
+    fail_all_jobs(scheduler, "w2")
     assert health_of(scheduler, "w1") == health_of(scheduler, "w2") == MIN_HOST_WEIGHT
     return scheduler
 
@@ -173,15 +172,15 @@
     return scheduler._hosts[instance].health
 
 
-def test_a_doubted_worker_is_left_out_again_once_another_one_is_gone() -> None:
-    scheduler = doubtful_two_of_three()
+def test_unhealthy_worker_is_excluded_again_after_another_one_is_removed() -> None:
+    scheduler = two_of_three_unhealthy()
     scheduler.remove_worker("w2")
     scheduler.schedule(1.0)
     assert health_of(scheduler, "w1") == 0.0
 
 
-def test_a_doubted_worker_is_left_out_again_once_another_one_serves_elsewhere() -> None:
-    scheduler = doubtful_two_of_three()
+def test_unhealthy_worker_is_excluded_again_after_another_one_moves_to_another_service() -> None:
+    scheduler = two_of_three_unhealthy()
     scheduler.put_worker(make_worker("w2", "other"))
     scheduler.schedule(1.0)
     assert health_of(scheduler, "w1") == 0.0
