--- a/millethead/scheduling/scheduler.py
+++ b/millethead/scheduling/scheduler.py
@@ -28,6 +28,7 @@
 from millethead.scheduling.finding import QueueScanner
 from millethead.scheduling.headroom import PriorityHeadroom, record_runs
 from millethead.scheduling.health import Health, RunKey
+from millethead.scheduling.host_health import HostHealthUpdater
 from millethead.scheduling.looks import SCARCE_POLL_INTERVAL_S, service_poll_interval_s
 from millethead.scheduling.model import (
     Decision,
@@ -47,7 +48,6 @@
 from millethead.scheduling.starvation import is_underused, next_starvation_at, starving_steps, update_underused_since
 from millethead.scheduling.state import Pool, QueueState, Run, Step
 from millethead.scheduling.teaching import RuntimeObserver
-from millethead.scheduling.trust import HostHealthUpdater
 from millethead.scheduling.upkeep import update_step_bookkeeping
 
 UNCONFIGURED_QUEUE = QueueSpec("", "", 9, 3.0, 2.0, 1)  # stands for a queue that is no longer configured
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -11,9 +11,9 @@
 
 from millethead.execution.messages import Resources, RunEnd
 from millethead.scheduling.health import Health, HealthState
+from millethead.scheduling.host_health import HostHealthUpdater
 from millethead.scheduling.model import MIN_HOST_WEIGHT, PendingStep, PendingTask, QueueSpec, StepKey, WorkerState
 from millethead.scheduling.scheduler import Scheduler
-from millethead.scheduling.trust import HostHealthUpdater
 
 CAPACITY = Resources(32_000, 65_536, 0)
 NEEDS = Resources(4_000, 4_000, 0)
