--- a/benchmarks/decisions/ablation.py
+++ b/benchmarks/decisions/ablation.py
@@ -29,7 +29,16 @@
 from millethead.lab.screen.judge import judge
 from millethead.lab.screen.workload import Trouble, Workload, read_workload
 from millethead.lab.table import keep
-from millethead.scheduling import choosing, headroom, health, placement, reservation, room_making, starvation, state
+from millethead.scheduling import (
+    headroom,
+    health,
+    host_selection,
+    placement,
+    reservation,
+    room_making,
+    starvation,
+    state,
+)
 from millethead.scheduling.scheduler import Scheduler
 
 sys.path.insert(0, str(Path(__file__).parent))
@@ -39,16 +48,16 @@
 Constant = tuple[object, str, float]  # module, name, the value that it has without the mechanism
 MECHANISMS: dict[str, tuple[Constant, ...]] = {
     "room left to better priorities": ((headroom, "HEADROOM_FACTOR", 0.0),),
-    "wait for the rack of the data": ((choosing, "RACK_WAIT_FACTOR", 0.0),),
-    "a longer wait for it (0.6 before)": ((choosing, "RACK_WAIT_FACTOR", 0.6),),
+    "wait for the rack of the data": ((host_selection, "RACK_WAIT_FACTOR", 0.0),),
+    "a longer wait for it (0.6 before)": ((host_selection, "RACK_WAIT_FACTOR", 0.6),),
     "preemption": ((room_making, "PREEMPTING_PRIORITY", -1),),
     "reservations": ((reservation, "LARGE_TASK_SHARE", inf),),
     "size of the job": ((state, "SIZE_DELAY_FACTOR", 0.0), (state, "OVERLOAD_SIZE_DELAY_FACTOR", 0.0)),
     "more of it under a backlog": ((state, "OVERLOAD_SIZE_DELAY_FACTOR", state.SIZE_DELAY_FACTOR),),
     "late from 1.2 of the chain (0.8)": ((state, "SAFE_START_CHAIN_FACTOR", 0.8),),
     "large room kept together": ((placement, "FRAGMENTATION_WEIGHT", 1.0),),
-    "workers in use first": ((choosing, "IDLE_HOST_WEIGHT", 1.0),),
-    "retries elsewhere": ((choosing, "RETRY_ELSEWHERE_WAIT_S", 0.0),),
+    "workers in use first": ((host_selection, "IDLE_HOST_WEIGHT", 1.0),),
+    "retries elsewhere": ((host_selection, "RETRY_ELSEWHERE_WAIT_S", 0.0),),
     "verdicts by failures": (
         (health, "FAILURE_STREAK_LIMIT", NEVER),
         (health, "INITIAL_FAILURE_LIMIT", NEVER),
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -62,7 +62,7 @@
 from millethead.jobs.state import Job, Outcome
 from millethead.replication.view import View
 from millethead.rpc.codec import CodecError, Record, decode_any
-from millethead.scheduling.choosing import REMOTE_RUNTIME_FACTOR
+from millethead.scheduling.host_selection import REMOTE_RUNTIME_FACTOR
 from millethead.scheduling.model import StepKey
 from millethead.scheduling.scheduler import Scheduler
 
--- a/millethead/lab/overload.py
+++ b/millethead/lab/overload.py
@@ -13,7 +13,7 @@
 from statistics import mean
 
 from millethead.execution.messages import Resources, RunEnd
-from millethead.scheduling.choosing import REMOTE_RUNTIME_FACTOR
+from millethead.scheduling.host_selection import REMOTE_RUNTIME_FACTOR
 from millethead.scheduling.model import PendingStep, PendingTask, Placement, QueueSpec, StepKey, WorkerState
 from millethead.scheduling.scheduler import Scheduler
 
--- a/millethead/scheduling/finding.py
+++ b/millethead/scheduling/finding.py
@@ -10,7 +10,7 @@
 from math import inf
 
 from millethead.execution.messages import Resources
-from millethead.scheduling.choosing import Assignments, HostSelector
+from millethead.scheduling.host_selection import Assignments, HostSelector
 from millethead.scheduling.placement import Host, covers
 from millethead.scheduling.state import Pool, QueueState, ShapeBucket, Step
 
--- a/millethead/scheduling/scheduler.py
+++ b/millethead/scheduling/scheduler.py
@@ -24,11 +24,11 @@
 from random import Random
 
 from millethead.execution.messages import RunEnd
-from millethead.scheduling.choosing import REMOTE_RUNTIME_FACTOR, Assignments, HostSelector, wait_reason
 from millethead.scheduling.finding import QueueScanner
 from millethead.scheduling.headroom import PriorityHeadroom, record_runs
 from millethead.scheduling.health import Health, RunKey
 from millethead.scheduling.host_health import HostHealthUpdater
+from millethead.scheduling.host_selection import REMOTE_RUNTIME_FACTOR, Assignments, HostSelector, wait_reason
 from millethead.scheduling.looks import SCARCE_POLL_INTERVAL_S, service_poll_interval_s
 from millethead.scheduling.model import (
     Decision,
