--- a/millethead/scheduling/scheduler.py
+++ b/millethead/scheduling/scheduler.py
@@ -24,7 +24,6 @@
 from random import Random
 
 from millethead.execution.messages import RunEnd
-from millethead.scheduling.finding import QueueScanner
 from millethead.scheduling.headroom import PriorityHeadroom, record_runs
 from millethead.scheduling.health import Health, RunKey
 from millethead.scheduling.host_health import HostHealthUpdater
@@ -43,6 +42,7 @@
     WorkerState,
 )
 from millethead.scheduling.placement import Host
+from millethead.scheduling.queue_scan import QueueScanner
 from millethead.scheduling.reservation import cancel_reservation, consume_reservation
 from millethead.scheduling.room_making import reserve_or_preempt
 from millethead.scheduling.starvation import is_underused, next_starvation_at, starving_steps, update_underused_since
