--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -1,4 +1,4 @@
-"""Host health is updated incrementally; these tests compare it with a full derivation from the health of all workers."""
+"""Compares host health, which is updated incrementally, with a full derivation from the health of all workers."""
 
 from __future__ import annotations
 
