--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -10,8 +10,8 @@
 from millethead.execution.messages import AgentHello, DesiredRuns, LeaseGrant, RunKey, RunOrder, WorkerInfo
 from millethead.jobs.commands import TaskRun, task_run
 from millethead.jobs.state import JobTable, Task
-from millethead.scheduling.looks import LONG_RUNNING_POLL_INTERVAL_S, run_poll_interval_s
 from millethead.scheduling.model import WorkerState
+from millethead.scheduling.polling import LONG_RUNNING_POLL_INTERVAL_S, run_poll_interval_s
 
 LEASE_S = 12.0  # an agent that the head cannot reach goes on holding its runs for so long
 DRIFT = 0.03  # steady clocks differ by less than this part
--- a/millethead/lab/screen/history.py
+++ b/millethead/lab/screen/history.py
@@ -17,7 +17,6 @@
 from millethead.execution.messages import RunEnd
 from millethead.lab.screen.jobs import JobPlan, StepPlan, capacity_of, draw_jobs, rack_of
 from millethead.lab.screen.workload import Trouble, Workload
-from millethead.scheduling.looks import run_poll_interval_s
 from millethead.scheduling.model import (
     PendingStep,
     PendingTask,
@@ -27,6 +26,7 @@
     StepKey,
     WorkerState,
 )
+from millethead.scheduling.polling import run_poll_interval_s
 from millethead.scheduling.scheduler import Scheduler
 
 SERVICE = "service"
--- a/millethead/scheduling/scheduler.py
+++ b/millethead/scheduling/scheduler.py
@@ -28,7 +28,6 @@
 from millethead.scheduling.health import Health, RunKey
 from millethead.scheduling.host_health import HostHealthUpdater
 from millethead.scheduling.host_selection import REMOTE_RUNTIME_FACTOR, Assignments, HostSelector, wait_reason
-from millethead.scheduling.looks import SCARCE_POLL_INTERVAL_S, service_poll_interval_s
 from millethead.scheduling.model import (
     Decision,
     PendingStep,
@@ -42,6 +41,7 @@
     WorkerState,
 )
 from millethead.scheduling.placement import Host
+from millethead.scheduling.polling import SCARCE_POLL_INTERVAL_S, service_poll_interval_s
 from millethead.scheduling.queue_scan import QueueScanner
 from millethead.scheduling.reservation import cancel_reservation, consume_reservation
 from millethead.scheduling.room_making import reserve_or_preempt
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -14,13 +14,6 @@
 from millethead.execution.messages import Resources, RunEnd
 from millethead.lab.overload import Earned, Overload, Setting
 from millethead.scheduling.health import Cause, Health, HealthState
-from millethead.scheduling.looks import (
-    BACKLOG_POLL_INTERVAL_S,
-    MAX_POLL_INTERVAL_S,
-    MIN_POLL_INTERVAL_S,
-    SCARCE_POLL_INTERVAL_S,
-    run_poll_interval_s,
-)
 from millethead.scheduling.model import (
     Decision,
     PendingStep,
@@ -32,6 +25,13 @@
     WaitReason,
     WorkerState,
 )
+from millethead.scheduling.polling import (
+    BACKLOG_POLL_INTERVAL_S,
+    MAX_POLL_INTERVAL_S,
+    MIN_POLL_INTERVAL_S,
+    SCARCE_POLL_INTERVAL_S,
+    run_poll_interval_s,
+)
 from millethead.scheduling.reservation import Plan, reserve
 from millethead.scheduling.scheduler import Scheduler
 from millethead.scheduling.state import OVERLOAD_SIZE_DELAY_FACTOR, OVERLOAD_SLACK_FRACTION, SIZE_DELAY_FACTOR
