--- a/benchmarks/decisions/ablation.py
+++ b/benchmarks/decisions/ablation.py
@@ -34,8 +34,8 @@
     health,
     host_selection,
     placement,
+    preemption_planning,
     reservation,
-    room_making,
     starvation,
     state,
 )
@@ -50,7 +50,7 @@
     "room left to better priorities": ((headroom, "HEADROOM_FACTOR", 0.0),),
     "wait for the rack of the data": ((host_selection, "RACK_WAIT_FACTOR", 0.0),),
     "a longer wait for it (0.6 before)": ((host_selection, "RACK_WAIT_FACTOR", 0.6),),
-    "preemption": ((room_making, "PREEMPTING_PRIORITY", -1),),
+    "preemption": ((preemption_planning, "PREEMPTING_PRIORITY", -1),),
     "reservations": ((reservation, "LARGE_TASK_SHARE", inf),),
     "size of the job": ((state, "SIZE_DELAY_FACTOR", 0.0), (state, "OVERLOAD_SIZE_DELAY_FACTOR", 0.0)),
     "more of it under a backlog": ((state, "OVERLOAD_SIZE_DELAY_FACTOR", state.SIZE_DELAY_FACTOR),),
--- a/millethead/scheduling/scheduler.py
+++ b/millethead/scheduling/scheduler.py
@@ -42,9 +42,9 @@
 )
 from millethead.scheduling.placement import Host
 from millethead.scheduling.polling import SCARCE_POLL_INTERVAL_S, service_poll_interval_s
+from millethead.scheduling.preemption_planning import reserve_or_preempt
 from millethead.scheduling.queue_scan import QueueScanner
 from millethead.scheduling.reservation import cancel_reservation, consume_reservation
-from millethead.scheduling.room_making import reserve_or_preempt
 from millethead.scheduling.starvation import is_underused, next_starvation_at, starving_steps, update_underused_since
 from millethead.scheduling.state import Pool, QueueState, Run, Step
 from millethead.scheduling.teaching import RuntimeObserver
