--- a/millethead/scheduling/scheduler.py
+++ b/millethead/scheduling/scheduler.py
@@ -45,9 +45,9 @@
 from millethead.scheduling.preemption_planning import reserve_or_preempt
 from millethead.scheduling.queue_scan import QueueScanner
 from millethead.scheduling.reservation import cancel_reservation, consume_reservation
+from millethead.scheduling.runtime_observation import RuntimeObserver
 from millethead.scheduling.starvation import is_underused, next_starvation_at, starving_steps, update_underused_since
 from millethead.scheduling.state import Pool, QueueState, Run, Step
-from millethead.scheduling.teaching import RuntimeObserver
 from millethead.scheduling.upkeep import update_step_bookkeeping
 
 UNCONFIGURED_QUEUE = QueueSpec("", "", 9, 3.0, 2.0, 1)  # stands for a queue that is no longer configured
