--- a/millethead/scheduling/scheduler.py
+++ b/millethead/scheduling/scheduler.py
@@ -48,7 +48,7 @@
 from millethead.scheduling.runtime_observation import RuntimeObserver
 from millethead.scheduling.starvation import is_underused, next_starvation_at, starving_steps, update_underused_since
 from millethead.scheduling.state import Pool, QueueState, Run, Step
-from millethead.scheduling.upkeep import update_step_bookkeeping
+from millethead.scheduling.step_bookkeeping import update_step_bookkeeping
 
 UNCONFIGURED_QUEUE = QueueSpec("", "", 9, 3.0, 2.0, 1)  # stands for a queue that is no longer configured
 
