--- a/benchmarks/decisions/ablation.py
+++ b/benchmarks/decisions/ablation.py
@@ -30,11 +30,11 @@
 from millethead.lab.screen.workload import Trouble, Workload, read_workload
 from millethead.lab.table import keep
 from millethead.scheduling import (
-    headroom,
     health,
     host_selection,
     placement,
     preemption_planning,
+    priority_headroom,
     reservation,
     starvation,
     state,
@@ -47,7 +47,7 @@
 NEVER = 1 << 30
 Constant = tuple[object, str, float]  # module, name, the value that it has without the mechanism
 MECHANISMS: dict[str, tuple[Constant, ...]] = {
-    "room left to better priorities": ((headroom, "HEADROOM_FACTOR", 0.0),),
+    "room left to better priorities": ((priority_headroom, "HEADROOM_FACTOR", 0.0),),
     "wait for the rack of the data": ((host_selection, "RACK_WAIT_FACTOR", 0.0),),
     "a longer wait for it (0.6 before)": ((host_selection, "RACK_WAIT_FACTOR", 0.6),),
     "preemption": ((preemption_planning, "PREEMPTING_PRIORITY", -1),),
--- a/benchmarks/decisions/unseen.py
+++ b/benchmarks/decisions/unseen.py
@@ -28,7 +28,7 @@
 from millethead.lab.screen.judge import Earned, judge
 from millethead.lab.screen.workload import RequestKind, Spread, Trouble, Workload, read_workload
 from millethead.lab.table import keep
-from millethead.scheduling import headroom
+from millethead.scheduling import priority_headroom
 from millethead.scheduling.scheduler import Scheduler
 
 RECORD = Path(__file__).parent / "workloads" / "short-and-wide.toml"
@@ -74,7 +74,7 @@
     """One day of a workload with a setting."""
     workload_seed, day, room = task
     workload = draw(workload_seed)
-    with mock.patch.object(headroom, "HEADROOM_FACTOR", room):
+    with mock.patch.object(priority_headroom, "HEADROOM_FACTOR", room):
         return judge(workload, DayHistory(workload, day, Scheduler).play())
 
 
@@ -98,7 +98,9 @@
     options = docopt(__doc__)
     first, days = int(options["--first"]), int(options["--days"])
     seeds = range(first, first + int(options["--workloads"]))
-    tasks = [(seed, day, room) for seed in seeds for room in (0.0, headroom.HEADROOM_FACTOR) for day in range(days)]
+    tasks = [
+        (seed, day, room) for seed in seeds for room in (0.0, priority_headroom.HEADROOM_FACTOR) for day in range(days)
+    ]
     with Pool(int(options["--processes"])) as pool:
         played = iter(pool.map(play, tasks, chunksize=1))
     rows = []
--- a/millethead/scheduling/scheduler.py
+++ b/millethead/scheduling/scheduler.py
@@ -24,7 +24,6 @@
 from random import Random
 
 from millethead.execution.messages import RunEnd
-from millethead.scheduling.headroom import PriorityHeadroom, record_runs
 from millethead.scheduling.health import Health, RunKey
 from millethead.scheduling.host_health import HostHealthUpdater
 from millethead.scheduling.host_selection import REMOTE_RUNTIME_FACTOR, Assignments, HostSelector, wait_reason
@@ -43,6 +42,7 @@
 from millethead.scheduling.placement import Host
 from millethead.scheduling.polling import SCARCE_POLL_INTERVAL_S, service_poll_interval_s
 from millethead.scheduling.preemption_planning import reserve_or_preempt
+from millethead.scheduling.priority_headroom import PriorityHeadroom, record_runs
 from millethead.scheduling.queue_scan import QueueScanner
 from millethead.scheduling.reservation import cancel_reservation, consume_reservation
 from millethead.scheduling.runtime_observation import RuntimeObserver
--- a/millethead/scheduling/step_bookkeeping.py
+++ b/millethead/scheduling/step_bookkeeping.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from millethead.scheduling.headroom import record_arrival
+from millethead.scheduling.priority_headroom import record_arrival
 from millethead.scheduling.reservation import cancel_reservation
 from millethead.scheduling.state import ShapeBucket, Step
 
--- a/tests/test_headroom.py
+++ b/tests/test_headroom.py
@@ -7,8 +7,8 @@
 import pytest
 
 from millethead.execution.messages import Resources, RunEnd
-from millethead.scheduling.headroom import HEADROOM_FACTOR
 from millethead.scheduling.model import PendingStep, PendingTask, Placement, QueueSpec, StepKey, WorkerState
+from millethead.scheduling.priority_headroom import HEADROOM_FACTOR
 from millethead.scheduling.scheduler import Scheduler
 
 SERVICE = "service"
