--- a/millethead/control/agent_watch.py
+++ b/millethead/control/agent_watch.py
@@ -1,5 +1,7 @@
-"""What the head does about agents that are not heard: silent ones get nothing new until they are heard again, and what
-runs there is over once their lease is.
+"""Detects agents that do not respond and ends their runs once their lease has expired.
+
+An unresponsive agent gets no new runs until the head receives a record from it again. Its open runs are ended as lost
+only after its lease has expired, because they may still be running until then.
 """
 
 from __future__ import annotations
@@ -17,11 +19,15 @@
 
 log = structlog.get_logger()
 
-LOOK_S = 0.1  # between looks at agents that should say something
+CHECK_INTERVAL_S = 0.1  # between two checks for unresponsive agents
 
 
 class AgentWatch:
-    """`end` ends runs, `forget_worker` a worker's life at this head; `now`: when the head began."""
+    """Monitors the agents on behalf of the head.
+
+    `end` ends runs, `forget_worker` removes a worker instance from this head, and `now` is the time at which the head
+    started to lead.
+    """
 
     def __init__(
         self,
@@ -38,7 +44,7 @@
         self.next_look = now
 
     def heard(self, session: AgentSession) -> bool:
-        """A record of an agent has come; returns whether its worker may be used again."""
+        """Handle the receipt of any record from an agent; return whether its worker became usable again."""
         if not self._silences.heard(session.node) or session.info is None:
             return False
         log.info("agent_heard", node=session.node)
@@ -46,29 +52,29 @@
         return True
 
     def gone(self, session: AgentSession) -> None:
-        """The connection of an agent has ended; `disconnected` was called before."""
+        """Handle a closed agent connection. `Agents.disconnected` must have been called before."""
         if session.node not in self._agents.sessions:
             self._silences.forget(session.node)
-            self._use_no_more(session)
+            self._mark_unreachable(session)
 
-    def _use_no_more(self, session: AgentSession) -> None:
+    def _mark_unreachable(self, session: AgentSession) -> None:
         worker = self._agents.unreachable(session.instance)
         if worker is not None:
             self._scheduler.put_worker(worker)
 
     def look(self, now: float) -> bool:
-        """Find agents that have fallen silent; returns whether there are any."""
-        self.next_look = now + LOOK_S
-        silent = self._silences.look(now)
-        for node in silent:
+        """Check for agents that have stopped responding; return whether there are new ones."""
+        self.next_look = now + CHECK_INTERVAL_S
+        unresponsive = self._silences.look(now)
+        for node in unresponsive:
             log.info("agent_silent", node=node)
             session = self._agents.sessions.get(node)
             if session is not None:
-                self._use_no_more(session)
-        return bool(silent)
+                self._mark_unreachable(session)
+        return bool(unresponsive)
 
     def check_leases(self, now: float) -> None:
-        """End what runs at agents whose lease is over."""
+        """End all runs on nodes whose lease has expired."""
         runs_at: dict[str, list[tuple[TaskRun, Task]]] = {}
         for run, task in self._jobs.open_runs():
             runs_at.setdefault(task.node, []).append((run, task))
--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -1,4 +1,4 @@
-"""The head's side of the agents: sessions, lives of workers, leases, and the runs wanted in each life."""
+"""Head-side state of the agents: sessions, worker instances, leases and the desired runs of each instance."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from millethead.scheduling.looks import LASTING_GAP_S, run_gap
 from millethead.scheduling.model import WorkerState
 
-LEASE_S = 12.0  # an agent that the head cannot reach goes on holding its runs for so long
-DRIFT = 0.03  # steady clocks differ by less than this part
-SUSPICION_S = 1.5  # an agent repeats its suspicion of a silent worker more often than that
-LEASE_SLACK_S = 0.4  # a worker's hold may end so much after the lease that it was held under
+LEASE_S = 12.0  # an agent without contact to the head keeps its runs for this long
+MAX_CLOCK_DRIFT = 0.03  # largest relative difference between the rates of two monotonic clocks
+SUSPICION_TIMEOUT_S = 1.5  # an agent repeats its suspicion of an unresponsive worker more often than this
+LEASE_MARGIN_S = 0.4  # a worker may end its runs this long after the lease under which it held them
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerOrders:
-    """Runs that are to begin at a worker's life."""
+    """Runs to start on one worker instance."""
 
     node: str
     instance: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunStop:
-    """A run that is to be stopped, and where it was given to."""
+    """A run to stop, with the node and the worker instance to which it was assigned."""
 
     run: TaskRun
     node: str
@@ -39,7 +39,11 @@
 
 @dataclass(slots=True)
 class AgentSession:
-    """One agent, as long as its connection lasts. `leased`: it holds a lease that was granted in this session."""
+    """Session of one agent; lasts as long as its connection.
+
+    `leased` is true once a lease has been granted in this session. `instance` and `info` describe the worker of the
+    node, if there is one.
+    """
 
     hello: AgentHello
     link: CommittedLink
@@ -49,44 +53,48 @@
 
     @property
     def node(self) -> str:
+        """Name of the agent's node."""
         return self.hello.node
 
 
 class Agents:
-    """All agents that the head knows of. `drained`: nodes that the staff have taken out."""
+    """Registry of the agents and workers that the head knows. `drained` holds the nodes drained by an operator."""
 
     def __init__(self, jobs: JobTable, now: float, drained: Container[str] = ()) -> None:
         self._jobs, self._drained = jobs, drained
         self.sessions: dict[str, AgentSession] = {}
         self.workers: dict[str, WorkerState] = {}
-        # an earlier head may have granted leases until now
-        self._began = now
+        self._started_at = now  # an earlier head may have granted leases until this time
         self._lease_ends: dict[str, float] = {}
-        self.stopping: set[TaskRun] = set()  # to be stopped: told to the agent, or told once that is committed
-        self._suspected: dict[str, float] = {}
+        self.stopping: set[TaskRun] = set()  # the stop order has been sent or waits for its commit
+        self._suspected: dict[str, float] = {}  # instance -> time of the last suspicion
         self.silences = Silences(now)
 
-    # ---- sessions and lives ------------------------------------------------------------------------------
+    # ---- sessions and worker instances -------------------------------------------------------------------
 
     def connected(self, session: AgentSession) -> None:
-        """An agent has come, in the place of an earlier connection of its."""
+        """Register the session of an agent and close an earlier connection of the same node."""
         earlier = self.sessions.get(session.node)
         if earlier is not None and earlier.link != session.link:
             earlier.link.close()
         self.sessions[session.node] = session
 
     def disconnected(self, session: AgentSession) -> None:
+        """Remove the session of an agent, unless a later connection has replaced it."""
         if self.sessions.get(session.node) is session:
             del self.sessions[session.node]
 
     def end_session(self, node: str) -> None:
-        """Have an agent come again: what it was told in this session is void, and no lease is granted in it."""
+        """Close the session of a node, so that its agent has to reconnect.
+
+        Orders that were sent in the session become void, and no lease is granted in it any more.
+        """
         session = self.sessions.pop(node, None)
         if session is not None:
             session.link.close()
 
     def worker_state(self, session: AgentSession, info: WorkerInfo) -> WorkerState:
-        """Take what a worker said of itself; returns it as the scheduler wants it."""
+        """Record a worker's description of itself and return the resulting state for the scheduler."""
         session.instance, session.info = info.instance, info
         rack = next((label for label in info.labels if "-" in label), "")
         state = WorkerState(
@@ -101,45 +109,45 @@
             info.remaining_ms / 1000 if info.remaining_ms >= 0 else None,
             self._is_reachable(session, info.instance),
         )
-        return self._keep(state)
+        return self._store_worker(state)
 
     def _is_reachable(self, session: AgentSession, instance: str) -> bool:
-        """Whether tasks may be given to a worker."""
-        heard = not self.silences.is_silent(session.node)
-        return session.leased and heard and instance not in self._suspected
+        """Return whether tasks may be assigned to a worker."""
+        responsive = not self.silences.is_silent(session.node)
+        return session.leased and responsive and instance not in self._suspected
 
     def suspect(self, instance: str, now: float) -> WorkerState | None:
-        """A worker does not answer its agent; returns its state if it was taken to answer until now."""
+        """Mark a worker that does not answer its agent as suspected; return its new state if it was reachable."""
         self._suspected[instance] = now
         return self.unreachable(instance)
 
     def unreachable(self, instance: str) -> WorkerState | None:
-        """Nothing new may be given to a worker; returns its state if that was not so until now."""
+        """Mark a worker as unreachable, so that it gets no new tasks; return its new state if it was reachable."""
         worker = self.workers.get(instance)
         if worker is None or not worker.reachable:
             return None
-        return self._keep(replace(worker, reachable=False))
+        return self._store_worker(replace(worker, reachable=False))
 
-    def _keep(self, worker: WorkerState) -> WorkerState:
-        """Keep a worker's new state. The scheduler holds the one before, which stays as it is."""
+    def _store_worker(self, worker: WorkerState) -> WorkerState:
+        """Store the new state of a worker. The scheduler keeps the previous state object, which stays unmodified."""
         self.workers[worker.instance] = worker
         return worker
 
     def answering_again(self, now: float) -> list[WorkerState]:
-        """Workers of which no suspicion has come for a while."""
-        found = []
-        for instance in [instance for instance, at in self._suspected.items() if now - at > SUSPICION_S]:
+        """Return the workers that are reachable again, because their agents stopped repeating their suspicion."""
+        recovered = []
+        for instance in [instance for instance, at in self._suspected.items() if now - at > SUSPICION_TIMEOUT_S]:
             del self._suspected[instance]
             worker = self.workers.get(instance)
             session = self.sessions.get(worker.node) if worker is not None else None
             if worker is None or worker.reachable or session is None:
                 continue
             if self._is_reachable(session, instance):
-                found.append(self._keep(replace(worker, reachable=True)))
-        return found
+                recovered.append(self._store_worker(replace(worker, reachable=True)))
+        return recovered
 
     def forget(self, instance: str) -> None:
-        """A life is over."""
+        """Remove a worker instance that has ended."""
         self._suspected.pop(instance, None)
         self.workers.pop(instance, None)
         for session in self.sessions.values():
@@ -149,11 +157,14 @@
     # ---- leases ------------------------------------------------------------------------------------------
 
     def grant(self, session: AgentSession, grant: Committed[LeaseGrant], now: float) -> WorkerState | None:
-        """Renew a lease, in a session that has not ended; `now` is a moment at which this member was certainly the
-        head. Returns the worker's state if tasks may be given to it from now on."""
+        """Renew the lease of an agent, provided that its session is still current.
+
+        `now` must be a time at which this member was confirmed as the head. Return the state of the worker if the grant
+        made it reachable.
+        """
         if self.sessions.get(session.node) is not session:
             return None
-        self._lease_ends[session.node] = now + LEASE_S * (1 + DRIFT) + LEASE_SLACK_S
+        self._lease_ends[session.node] = now + LEASE_S * (1 + MAX_CLOCK_DRIFT) + LEASE_MARGIN_S
         session.link.send(grant)
         if session.leased:
             return None
@@ -161,14 +172,14 @@
         return self.worker_state(session, session.info) if session.info is not None else None
 
     def lapsed(self, node: str, now: float) -> bool:
-        """Whether everything that ran at a node under any lease is over."""
-        first = self._began + LEASE_S * (1 + DRIFT) + LEASE_SLACK_S
-        return now > max(first, self._lease_ends.get(node, 0.0))
+        """Return whether every lease that a node may have held has expired, so that none of its runs is active."""
+        earlier_leases_end = self._started_at + LEASE_S * (1 + MAX_CLOCK_DRIFT) + LEASE_MARGIN_S
+        return now > max(earlier_leases_end, self._lease_ends.get(node, 0.0))
 
-    # ---- wanted runs -------------------------------------------------------------------------------------
+    # ---- desired runs ------------------------------------------------------------------------------------
 
     def order(self, run: TaskRun, task: Task) -> RunOrder | None:
-        """The order that stands for an open run."""
+        """Return the order for an open run, or None if its job is unknown."""
         job = self._jobs.find(run.job)
         if job is None:
             return None
@@ -178,8 +189,11 @@
         return RunOrder(RunKey(run.task_name, run.run), job.description.spec, saved, step.needs, int(gap_s * 1000))
 
     def whole(self, instance: str) -> DesiredRuns:
-        """All that is wanted in a life, and what was to be stopped and has not ended: a process of the agent that has
-        just begun knows of neither."""
+        """Return the complete list of desired runs of a worker instance.
+
+        It also lists runs that must stop and have not ended yet: an agent process that has just started knows of
+        neither.
+        """
         orders, stops = [], []
         for run, task in self._jobs.open_runs():
             if task.instance != instance:
@@ -193,24 +207,26 @@
         return DesiredRuns(instance, True, tuple(orders), tuple(stops))
 
     def send_whole(self, session: AgentSession, whole: Committed[DesiredRuns]) -> None:
-        """Tell an agent all that is wanted in a life, unless its session is over."""
+        """Send the complete list of desired runs of a worker instance to its agent, if the session is still current."""
         if self.sessions.get(session.node) is session:
             session.link.send(whole)
 
     def send_orders(self, orders: Committed[WorkerOrders]) -> bool:
-        """Have runs begun, but for those that are to be stopped by now or whose job is over; returns whether the agent
-        was told of any."""
+        """Send orders to start runs; return whether anything was sent.
+
+        Runs that are being stopped by now, or whose job has ended, are left out.
+        """
         session = self.sessions.get(orders.value.node)
-        wanted = orders.derive(lambda value: DesiredRuns(value.instance, False, self._still_wanted(value.orders), ()))
-        if session is None or not wanted.value.orders:
+        desired = orders.derive(lambda value: DesiredRuns(value.instance, False, self._still_desired(value.orders), ()))
+        if session is None or not desired.value.orders:
             return False
-        session.link.send(wanted)
+        session.link.send(desired)
         return True
 
-    def _still_wanted(self, orders: tuple[RunOrder, ...]) -> tuple[RunOrder, ...]:
-        return tuple(order for order in orders if self._is_wanted(task_run(order.key.task, order.key.run)))
+    def _still_desired(self, orders: tuple[RunOrder, ...]) -> tuple[RunOrder, ...]:
+        return tuple(order for order in orders if self._is_desired(task_run(order.key.task, order.key.run)))
 
-    def _is_wanted(self, run: TaskRun | None) -> bool:
+    def _is_desired(self, run: TaskRun | None) -> bool:
         job = self._jobs.find(run.job) if run is not None else None
         if run is None or job is None or job.phase.over or run in self.stopping:
             return False
@@ -218,15 +234,15 @@
         return task is not None and task.open and task.run == run.run
 
     def send_stop(self, stop: Committed[RunStop]) -> None:
-        """Have an open run stopped; its end will be listed."""
+        """Send the order to stop an open run. The agent reports the end of the run later."""
         session = self.sessions.get(stop.value.node)
         if session is not None:
-            session.link.send(stop.derive(_stop_list))
+            session.link.send(stop.derive(_stop_message))
 
     def closed(self, run: TaskRun) -> None:
-        """A run is over."""
+        """Forget the pending stop of a run that has ended."""
         self.stopping.discard(run)
 
 
-def _stop_list(stop: RunStop) -> DesiredRuns:
+def _stop_message(stop: RunStop) -> DesiredRuns:
     return DesiredRuns(stop.instance, False, (), (RunKey(stop.run.task_name, stop.run.run),))
--- a/millethead/control/callers.py
+++ b/millethead/control/callers.py
@@ -1,6 +1,6 @@
-"""Requests of clients and of the operator, as the head answers them.
+"""Handles the calls of clients and of the operator on the head.
 
-An answer is formed from the state as it is now and released when that state is certain to stand (`CommitGate`).
+An answer is computed from the applied state and sent only once that state is known to be committed (see `CommitGate`).
 """
 
 from __future__ import annotations
@@ -22,17 +22,20 @@
 from millethead.jobs.state import Job, Outcome, job_bytes
 
 JOB_NAME = re.compile(r"[0-9a-f]{16}")
-MOST_JOBS = 50_000  # kept at once; more are refused until some are forgotten
-MOST_JOB_BYTES = 64 << 20  # that they are counted with, where the machine does not say (`control.admission`)
-BUSY_RETRY_S = 2
+MOST_JOBS = 50_000  # in the job table; further jobs are refused until some have been purged
+MOST_JOB_BYTES = 64 << 20  # accounted size of all jobs, unless derived from the machine (`control.admission`)
+OVERLOAD_RETRY_AFTER_S = 2
 
 Reply = Callable[[Committed[CallAnswer]], None]
 
 
 @dataclass(frozen=True, slots=True)
 class CallerEvents:
-    """What else has to happen once a request has changed the state. `submitted` and `configured` are called after the
-    commit; `ended` at once, so that nothing more of what has ended is placed, and its stops wait for the commit."""
+    """Callbacks for state changes that result from a call.
+
+    `submitted` and `configured` are called after the commit. `ended` is called immediately, so that no further task of
+    an ended job is placed; the stop orders that it triggers wait for the commit themselves.
+    """
 
     submitted: Callable[[Job], None]
     ended: Callable[[Outcome], None]
@@ -52,7 +55,7 @@
 
 
 class Callers:
-    """Answers requests against the replicated state."""
+    """Answers calls from the replicated state."""
 
     def __init__(
         self,
@@ -64,38 +67,40 @@
     ) -> None:
         self._state, self._gate, self._events, self._wall_ms = state, gate, events, wall_ms
         self._most_job_bytes = most_job_bytes
-        self._table: RouteTable | None = None
-        self._table_of: object = None
+        self._route_table: RouteTable | None = None
+        self._route_table_source: object = None
 
     # ---- jobs --------------------------------------------------------------------------------------------
 
     def job(self, call: JobCall, reply: Reply) -> None:
-        """Answer a client's request."""
+        """Handle a client's call on a job or a queue."""
         table = self._routes()
         if table is None:
             self._confirmed(reply, _error(call.number, 503, "no configuration yet", 1))
             return
         route = table.find(call.host, call.path)
         if route is None:
-            self._confirmed(reply, self._no_queue(call))
+            self._confirmed(reply, self._queue_not_found(call))
             return
-        name = call.path[len(route.path_prefix) :]
-        if not name:
-            self._queue(call, route, reply)
-        elif JOB_NAME.fullmatch(name) is None:
+        job_name = call.path[len(route.path_prefix) :]
+        if not job_name:
+            self._queue_status(call, route, reply)
+        elif JOB_NAME.fullmatch(job_name) is None:
             self._confirmed(reply, _error(call.number, 404, "a job's name is 16 hexadecimal digits"))
         elif call.method == "POST":
-            self._submit(call, route, name, reply)
+            self._submit(call, route, job_name, reply)
         elif call.method == "DELETE":
-            self._cancel(call, name, reply)
+            self._cancel(call, job_name, reply)
         elif call.method == "GET":
-            self._status(call, name, reply)
+            self._job_status(call, job_name, reply)
         else:
             self._confirmed(reply, _error(call.number, 405, "POST, GET or DELETE"))
 
-    def _no_queue(self, call: JobCall) -> CallAnswer:
-        """A refusal, unless the job is known: this very call may have gone to an earlier head too, and have been taken
-        there while the queue existed."""
+    def _queue_not_found(self, call: JobCall) -> CallAnswer:
+        """Answer a call for an unknown queue: 404, or 504 if the submitted job exists.
+
+        The same call may have reached an earlier head too and have been accepted there while the queue still existed.
+        """
         if call.method == "POST" and self._state.jobs.find(call.path.rpartition("/")[2]) is not None:
             return _error(call.number, 504, "the queue is gone, and the job was taken before")
         return _error(call.number, 404, "no such queue")
@@ -104,14 +109,14 @@
         configuration = self._state.configuration.configuration
         if configuration is None:
             return None
-        if self._table_of is not configuration:
-            self._table, self._table_of = RouteTable(configuration), configuration
-        return self._table
+        if self._route_table_source is not configuration:
+            self._route_table, self._route_table_source = RouteTable(configuration), configuration
+        return self._route_table
 
     def _confirmed(self, reply: Reply, answer: CallAnswer) -> None:
         self._gate.confirm(answer, reply)
 
-    def _queue(self, call: JobCall, route: Route, reply: Reply) -> None:
+    def _queue_status(self, call: JobCall, route: Route, reply: Reply) -> None:
         if call.method != "GET":
             self._confirmed(reply, _error(call.number, 405, "GET"))
             return
@@ -120,16 +125,16 @@
     def _submit(self, call: JobCall, route: Route, name: str, reply: Reply) -> None:
         answer = _answer(call.number, 200, {})
         if self._state.jobs.find(name) is not None:
-            self._confirmed(reply, answer)  # the same job again
+            self._confirmed(reply, answer)  # repeated submission of the same job
             return
         try:
             description = read_job(call.body)
         except InvalidJob as error:
             self._confirmed(reply, _answer(call.number, 400, {"error": "invalid job", "findings": error.findings}))
             return
-        held = self._state.jobs.held_bytes + job_bytes(description, call.body)
-        if len(self._state.jobs.jobs) >= MOST_JOBS or held > self._most_job_bytes:
-            self._confirmed(reply, _error(call.number, 429, "too many jobs", BUSY_RETRY_S))
+        job_bytes_after = self._state.jobs.held_bytes + job_bytes(description, call.body)
+        if len(self._state.jobs.jobs) >= MOST_JOBS or job_bytes_after > self._most_job_bytes:
+            self._confirmed(reply, _error(call.number, 429, "too many jobs", OVERLOAD_RETRY_AFTER_S))
             return
         terms = QueueTerms(
             route.name, route.service, route.prio, route.retries, int(route.target_ms), int(route.skew * 1000)
@@ -156,7 +161,7 @@
         self._events.ended(outcome)
         self._gate.after_commit(_answer(call.number, 200, {"state": "cancelled"}), reply)
 
-    def _status(self, call: JobCall, name: str, reply: Reply) -> None:
+    def _job_status(self, call: JobCall, name: str, reply: Reply) -> None:
         job = self._state.jobs.find(name)
         if job is None:
             self._confirmed(reply, _error(call.number, 410, "no such job"))
@@ -166,9 +171,9 @@
     # ---- configuration -----------------------------------------------------------------------------------
 
     def configuration(self, call: ConfigurationCall, reply: Reply) -> None:
-        """Answer the operator's request."""
+        """Handle the operator's call to read or change the configuration."""
         if call.method == "GET":
-            self._read_configuration(call, reply)
+            self._configuration_document(call, reply)
             return
         command = ChangeConfiguration(call.method == "PATCH", call.if_match, call.body)
         order = order_of(command)
@@ -181,7 +186,7 @@
                 self._confirmed(reply, _conflict(call.number, version))
             case Verdict.FORGOTTEN:
                 self._confirmed(reply, _error(call.number, 504, "too old an order to know whether it was accepted"))
-            case Verdict.AHEAD:  # a copy that comes later must not be accepted after this answer
+            case Verdict.AHEAD:  # a delayed copy of the order must not be accepted after this answer
                 self._gate.propose(RefuseOrder(order.digest()))
                 self._gate.after_commit(_conflict(call.number, version), reply)
             case Verdict.INVALID:
@@ -190,9 +195,9 @@
                     reply, _answer(call.number, 400, {"error": "invalid configuration", "findings": findings})
                 )
             case Verdict.ACCEPTED:
-                self._change(call.number, command, reply)
+                self._change_configuration(call.number, command, reply)
 
-    def _change(self, number: int, command: ChangeConfiguration, reply: Reply) -> None:
+    def _change_configuration(self, number: int, command: ChangeConfiguration, reply: Reply) -> None:
         self._gate.propose(command)
 
         def committed(released: Committed[StoredConfiguration]) -> None:
@@ -201,7 +206,7 @@
 
         self._gate.after_commit(stored(self._state.configuration), committed)
 
-    def _read_configuration(self, call: ConfigurationCall, reply: Reply) -> None:
+    def _configuration_document(self, call: ConfigurationCall, reply: Reply) -> None:
         document = self._state.configuration.document
         if document:
             self._confirmed(reply, CallAnswer(call.number, 200, document, 0))
--- a/millethead/control/calls.py
+++ b/millethead/control/calls.py
@@ -1,4 +1,4 @@
-"""Records between the head of the core and the programs that call it for clients and the operator."""
+"""Records exchanged between the head and its callers: dispatchers and command-line clients."""
 
 from __future__ import annotations
 
@@ -12,8 +12,11 @@
 @tagged(120)
 @dataclass(frozen=True, slots=True)
 class CallerHello(Record):
-    """First record of a caller's session. `configuration` and `place`: version and log place of the configuration that
-    the caller holds; `wants_configuration`: updates of it are to be streamed."""
+    """First record of a caller's session.
+
+    `configuration` and `place` are the version and the log position of the configuration in force at the caller. With
+    `wants_configuration`, the head streams configuration updates to the caller.
+    """
 
     node: str
     epoch: U64
@@ -25,7 +28,11 @@
 @tagged(121)
 @dataclass(frozen=True, slots=True)
 class CallerWelcome(Record):
-    """The member's view of the core. `serving`: it is the head and takes calls; otherwise they go to the view's."""
+    """Sends the member's view of the core to a caller.
+
+    `serving` means that the member is the head and accepts calls. Otherwise the caller sends its calls to the head of
+    the view.
+    """
 
     view: View
     serving: bool
@@ -34,8 +41,10 @@
 @tagged(124)
 @dataclass(frozen=True, slots=True)
 class CallerPing(Record):
-    """Asks whether the member is there, and still knows the view of `epoch` as the newest; answered by CallerPong, or
-    by CallerWelcome where there is news."""
+    """Checks that the member is alive and that the view of `epoch` is still the newest one it knows.
+
+    The member answers with CallerPong, or with CallerWelcome if its view or its role has changed.
+    """
 
     epoch: U64
     serving: bool
@@ -44,14 +53,17 @@
 @tagged(125)
 @dataclass(frozen=True, slots=True)
 class CallerPong(Record):
-    """There is no news."""
+    """Answer to CallerPing: neither the view nor the role of the member has changed."""
 
 
 @tagged(122)
 @dataclass(frozen=True, slots=True)
 class ConfigurationUpdate(Record):
-    """A committed configuration, whole, from the head of `epoch`. `place`: of the entry that brought it. `discard`:
-    what the caller holds is not in the committed log, so it gives way to this one whatever its place."""
+    """A complete committed configuration, sent by the head of `epoch`.
+
+    `place` is the log position of the entry that introduced it. `discard` is true if the configuration in force at the
+    caller is not in the committed log; the caller then replaces it whatever its log position is.
+    """
 
     epoch: U64
     place: LogPlace
@@ -63,7 +75,7 @@
 @tagged(123)
 @dataclass(frozen=True, slots=True)
 class ConfigurationAck(Record):
-    """The caller has put a configuration into force."""
+    """Confirms that the caller has put a configuration into force."""
 
     version: U64
     place: LogPlace
@@ -72,7 +84,7 @@
 @tagged(130)
 @dataclass(frozen=True, slots=True)
 class JobCall(Record):
-    """A client's request: POST, GET or DELETE on a path under a host."""
+    """A client's request: POST, GET or DELETE on a path of a host."""
 
     number: U64
     method: str
@@ -84,7 +96,7 @@
 @tagged(131)
 @dataclass(frozen=True, slots=True)
 class ConfigurationCall(Record):
-    """The operator's request: PUT, PATCH or GET; `if_match` None: no version was named."""
+    """The operator's request: PUT, PATCH or GET. `if_match` is None if the request names no version."""
 
     number: U64
     method: str
@@ -95,7 +107,7 @@
 @tagged(132)
 @dataclass(frozen=True, slots=True)
 class InspectCall(Record):
-    """Asks for the state of the core, for the command line; `what` names the part."""
+    """Requests a report on the state of the core for the command line; `what` names the report."""
 
     number: U64
     what: str
@@ -104,7 +116,7 @@
 @tagged(133)
 @dataclass(frozen=True, slots=True)
 class DrainCall(Record):
-    """The staff's request to take the worker at a node out (`drained`), or to put it back."""
+    """The operator's request to drain the worker of a node (`drained` is true) or to undo that."""
 
     number: U64
     node: str
@@ -114,7 +126,7 @@
 @tagged(140)
 @dataclass(frozen=True, slots=True)
 class CallAnswer(Record):
-    """The final answer to a call. `retry_after_s` 0: none is told."""
+    """The final answer to a call. A `retry_after_s` of 0 means that the answer has no Retry-After value."""
 
     number: U64
     status: U16
@@ -125,8 +137,11 @@
 @tagged(126)
 @dataclass(frozen=True, slots=True)
 class HeadCall(Record):
-    """A call (with its tag) for the head of one epoch. A head of another epoch, even at the same member, passes it
-    over: the caller sends it again to whoever it takes for the head by then, and may have been told of its end."""
+    """An encoded call, with its tag, addressed to the head of one epoch.
+
+    The head of another epoch ignores the call, even if it is the same member: by then the caller sends the call again
+    to the new head, and may already have received the answer to it.
+    """
 
     epoch: U64
     call: bytes
@@ -135,7 +150,7 @@
 @tagged(127)
 @dataclass(frozen=True, slots=True)
 class HeadAnswer(Record):
-    """The answer that the head of an epoch gives to a call that came to it in that epoch."""
+    """The answer of the head of an epoch to a call that was sent to it in that epoch."""
 
     epoch: U64
     answer: CallAnswer
--- a/millethead/control/client.py
+++ b/millethead/control/client.py
@@ -1,8 +1,8 @@
-"""Calls to the head of the core, wherever it is.
+"""Client for calls to the head of the core.
 
-Connections to a few members are kept; each tells of new views, so that a change of head is known as soon as one of them
-knows it. A call goes to the head, and again to the next head if its answer does not come: every call has the same
-effect however often it arrives. What fails says whether it may have been taken.
+The client keeps connections to a few members. Each of them announces new views, so the client learns of a new head as
+soon as one of them does. A call is sent to the head, and sent again to the next head if no answer arrives. That is safe
+because all calls are idempotent. A failed call reports whether the head may have processed it.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 
 log = structlog.get_logger()
 
-WATCHED = 3  # members with which a connection is kept: the head, and others that tell of a new one
+CONNECTED_MEMBERS = 3  # the head, and others that announce a new one
 CONNECT_TIMEOUT_S = 0.4
-RETRY_S = (0.05, 0.5)  # pause between attempts to connect, growing
-PING_S = 0.4  # between two pings of each member
-SILENT_S = 1.0  # a member that has sent nothing for so long is given up: its end of the connection may be gone
-MOST_CALLS = 4096  # under way at once
+RECONNECT_DELAY_S = (0.05, 0.5)  # first and longest delay between attempts to connect
+PING_INTERVAL_S = 0.4
+MEMBER_TIMEOUT_S = 1.0  # a connection without incoming records for this long is closed
+MAX_PENDING_CALLS = 4096
 
 
 class CallFailed(Exception):
-    """A call got no answer in time. `sent`: it may have been taken."""
+    """A call was not answered in time. `sent` is true if it was sent, so the head may have processed it."""
 
     def __init__(self, sent: bool) -> None:
         super().__init__("no answer from the head" if sent else "the head cannot be reached")
@@ -47,8 +47,10 @@
 
 
 @dataclass(slots=True)
-class _Call:
-    """`epoch`: of the head to which it was sent last; only that head's answer is taken."""
+class _PendingCall:
+    """A call without an answer yet. `epoch` is that of the head to which it was sent last; other epochs' answers are
+    ignored.
+    """
 
     data: bytes
     answer: asyncio.Future[CallAnswer]
@@ -57,21 +59,24 @@
 
 
 @dataclass(slots=True)
-class _Member:
-    """A connection to one member, or the attempts to have one."""
+class _MemberConnection:
+    """A connection to one member, or the attempts to establish one."""
 
     address: str
     task: asyncio.Task[None] | None = None
     connection: Connection | None = None
     serving: bool = False
-    heard_at: float = 0.0
+    last_received_at: float = 0.0
     lost: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class HeadCaller:
-    """`configured` is called with each newer configuration (version and document), and never with an older one. Newer
-    is what a later entry of the log brought: two configurations may have the same version, of which only one was ever
-    committed."""
+    """Sends calls to the head and follows the stream of configurations.
+
+    `configured` is called with the version and the document of each newer configuration, never with an older one.
+    Configurations are ordered by their log position and not by version, because two configurations may have the same
+    version, of which only one was committed.
+    """
 
     def __init__(
         self,
@@ -82,54 +87,57 @@
     ) -> None:
         self._node, self._seeds, self._random, self._configured = node, seeds, random, configured
         self.view: View = NO_VIEW
-        self._held = HeldConfiguration()
-        self._members: dict[str, _Member] = {}
-        self._head: _Member | None = None
-        self._calls: dict[int, _Call] = {}
-        self._number = 0
+        self._active = HeldConfiguration()
+        self._members: dict[str, _MemberConnection] = {}
+        self._head: _MemberConnection | None = None
+        self._calls: dict[int, _PendingCall] = {}
+        self._last_number = 0
         self.lost_head_at: float | None = None
-        self._pinging: asyncio.Task[None] | None = None
+        self._ping_task: asyncio.Task[None] | None = None
 
     @property
     def configuration(self) -> int:
-        """The version in force here; 0 before the first."""
-        return self._held.version
+        """Version of the configuration in force; 0 before the first."""
+        return self._active.version
 
     # ---- calls -------------------------------------------------------------------------------------------
 
     @property
     def connected(self) -> bool:
-        """Whether the head can be called now."""
+        """Whether there is a connection to the head."""
         return self._head is not None
 
     def away_s(self) -> float:
-        """For how long the head could not be called (s); 0 before it was first reached."""
+        """Return for how many seconds the head has been unreachable; 0 before it was first reached."""
         if self._head is not None or self.lost_head_at is None:
             return 0.0
         return asyncio.get_running_loop().time() - self.lost_head_at
 
     async def call(self, make: Callable[[int], Record], reach_s: float, answer_s: float) -> CallAnswer:
-        """Make a call and return its answer. Raises CallFailed when the head is not reached within `reach_s`, or its
-        answer does not come within `answer_s`."""
-        if len(self._calls) >= MOST_CALLS:
+        """Make a call and return its answer. `make` builds the record from the number of the call.
+
+        Raises CallFailed if the head is not reached within `reach_s` seconds, or if its answer does not arrive within
+        `answer_s` seconds.
+        """
+        if len(self._calls) >= MAX_PENDING_CALLS:
             raise CallFailed(sent=False)
-        self._number += 1
-        number = self._number
+        self._last_number += 1
+        number = self._last_number
         loop = asyncio.get_running_loop()
-        call = self._calls[number] = _Call(encode_any(make(number)), loop.create_future())
+        call = self._calls[number] = _PendingCall(encode_any(make(number)), loop.create_future())
         self._send(call)
-        began = loop.time()
+        started = loop.time()
         try:
             await asyncio.wait((call.answer,), timeout=reach_s)
             if not call.answer.done() and call.sent:
-                await asyncio.wait((call.answer,), timeout=max(0.0, began + answer_s - loop.time()))
+                await asyncio.wait((call.answer,), timeout=max(0.0, started + answer_s - loop.time()))
             if not call.answer.done():
                 raise CallFailed(call.sent)
             return call.answer.result()
         finally:
             del self._calls[number]
 
-    def _send(self, call: _Call) -> None:
+    def _send(self, call: _PendingCall) -> None:
         if self._head is not None and self._head.connection is not None:
             call.sent, call.epoch = True, self.view.epoch
             self._head.connection.send(HeadCall(call.epoch, call.data))
@@ -137,56 +145,57 @@
     # ---- members -----------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin to connect."""
+        """Start to connect to members."""
         self._choose_members()
-        self._pinging = asyncio.get_running_loop().create_task(self._ping())
+        self._ping_task = asyncio.get_running_loop().create_task(self._ping())
 
     async def _ping(self) -> None:
-        """Find out members that are silent: one end of a connection may not know that the other is gone."""
+        """Ping the members and close connections without traffic, where one end may not know that the other is gone."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(PING_S)
+            await asyncio.sleep(PING_INTERVAL_S)
             for member in list(self._members.values()):
                 if member.connection is None:
                     continue
-                if loop.time() - member.heard_at > SILENT_S:
+                if loop.time() - member.last_received_at > MEMBER_TIMEOUT_S:
                     member.connection.close()
                 else:
                     member.connection.send(CallerPing(self.view.epoch, member.serving))
 
     def close(self) -> None:
-        if self._pinging is not None:
-            self._pinging.cancel()
+        """Close all connections."""
+        if self._ping_task is not None:
+            self._ping_task.cancel()
         for member in list(self._members.values()):
-            self._drop(member)
+            self._disconnect(member)
 
     def _choose_members(self) -> None:
-        """Keep connections to the head and to some others; before a view is known, to the seeds."""
+        """Choose the members to connect to: the head and random others, or the seeds before a view is known."""
         known = self.view.addresses() or self._seeds()
-        wanted = list(known[:1])
-        others = [address for address in known if address not in wanted]
+        chosen = list(known[:1])
+        others = [address for address in known if address not in chosen]
         kept = [address for address in others if address in self._members]
         fresh = [address for address in others if address not in self._members]
         self._random.shuffle(fresh)
-        wanted += (kept + fresh)[: WATCHED - len(wanted)]
+        chosen += (kept + fresh)[: CONNECTED_MEMBERS - len(chosen)]
         for address in list(self._members):
-            if address not in wanted:
-                self._drop(self._members[address])
-        for address in wanted:
+            if address not in chosen:
+                self._disconnect(self._members[address])
+        for address in chosen:
             if address not in self._members:
-                member = self._members[address] = _Member(address)
-                member.task = asyncio.get_running_loop().create_task(self._keep(member))
+                member = self._members[address] = _MemberConnection(address)
+                member.task = asyncio.get_running_loop().create_task(self._maintain(member))
 
-    def _drop(self, member: _Member) -> None:
+    def _disconnect(self, member: _MemberConnection) -> None:
         self._members.pop(member.address, None)
         if member.task is not None:
             member.task.cancel()
         if member.connection is not None:
             member.connection.close()
 
-    async def _keep(self, member: _Member) -> None:
-        """Keep a connection to one member, as long as it is wanted."""
-        pause = RETRY_S[0]
+    async def _maintain(self, member: _MemberConnection) -> None:
+        """Connect to a member, and reconnect for as long as it is one of the chosen members."""
+        delay_s = RECONNECT_DELAY_S[0]
         while self._members.get(member.address) is member:
             member.lost.clear()
             try:
@@ -198,37 +207,37 @@
                 )
             except OSError:
                 self._replace(member)
-                await asyncio.sleep(pause * self._random.uniform(0.7, 1.3))
-                pause = min(2 * pause, RETRY_S[1])
+                await asyncio.sleep(delay_s * self._random.uniform(0.7, 1.3))
+                delay_s = min(2 * delay_s, RECONNECT_DELAY_S[1])
                 continue
-            pause = RETRY_S[0]
-            member.heard_at = asyncio.get_running_loop().time()
+            delay_s = RECONNECT_DELAY_S[0]
+            member.last_received_at = asyncio.get_running_loop().time()
             member.connection.send(
                 CallerHello(
-                    self._node, self.view.epoch, self._held.version, self._held.place, self._configured is not None
+                    self._node, self.view.epoch, self._active.version, self._active.place, self._configured is not None
                 )
             )
             await member.lost.wait()
-            await asyncio.sleep(RETRY_S[0])
+            await asyncio.sleep(RECONNECT_DELAY_S[0])
 
-    def _replace(self, member: _Member) -> None:
-        """A member that cannot be reached and is not the head gives its place to another one."""
+    def _replace(self, member: _MemberConnection) -> None:
+        """Replace a member that cannot be reached by a random unused one, unless it is the head."""
         addresses = self.view.addresses()
         unused = [address for address in addresses if address not in self._members]
         if unused and member.address != addresses[0] and member.task is not None:
             address = self._random.choice(unused)
             del self._members[member.address]
-            other = self._members[address] = _Member(address)
-            other.task = asyncio.get_running_loop().create_task(self._keep(other))
+            other = self._members[address] = _MemberConnection(address)
+            other.task = asyncio.get_running_loop().create_task(self._maintain(other))
 
-    def _lost(self, member: _Member) -> None:
+    def _lost(self, member: _MemberConnection) -> None:
         member.connection, member.serving = None, False
         member.lost.set()
         if self._head is member:
             self._set_head(None)
 
-    def _received(self, member: _Member, record: Record) -> None:
-        member.heard_at = asyncio.get_running_loop().time()
+    def _received(self, member: _MemberConnection, record: Record) -> None:
+        member.last_received_at = asyncio.get_running_loop().time()
         match record:
             case CallerWelcome(view=view, serving=serving):
                 self._welcome(member, view, serving)
@@ -239,7 +248,8 @@
             case ConfigurationUpdate():
                 self._update(member, record)
 
-    def _welcome(self, member: _Member, view: View, serving: bool) -> None:
+    def _welcome(self, member: _MemberConnection, view: View, serving: bool) -> None:
+        """Adopt the member's view unless a newer one is known, and note whether the member is the head."""
         if view.epoch < self.view.epoch:
             return
         newer = view.epoch > self.view.epoch
@@ -254,7 +264,8 @@
         if newer:
             self._choose_members()
 
-    def _set_head(self, member: _Member | None) -> None:
+    def _set_head(self, member: _MemberConnection | None) -> None:
+        """Set or clear the connection to the head; all pending calls are sent again to a new head."""
         if member is None:
             if self._head is not None:
                 self.lost_head_at = asyncio.get_running_loop().time()
@@ -265,13 +276,13 @@
             if not call.answer.done():
                 self._send(call)
 
-    def _update(self, member: _Member, update: ConfigurationUpdate) -> None:
+    def _update(self, member: _MemberConnection, update: ConfigurationUpdate) -> None:
         if self._configured is None:
             return
-        before = self._held.version
-        if self._held.take(update, self.view.epoch):
+        before = self._active.version
+        if self._active.take(update, self.view.epoch):
             if update.discard and before:
                 log.warning("configuration_discarded", version=before, instead=update.version)
             self._configured(update.version, update.document)
         if member.connection is not None:
-            member.connection.send(self._held.ack())
+            member.connection.send(self._active.ack())
--- a/millethead/control/commit.py
+++ b/millethead/control/commit.py
@@ -1,13 +1,14 @@
-"""When the head may let something out: values worked out from the applied state, and values that are committed.
+"""Controls when values may leave the head: only after the log entries on which they depend are committed.
 
-A command's answer waits for the commit of its own entry. A read's answer waits for a barrier that has passed the whole
-chain since the read came, which shows without any clock that this member was still the head then, and for the commit
-of the last entry that it may have seen. That commit alone would not do: the acknowledgements that it rests on may have
-been sent before the read came, and another head may have committed more since.
+The answer to a command waits for the commit of its own entry. The answer to a read waits for two things. A barrier must
+have passed the whole chain since the read arrived, which proves without any clock that this member was still the head
+then. And the last entry that the read may have seen must be committed. The commit alone is not enough: the
+acknowledgements behind it may have been sent before the read arrived, and another head may have committed further
+entries since.
 
-The state of the head holds what was *applied*, which may never be committed. Links of the head accept `Committed`
-values only, and nothing but `CommitGate` makes one: the value is captured when the gate is asked, and released
-together with the sequence that it rests on. So a callback cannot tell of what was applied after that.
+The state of the head is the *applied* state, which may never be committed. Links of the head accept `Committed` values
+only, and only `CommitGate` creates those. A value is captured when the gate is called and is released together with the
+sequence number that it depends on, so a callback cannot leak anything that was applied later.
 """
 
 from __future__ import annotations
@@ -28,28 +29,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed(Generic[T]):
-    """A value that rests on no entry above `sequence`, which is committed. Made by this module alone."""
+    """A value that depends on no log entry above `sequence`, which is committed. Created by this module only."""
 
     value: T
     sequence: int
 
     def derive(self, make: Callable[[T], U]) -> Committed[U]:
-        """Another value that is worked out from this one alone."""
+        """Return another committed value that is computed from this one alone."""
         return Committed(make(self.value), self.sequence)
 
 
 def each(released: Committed[tuple[T, ...]]) -> list[Committed[T]]:
-    """The values of a committed tuple, one by one."""
+    """Split a committed tuple into its committed elements."""
     return [Committed(value, released.sequence) for value in released.value]
 
 
 def of_view(record: CallerWelcome | CallerPong) -> Committed[Record]:
-    """A record that tells of the agreed view only, and of no entry."""
+    """Wrap a record that depends on the agreed view only and on no log entry."""
     return Committed(record, 0)
 
 
 class HeadLink(Protocol):
-    """A connection of an agent or a caller."""
+    """Connection of the head to an agent or a caller."""
 
     def send(self, record: Record) -> None: ...
 
@@ -57,7 +58,7 @@
 
 
 class ChainHead(Protocol):
-    """What the chain offers to its head."""
+    """Operations of the replication chain that the head uses."""
 
     committed: int
 
@@ -67,20 +68,25 @@
 
 
 class UncommittedRelease(AssertionError):
-    """A record was to leave the head that rests on an entry which is not committed."""
+    """A record that depends on an uncommitted log entry was about to leave the head."""
 
 
 @dataclass(frozen=True, slots=True)
 class CommittedLink:
-    """The one way by which records leave the head: only what is committed passes, which is looked at once more here;
-    the member ends (UncommittedRelease) sooner than it tells of anything else."""
+    """Wrapper of a link that lets only committed records leave the head.
+
+    The sequence number is checked once more here. On a violation the member fails with UncommittedRelease and sends
+    nothing.
+    """
 
     link: HeadLink
     chain: ChainHead
 
     def send(self, record: Committed[R]) -> None:
         if record.sequence > self.chain.committed:
-            raise UncommittedRelease(f"entry {record.sequence}, and {self.chain.committed} is committed")
+            raise UncommittedRelease(
+                f"record depends on entry {record.sequence}, but only {self.chain.committed} is committed"
+            )
         self.link.send(record.value)
 
     def close(self) -> None:
@@ -88,57 +94,61 @@
 
 
 Release = Callable[[], None]
-_Read = tuple[int, Release]  # the last entry that it may have seen, and what then
+_PendingRead = tuple[int, Release]  # sequence of the last entry that the read may have seen, and the callback
 
 
 class CommitGate:
-    """Callbacks in the order of their release."""
+    """Queue of callbacks that wait for a commit or for a barrier, in the order of their release."""
 
     def __init__(self, chain: ChainHead, soon: Callable[[Callable[[], None]], None]) -> None:
         self._chain, self._soon = chain, soon
-        self._last = chain.committed
-        self._commits: deque[tuple[int, Release]] = deque()
-        self._reads: list[_Read] = []  # wait for a barrier that is not yet sent
-        self._confirming: list[_Read] = []  # wait for the barrier under way
-        self._barrier = 0
-        self._sending = False
+        self._last_sequence = chain.committed
+        self._awaiting_commit: deque[tuple[int, Release]] = deque()
+        self._awaiting_next_barrier: list[_PendingRead] = []
+        self._awaiting_barrier: list[_PendingRead] = []  # sent and not passed yet
+        self._pending_barrier = 0
+        self._barrier_scheduled = False
         self.closed = False
 
     def propose(self, command: Record) -> object:
-        """Append a command; returns its result, which is applied and not committed yet."""
-        self._last, result = self._chain.propose(encode_any(command))
+        """Append a command to the log; return its result, which is applied but not committed yet."""
+        self._last_sequence, result = self._chain.propose(encode_any(command))
         return result
 
     @property
     def uncommitted(self) -> int:
-        """Entries that are not committed yet."""
-        return max(0, self._last - self._chain.committed)
+        """Number of log entries that are not committed yet."""
+        return max(0, self._last_sequence - self._chain.committed)
 
     def after_commit(self, value: T, then: Callable[[Committed[T]], None]) -> None:
-        """Call `then` with the value, as it is now, once everything applied so far is committed: at once where it
-        is."""
-        released = Committed(value, self._last)
+        """Call `then` with the present value once everything applied so far is committed.
+
+        The call is immediate if that is the case already.
+        """
+        released = Committed(value, self._last_sequence)
         self._after_commit_of(released.sequence, lambda: then(released))
 
     def _after_commit_of(self, sequence: int, then: Release) -> None:
         if sequence <= self._chain.committed:
             then()
         else:
-            insort(self._commits, (sequence, then), key=lambda waiting: waiting[0])
+            insort(self._awaiting_commit, (sequence, then), key=lambda pending: pending[0])
 
     def confirm(self, value: T, then: Callable[[Committed[T]], None]) -> None:
-        """Call `then` with the value, as it is now, once it is certain that it is committed and was not out of date
-        when this was called."""
-        released = Committed(value, self._last)
-        self._reads.append((released.sequence, lambda: then(released)))
-        if not self._confirming and not self._sending:
-            self._sending = True
+        """Call `then` with the present value once it is committed and was certainly up to date at this call."""
+        released = Committed(value, self._last_sequence)
+        self._awaiting_next_barrier.append((released.sequence, lambda: then(released)))
+        if not self._awaiting_barrier and not self._barrier_scheduled:
+            self._barrier_scheduled = True
             self._soon(self._send_barrier)
 
     def confirm_newest(self, capture: Callable[[], T], then: Callable[[Committed[T]], None]) -> None:
-        """As `confirm`, for the beginning of a stream: `capture` is called when this member was certainly the head,
-        and what it returns is released once all is committed that was applied by then. What is released later
-        through `after_commit` rests on later entries, so that nothing is missed in between."""
+        """Like `confirm`, for the first value of a stream.
+
+        `capture` is called once this member is confirmed as the head, and its result is released once everything
+        applied by then is committed. Values that are released later through `after_commit` depend on later entries, so
+        the stream has no gap.
+        """
 
         def confirmed(_: Committed[None]) -> None:
             self.after_commit(capture(), then)
@@ -146,38 +156,43 @@
         self.confirm(None, confirmed)
 
     def _send_barrier(self) -> None:
-        self._sending = False
-        if self.closed or not self._reads:
+        self._barrier_scheduled = False
+        if self.closed or not self._awaiting_next_barrier:
             return
-        self._confirming, self._reads = self._reads, []
-        self._barrier = self._chain.send_barrier()
+        self._awaiting_barrier, self._awaiting_next_barrier = self._awaiting_next_barrier, []
+        self._pending_barrier = self._chain.send_barrier()
 
     def barrier_passed(self, number: int) -> None:
-        if self.closed or not self._confirming or number < self._barrier:
+        """Release the reads that waited for the barrier, if `number` is at least its number."""
+        if self.closed or not self._awaiting_barrier or number < self._pending_barrier:
             return
-        ready, self._confirming = self._confirming, []
-        for last, then in ready:
-            self._after_commit_of(last, then)
-        if self._reads and not self._sending:
-            self._sending = True
+        ready, self._awaiting_barrier = self._awaiting_barrier, []
+        for sequence, then in ready:
+            self._after_commit_of(sequence, then)
+        if self._awaiting_next_barrier and not self._barrier_scheduled:
+            self._barrier_scheduled = True
             self._soon(self._send_barrier)
 
     def leads_on(self) -> None:
-        """The head goes on in another view. A barrier that was under way ended with the links of the view before, so
-        reads that waited for it wait for another one; entries are committed by the members of the new chain."""
-        self._reads = self._confirming + self._reads
-        self._confirming = []
-        if self._reads and not self._sending:
-            self._sending = True
+        """Continue as the head in another view.
+
+        A pending barrier was lost with the links of the previous view, so the reads that waited for it wait for a new
+        barrier. Pending entries are committed by the members of the new chain.
+        """
+        self._awaiting_next_barrier = self._awaiting_barrier + self._awaiting_next_barrier
+        self._awaiting_barrier = []
+        if self._awaiting_next_barrier and not self._barrier_scheduled:
+            self._barrier_scheduled = True
             self._soon(self._send_barrier)
 
     def committed(self, sequence: int) -> None:
-        while self._commits and self._commits[0][0] <= sequence and not self.closed:
-            self._commits.popleft()[1]()
+        """Release what waited for the commit of entries up to `sequence`."""
+        while self._awaiting_commit and self._awaiting_commit[0][0] <= sequence and not self.closed:
+            self._awaiting_commit.popleft()[1]()
 
     def close(self) -> None:
-        """The epoch is over: nothing that waits is ever called."""
+        """End the epoch: pending callbacks are dropped and never called."""
         self.closed = True
-        self._commits.clear()
-        self._reads.clear()
-        self._confirming.clear()
+        self._awaiting_commit.clear()
+        self._awaiting_next_barrier.clear()
+        self._awaiting_barrier.clear()
--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -1,7 +1,7 @@
-"""The stream of committed configurations to the callers that put them into force.
+"""Stream of committed configurations from the head to the callers that put them into force.
 
-A caller's place in the stream is that of the log entry that brought its configuration, not the operator's version
-number: two orders may carry the same number, and only one of them is ever committed.
+The position of a caller in the stream is the log position of the entry that introduced its configuration. The
+operator's version number is not suitable: two orders may carry the same number, of which only one is ever committed.
 """
 
 from __future__ import annotations
@@ -22,8 +22,11 @@
 
 @dataclass(slots=True)
 class Caller:
-    """A program that calls for clients or the operator. `configuration` and `place`: version and log place of what it
-    has put into force; `sent`: place of what it was sent last."""
+    """Session of a caller, a program that sends the calls of clients or of the operator.
+
+    `configuration` and `place` are the version and the log position of the configuration in force at the caller. `sent`
+    is the log position of the configuration that was sent to it last.
+    """
 
     node: str
     link: CommittedLink
@@ -33,21 +36,24 @@
     sent: LogPlace = NO_PLACE
 
     def hello(self) -> CallerHello:
-        """What it would say to the head of another epoch."""
+        """Return the hello that represents this session for the head of another epoch."""
         return CallerHello(self.node, 0, self.configuration, self.place, self.wants_configuration)
 
 
 @dataclass(slots=True)
 class HeldConfiguration:
-    """What a follower of the stream has in force: `version`, and the place of the entry that brought it."""
+    """Configuration in force at a follower of the stream: its version and its log position."""
 
     version: int = 0
     place: LogPlace = NO_PLACE
 
     def take(self, update: ConfigurationUpdate, epoch: int) -> bool:
-        """Take an update, where `epoch` is the newest that the follower knows of; whether it is to be put into force.
-        Bytes of an earlier head may still have been in the socket, and an older place is never gone back to, unless
-        the head says that what is held was never committed."""
+        """Accept or reject an update; return whether it has to be put into force.
+
+        `epoch` is the newest epoch known to the follower. Updates of earlier heads, which may still have been in the
+        socket buffer, are rejected. So are older log positions, unless the head reports that the configuration in force
+        was never committed.
+        """
         if update.epoch < epoch or update.place == self.place:
             return False
         if update.place < self.place and not update.discard:
@@ -56,13 +62,16 @@
         return True
 
     def ack(self) -> ConfigurationAck:
-        """Tells the head what is in force."""
+        """Return the acknowledgement of the configuration in force."""
         return ConfigurationAck(self.version, self.place)
 
 
 @dataclass(frozen=True, slots=True)
 class StoredConfiguration:
-    """A configuration as a log entry brought it. `configuration` is None, and `document` empty, before the first."""
+    """A configuration with its log position.
+
+    Before the first configuration, `configuration` is None and `document` is empty.
+    """
 
     place: LogPlace
     document: bytes
@@ -74,13 +83,16 @@
 
 
 def stored(state: ConfigurationState) -> StoredConfiguration:
-    """The newest configuration that is applied."""
+    """Return the newest applied configuration, which may not be committed yet."""
     return StoredConfiguration(state.place, state.document, state.configuration)
 
 
 class ConfigurationStream:
-    """Tells callers of each configuration once it is committed. `current` begins with that of the epoch's start, at
-    which all that is applied is committed."""
+    """Sends each configuration to the callers once it is committed.
+
+    `current` is the newest committed configuration. At the start of an epoch all applied entries are committed, so it
+    starts with the applied one.
+    """
 
     def __init__(self, epoch: int, state: ConfigurationState, gate: CommitGate) -> None:
         self._epoch, self._state, self._gate = epoch, state, gate
@@ -88,44 +100,47 @@
         self.current: StoredConfiguration = stored(state)
 
     def leads_on(self, epoch: int) -> None:
-        """The head goes on in another view. What was sent under the one before may have been passed over by a caller
-        that heard of the new one first, so callers that have not acknowledged the newest get it again."""
+        """Continue as the head in another view.
+
+        Callers that learned of the new view first may have ignored updates sent under the previous one. Callers that
+        have not acknowledged the newest configuration therefore get it again.
+        """
         self._epoch = epoch
         for caller in self.callers:
             if caller.wants_configuration and caller.place != self._state.place:
                 caller.sent = NO_PLACE
-                self._begin_with_newest(caller)
+                self._send_newest(caller)
 
     def join(self, link: CommittedLink, hello: CallerHello) -> Caller:
-        """A caller has come; it is told the newest configuration unless it holds that."""
+        """Open the session of a caller and send it the newest configuration, unless that is in force there already."""
         caller = Caller(hello.node, link, hello.wants_configuration, hello.configuration, hello.place)
         self.callers.append(caller)
         if caller.wants_configuration and hello.place != self._state.place:
-            self._begin_with_newest(caller)
+            self._send_newest(caller)
         return caller
 
-    def _begin_with_newest(self, caller: Caller) -> None:
-        self._gate.confirm_newest(self._newest, lambda newest: self._begin(caller, newest))
+    def _send_newest(self, caller: Caller) -> None:
+        self._gate.confirm_newest(self._newest, lambda newest: self._start(caller, newest))
 
     def _newest(self) -> StoredConfiguration:
         return stored(self._state)
 
     def leave(self, caller: Caller) -> None:
-        """A caller has gone."""
+        """Remove the session of a caller."""
         if caller in self.callers:
             self.callers.remove(caller)
 
     def acknowledged(self, caller: Caller, record: ConfigurationAck) -> None:
-        """A caller has put a configuration into force."""
+        """Record which configuration a caller has put into force."""
         caller.configuration, caller.place = record.version, record.place
 
     def publish(self, configuration: Committed[StoredConfiguration]) -> None:
-        """A configuration is committed: all callers are told."""
+        """Send a newly committed configuration to all callers."""
         self.current = configuration.value
         for caller in self.callers:
             self._send(caller, configuration, False)
 
-    def _begin(self, caller: Caller, newest: Committed[StoredConfiguration]) -> None:
+    def _start(self, caller: Caller, newest: Committed[StoredConfiguration]) -> None:
         discard = not self._state.knows(caller.place)
         if discard:
             log.warning(
@@ -144,7 +159,7 @@
             caller.link.send(configuration.derive(self._update(discard)))
 
     def _update(self, discard: bool) -> Callable[[StoredConfiguration], ConfigurationUpdate]:
-        def make(held: StoredConfiguration) -> ConfigurationUpdate:
-            return ConfigurationUpdate(self._epoch, held.place, held.version, held.document, discard)
+        def build(newest: StoredConfiguration) -> ConfigurationUpdate:
+            return ConfigurationUpdate(self._epoch, newest.place, newest.version, newest.document, discard)
 
-        return make
+        return build
--- a/millethead/control/drains.py
+++ b/millethead/control/drains.py
@@ -1,7 +1,7 @@
-"""Workers that get nothing new: those that drain by themselves, and those whose node the staff have taken out.
+"""Draining: workers that get no new tasks, because they shut down or because an operator has drained their node.
 
-A node that is taken out is part of the replicated state, so that every later head knows it. What runs there ends there,
-but for tasks that last, which would never end.
+Drained nodes are part of the replicated state, so every later head knows them. Open runs finish on a drained node,
+except for runs of long-running tasks, which would never end.
 """
 
 from __future__ import annotations
@@ -20,18 +20,21 @@
 from millethead.jobs.state import JobTable
 
 OK, NOT_FOUND, TOO_MANY = 200, 404, 429
-LEAVES_SHARE = 0.9  # of the time that a draining worker has left, a run must end in to stay there
+REMAINING_TIME_SHARE = 0.9  # a run stays on a worker if it ends within this fraction of the worker's remaining time
 
 
-class Leaving(enum.Enum):
-    """How long a worker that gets nothing new has left."""
+class DrainReason(enum.Enum):
+    """Why a worker gets no new tasks, which determines how much time its runs have left."""
 
-    SOON = enum.auto()  # what it says itself
-    LATER = enum.auto()  # as long as its runs take
+    SHUTDOWN = enum.auto()  # the worker reports its remaining time itself
+    OPERATOR = enum.auto()  # unlimited: runs may finish
 
 
 class DrainReport(msgspec.Struct, frozen=True):
-    """What a call about a node meant. `instance`: its worker's life, empty without one; `runs`: open there now."""
+    """Result of a drain call, encoded as JSON.
+
+    `instance` is the worker instance on the node, or empty if there is none. `runs` counts the runs open on the node.
+    """
 
     node: str
     drained: bool
@@ -39,29 +42,38 @@
     runs: int
 
 
-def runs_to_move(jobs: JobTable, info: WorkerInfo, leaving: Leaving) -> Iterator[TaskRun]:
-    """Open runs at a worker that are to go on elsewhere, of which the caller may stop any at once."""
-    if leaving is Leaving.SOON and info.remaining_ms < 0:
+def runs_to_move(jobs: JobTable, info: WorkerInfo, reason: DrainReason) -> Iterator[TaskRun]:
+    """Yield the open runs of a worker that must continue on another worker.
+
+    The consumer may stop each run as soon as it is yielded.
+    """
+    if reason is DrainReason.SHUTDOWN and info.remaining_ms < 0:
         return
     for run, task in list(jobs.open_runs()):
         if task.instance != info.instance:
             continue
         step = jobs.jobs[run.job].description.steps[run.step]
         left_ms = step.estimate_ms * (1 - task.percent / 100)
-        if step.long_running or (leaving is Leaving.SOON and left_ms > LEAVES_SHARE * info.remaining_ms):
+        if step.long_running or (reason is DrainReason.SHUTDOWN and left_ms > REMAINING_TIME_SHARE * info.remaining_ms):
             yield run
 
 
 def drain_answer(state: ControlState, agents: Agents, call: DrainCall) -> CallAnswer:
-    """What the call is answered once its command is committed. A node whose agent is not there cannot be taken out: it
-    may be a misspelt name; one that was taken out can always be put back."""
+    """Return the answer to a drain call, to be sent once its command is committed.
+
+    A node without a connected agent cannot be drained, because its name may be misspelt. A drained node can always be
+    put back into use.
+    """
     session = agents.sessions.get(call.node)
     if session is None and call.node not in state.drained:
         return _refusal(call, NOT_FOUND, f"no agent of a node {call.node} is connected")
     if call.drained and call.node not in state.drained and len(state.drained) >= MOST_DRAINED:
         return _refusal(call, TOO_MANY, f"{MOST_DRAINED} nodes are taken out already")
     report = DrainReport(
-        call.node, call.drained, session.instance if session is not None else "", _open_at(state.jobs, call.node)
+        call.node,
+        call.drained,
+        session.instance if session is not None else "",
+        _count_open_runs(state.jobs, call.node),
     )
     return CallAnswer(call.number, OK, msgspec.json.encode(report), 0)
 
@@ -70,5 +82,5 @@
     return CallAnswer(call.number, status, msgspec.json.encode({"error": text}), 0)
 
 
-def _open_at(jobs: JobTable, node: str) -> int:
+def _count_open_runs(jobs: JobTable, node: str) -> int:
     return sum(task.node == node for _, task in jobs.open_runs())
--- a/millethead/control/feeder.py
+++ b/millethead/control/feeder.py
@@ -1,6 +1,7 @@
-"""Keeps the scheduler in step with the replicated jobs: which tasks wait, which run, which steps have become ready.
+"""Synchronises the scheduler with the replicated jobs: waiting tasks, open runs and steps that have become ready.
 
-All of it can be worked out from the state of the jobs, and is by a new head.
+All of this state is derived from the replicated jobs, so a new head can rebuild it. "Time K" is the K-th occurrence of
+a repeated job, counted from 0; other jobs have time 0 only.
 """
 
 from __future__ import annotations
@@ -25,58 +26,59 @@
 from millethead.scheduling.placement import cores
 from millethead.scheduling.scheduler import Scheduler
 
-RESTART_PAUSE_S = (0.2, 2.0)  # first and longest pause before a lasting task that failed at once is started again
-REJECT_PAUSE_S = (0.05, 1.0)  # the same for a task that a worker rejected
-STEADY_RUN_S = 5.0  # a lasting task that ran for so long begins with the first pause again
+RESTART_BACKOFF_S = (0.2, 2.0)  # first and longest backoff of a long-running task whose runs end early
+REJECT_BACKOFF_S = (0.05, 1.0)  # first and longest backoff of a task that workers reject
+BACKOFF_RESET_S = 5.0  # the backoff starts anew after a run of at least this duration
 
 
 @dataclass(frozen=True, slots=True)
 class Clock:
-    """One moment by both clocks: steady seconds, and milliseconds of the time of day."""
+    """One moment on both clocks: monotonic time in seconds and time of day in milliseconds."""
 
     now: float
     wall_ms: int
 
     def steady(self, wall_ms: float) -> float:
-        """The steady time that stands for a time of day, by the difference at this moment."""
+        """Convert a time of day to monotonic time, using the difference of the clocks at this moment."""
         return self.now + (wall_ms - self.wall_ms) / 1000
 
 
 @dataclass(slots=True)
-class _Pause:
-    """How often in a row a task ended without having run well, and when the last run began."""
+class _Backoff:
+    """Restart backoff of a task: number of consecutive bad ends, and the start of the last run."""
 
     count: int = 0
     started: float = 0.0
 
 
 class Feeder:
-    """Translates between `JobTable` and `Scheduler`. `stop` is called for runs that are to be stopped."""
+    """Translates between `JobTable` and `Scheduler`. `stop` is called for each run that has to be stopped."""
 
     def __init__(self, jobs: JobTable, scheduler: Scheduler, stop: Callable[[TaskRun], None]) -> None:
         self._jobs, self._scheduler, self._stop = jobs, scheduler, stop
-        self._due: list[tuple[int, str, int]] = []  # (due in ms of the time of day, job, time K)
-        self._resting: list[tuple[float, StepKey, int]] = []  # (steady time, step, index) of tasks that pause
-        self._pauses: dict[tuple[StepKey, int], _Pause] = {}
+        self._calendar: list[tuple[int, str, int]] = []  # (due in ms since 1970, job, time K)
+        self._backing_off: list[tuple[float, StepKey, int]] = []  # (monotonic time, step, task)
+        self._backoffs: dict[tuple[StepKey, int], _Backoff] = {}
         self._failed_on: dict[tuple[StepKey, int], frozenset[str]] = {}
         self._steps: set[StepKey] = set()
-        self._times = JobTimes()
-        self._late: list[LateJob] = []
+        self._latency = JobTimes()
+        self._late_jobs: list[LateJob] = []
 
-    # ---- start -------------------------------------------------------------------------------------------
+    # ---- start of an epoch -------------------------------------------------------------------------------
 
-    def take_over(self, clock: Clock) -> None:
-        """Work everything out from the replicated state: at the start of an epoch."""
+    def take_over(self, moment: Clock) -> None:
+        """Rebuild the scheduler's state from the replicated state at the start of an epoch."""
         for job in list(self._jobs.jobs.values()):
-            self.job_submitted(job, clock)
+            self.job_submitted(job, moment)
         for run, task in list(self._jobs.open_runs()):
             key = StepKey(run.job, run.time, run.step)
             if key not in self._steps:
-                self._put(self._jobs.jobs[run.job], key, clock)  # of a job that is over: only its room counts
-            self._scheduler.run_started(key, run.index, task.instance, run.run, clock.now)
+                # The job has ended, but its run still uses resources.
+                self._add_step(self._jobs.jobs[run.job], key, moment)
+            self._scheduler.run_started(key, run.index, task.instance, run.run, moment.now)
 
     def set_queues(self, configuration: Configuration) -> None:
-        """Take the queues of a configuration in force."""
+        """Set the scheduler's queues from the routes of the configuration in force."""
         self._scheduler.set_queues(
             QueueSpec(route.name, route.service, route.prio, route.target_ms / 1000, route.skew, route.retries)
             for route in configuration.routes
@@ -84,34 +86,37 @@
 
     # ---- jobs --------------------------------------------------------------------------------------------
 
-    def job_submitted(self, job: Job, clock: Clock) -> None:
-        """A job is known: its steps that depend on nothing may run, or wait for their first time."""
+    def job_submitted(self, job: Job, moment: Clock) -> None:
+        """Add a job: its ready steps go to the scheduler, and its next time is put on the calendar if it repeats."""
         if job.phase.over:
             return
         if not job.description.repeats:
-            self._time_ready(job, 0, clock)
+            self._add_ready_steps(job, 0, moment)
             return
-        begun = max(job.times, default=-1) + 1  # of the times before, some may have no run yet: those are in no state
-        for time in range(begun):
+        # Some earlier times may have no run yet; the replicated state does not contain those.
+        next_time = max(job.times, default=-1) + 1
+        for time in range(next_time):
             if time not in job.times_done:
-                self._time_ready(job, time, clock)
-        self._next_time(job, begun)
+                self._add_ready_steps(job, time, moment)
+        self._schedule_time(job, next_time)
 
-    def _next_time(self, job: Job, time: int) -> None:
+    def _schedule_time(self, job: Job, time: int) -> None:
+        """Put a time of a repeated job on the calendar, unless the job has no such time."""
         if time < job.time_count():
-            heapq.heappush(self._due, (job.description.due_ms(time), job.name, time))
+            heapq.heappush(self._calendar, (job.description.due_ms(time), job.name, time))
 
-    def _time_ready(self, job: Job, time: int, clock: Clock) -> None:
+    def _add_ready_steps(self, job: Job, time: int, moment: Clock) -> None:
+        """Add the ready steps of a job at one time to the scheduler."""
         for number, step in enumerate(job.at_time(time).steps):
             if not step.done and job.step_ready(time, number):
-                self._put(job, StepKey(job.name, time, number), clock)
+                self._add_step(job, StepKey(job.name, time, number), moment)
 
-    def _put(self, job: Job, key: StepKey, clock: Clock) -> None:
-        """Show a step to the scheduler, with its tasks that wait."""
+    def _add_step(self, job: Job, key: StepKey, moment: Clock) -> None:
+        """Add a step to the scheduler, with its waiting tasks, unless it has been added before."""
         if key in self._steps:
             return
         self._steps.add(key)
-        self._times.step_ready(key, clock.now)
+        self._latency.step_ready(key, moment.now)
         description = job.description.steps[key.step]
         state = job.at_time(key.time).steps[key.step]
         start_ms = job.description.due_ms(key.time) or job.submitted_ms
@@ -130,13 +135,13 @@
             description.idempotent,
             description.long_running,
             description.checkpoints,
-            clock.steady(start_ms + job.objective_ms),
+            moment.steady(start_ms + job.objective_ms),
             tail_s=job.description.tails_ms()[key.step] / 1000,
             work_left=_work_left(job, key.time),
         )
         for index, task in enumerate(state.tasks):
             if not task.open and not task.done and not job.phase.over:
-                pending.tasks[index] = PendingTask(index, self._checkpoint(job, key, task), clock.now)
+                pending.tasks[index] = PendingTask(index, self._checkpoint(job, key, task), moment.now)
         self._scheduler.put_step(pending)
 
     @staticmethod
@@ -148,14 +153,14 @@
     # ---- runs --------------------------------------------------------------------------------------------
 
     def assignments(self, placements: Sequence[Placement], workers: dict[str, WorkerState]) -> tuple[Assignment, ...]:
-        """The runs that placements open. All members of a gang share one run number."""
+        """Return the assignments that follow from placements. All members of a gang get the same run number."""
         gangs: dict[StepKey, int] = {}
-        found = []
+        assignments = []
         for placement in placements:
             run = self._run_number(placement, gangs)
             task_run = TaskRun(placement.key.job, placement.key.time, placement.key.step, placement.index, run)
-            found.append(Assignment(task_run, workers[placement.instance].node, placement.instance))
-        return tuple(found)
+            assignments.append(Assignment(task_run, workers[placement.instance].node, placement.instance))
+        return tuple(assignments)
 
     def _run_number(self, placement: Placement, gangs: dict[StepKey, int]) -> int:
         key = placement.key
@@ -167,49 +172,49 @@
             gangs[key] = max(task.run for task in step.tasks) + 1
         return gangs[key]
 
-    def runs_opened(self, assignments: tuple[Assignment, ...], clock: Clock) -> None:
-        """Runs are assigned: the scheduler learns their numbers."""
+    def runs_opened(self, assignments: tuple[Assignment, ...], moment: Clock) -> None:
+        """Tell the scheduler the run numbers of new assignments."""
         for assignment in assignments:
             run = assignment.run
             key = StepKey(run.job, run.time, run.step)
-            self._scheduler.run_started(key, run.index, assignment.instance, run.run, clock.now)
-            self._times.run_assigned(key, run.index, self._is_far(key, assignment.instance), clock.now)
-            pause = self._pauses.get((key, run.index))
-            if pause is not None:
-                pause.started = clock.now
+            self._scheduler.run_started(key, run.index, assignment.instance, run.run, moment.now)
+            self._latency.run_assigned(key, run.index, self._is_far(key, assignment.instance), moment.now)
+            backoff = self._backoffs.get((key, run.index))
+            if backoff is not None:
+                backoff.started = moment.now
 
     def _is_far(self, key: StepKey, instance: str) -> bool:
-        """Whether a worker stands in another rack than the data of a step."""
+        """Return whether a worker is in another rack than the data of a step."""
         rack = self._jobs.jobs[key.job].description.steps[key.step].affinity
         worker = self._scheduler.worker(instance)
         return bool(rack) and worker is not None and worker.rack != rack
 
     def run_lasted(self, run: TaskRun, instance: str, seconds: float) -> None:
-        """How long a run ran, as its agent saw it; its end follows."""
+        """Record the duration of a run as its agent measured it. The end of the run is recorded afterwards."""
         key = StepKey(run.job, run.time, run.step)
         self._scheduler.run_lasted(key, run.index, instance, run.run, seconds)
-        self._times.run_lasted(key, run.index, seconds)
+        self._latency.run_lasted(key, run.index, seconds)
 
-    def runs_closed(self, outcome: Outcome, clock: Clock) -> None:
-        """Runs have ended, with whatever follows from that."""
+    def runs_closed(self, outcome: Outcome, moment: Clock) -> None:
+        """Apply the outcome of a command: ended runs, finished steps and finished jobs."""
         for closed in outcome.closed:
-            self._closed(closed.ended, closed.instance, clock)
+            self._run_closed(closed.ended, closed.instance, moment)
         for done in outcome.finished_steps:
             job, key = self._jobs.jobs[done.job], StepKey(done.job, done.time, done.step)
-            self._times.step_done(job, key, clock.now)
+            self._latency.step_done(job, key, moment.now)
             if job.at_time(done.time).done:
-                self._time_over(job, done.time, clock)
-            self._step_finished(job, key, clock)
+                self._time_done(job, done.time, moment)
+            self._step_finished(job, key, moment)
         for name in outcome.finished_jobs:
             self.job_over(self._jobs.jobs[name])
 
-    def _closed(self, ended: EndedRun, instance: str, clock: Clock) -> None:
+    def _run_closed(self, ended: EndedRun, instance: str, moment: Clock) -> None:
         run = ended.run
         key = StepKey(run.job, run.time, run.step)
-        self._scheduler.run_ended(key, run.index, instance, run.run, ended.how, clock.now)
+        self._scheduler.run_ended(key, run.index, instance, run.run, ended.how, moment.now)
         job = self._jobs.jobs[run.job]
         estimate_s = job.description.steps[run.step].estimate_ms / 1000
-        self._times.run_ended(key, run.index, ended.how, estimate_s, clock.now)
+        self._latency.run_ended(key, run.index, ended.how, estimate_s, moment.now)
         task = self._jobs.task(run)
         if task is None or task.done or job.phase.over:
             self._forget_task(key, run.index)
@@ -217,36 +222,36 @@
         if job.description.steps[run.step].gang:
             self._stop_gang(job, key)
         if ended.how is RunEnd.FAILED:
-            known = self._failed_on.get((key, run.index), frozenset())
-            self._failed_on[key, run.index] = known | {instance}
-        wait = self._pause(job, key, run.index, ended.how, clock)
-        if wait:
-            heapq.heappush(self._resting, (clock.now + wait, key, run.index))
+            earlier = self._failed_on.get((key, run.index), frozenset())
+            self._failed_on[key, run.index] = earlier | {instance}
+        backoff_s = self._backoff_s(job, key, run.index, ended.how, moment)
+        if backoff_s:
+            heapq.heappush(self._backing_off, (moment.now + backoff_s, key, run.index))
         else:
-            self._task_waits(job, key, run.index, clock)
+            self._queue_task(job, key, run.index, moment)
 
-    def _task_waits(self, job: Job, key: StepKey, index: int, clock: Clock) -> None:
+    def _queue_task(self, job: Job, key: StepKey, index: int, moment: Clock) -> None:
         task = job.at_time(key.time).steps[key.step].tasks[index]
         avoid = self._failed_on.get((key, index), frozenset())
-        pending = PendingTask(index, self._checkpoint(job, key, task), clock.now, avoid)
+        pending = PendingTask(index, self._checkpoint(job, key, task), moment.now, avoid)
         if key in self._steps:
-            self._scheduler.task_waits(key, pending, clock.now)
+            self._scheduler.task_waits(key, pending, moment.now)
 
-    def _pause(self, job: Job, key: StepKey, index: int, how: RunEnd, clock: Clock) -> float:
-        """How long a task rests before it waits again (s)."""
-        lasting = job.description.steps[key.step].long_running
+    def _backoff_s(self, job: Job, key: StepKey, index: int, how: RunEnd, moment: Clock) -> float:
+        """Return for how many seconds a task waits before it may be scheduled again; 0 for immediately."""
+        long_running = job.description.steps[key.step].long_running
         if how is RunEnd.NEVER:
-            first, most = REJECT_PAUSE_S
-        elif lasting and how in (RunEnd.FAILED, RunEnd.DONE):
-            first, most = RESTART_PAUSE_S
+            first, longest = REJECT_BACKOFF_S
+        elif long_running and how in (RunEnd.FAILED, RunEnd.DONE):
+            first, longest = RESTART_BACKOFF_S
         else:
-            self._pauses.pop((key, index), None)
+            self._backoffs.pop((key, index), None)
             return 0.0
-        pause = self._pauses.setdefault((key, index), _Pause(0, clock.now))
-        if clock.now - pause.started > STEADY_RUN_S:
-            pause.count = 0
-        pause.count += 1
-        return min(most, float(first * 2 ** min(pause.count - 1, 16)))
+        backoff = self._backoffs.setdefault((key, index), _Backoff(0, moment.now))
+        if moment.now - backoff.started > BACKOFF_RESET_S:
+            backoff.count = 0
+        backoff.count += 1
+        return min(longest, float(first * 2 ** min(backoff.count - 1, 16)))
 
     def _stop_gang(self, job: Job, key: StepKey) -> None:
         for index, task in enumerate(job.at_time(key.time).steps[key.step].tasks):
@@ -254,30 +259,30 @@
                 self._stop(TaskRun(key.job, key.time, key.step, index, task.run))
 
     def _forget_task(self, key: StepKey, index: int) -> None:
-        self._pauses.pop((key, index), None)
+        self._backoffs.pop((key, index), None)
         self._failed_on.pop((key, index), None)
 
-    def _time_over(self, job: Job, time: int, clock: Clock) -> None:
-        """All steps of a job are done at one time K: it is kept where its time went, if it was late."""
-        began_ms = job.description.due_ms(time) or job.submitted_ms
-        late = self._times.time_over(job, time, (clock.wall_ms - began_ms) / 1000)
+    def _time_done(self, job: Job, time: int, moment: Clock) -> None:
+        """All steps of a job are done at one time: if it was late, keep the breakdown of its latency for the log."""
+        start_ms = job.description.due_ms(time) or job.submitted_ms
+        late = self._latency.time_over(job, time, (moment.wall_ms - start_ms) / 1000)
         if late is not None:
-            self._late.append(late)
+            self._late_jobs.append(late)
 
     def take_late(self) -> list[LateJob]:
-        """The jobs that were found late since the last time."""
-        late, self._late = self._late, []
+        """Return the late jobs found since the last call."""
+        late, self._late_jobs = self._late_jobs, []
         return late
 
-    def _step_finished(self, job: Job, key: StepKey, clock: Clock) -> None:
+    def _step_finished(self, job: Job, key: StepKey, moment: Clock) -> None:
         self._remove(key)
         if not job.phase.over:
-            self._time_ready(job, key.time, clock)
+            self._add_ready_steps(job, key.time, moment)
 
     def job_over(self, job: Job) -> None:
-        """A job has ended: nothing of it waits any more, and what still runs is stopped."""
+        """Remove an ended job from the scheduler and stop its open runs."""
         for time, state in job.times.items():
-            self._times.forget(job.name, time, len(state.steps))
+            self._latency.forget(job.name, time, len(state.steps))
             for number, step in enumerate(state.steps):
                 key = StepKey(job.name, time, number)
                 self._remove(key)
@@ -293,35 +298,37 @@
 
     # ---- time --------------------------------------------------------------------------------------------
 
-    def wake(self, clock: Clock) -> bool:
-        """Bring in what has become due; returns whether there was anything."""
-        woken = False
-        while self._due and self._due[0][0] <= clock.wall_ms:
-            woken = True
-            _, name, time = heapq.heappop(self._due)
+    def wake(self, moment: Clock) -> bool:
+        """Add what has become due, that is times of repeated jobs and tasks after a backoff; return whether there was
+        any.
+        """
+        any_due = False
+        while self._calendar and self._calendar[0][0] <= moment.wall_ms:
+            any_due = True
+            _, name, time = heapq.heappop(self._calendar)
             job = self._jobs.find(name)
             if job is not None and not job.phase.over:
-                self._time_ready(job, time, clock)
-                self._next_time(job, time + 1)
-        while self._resting and self._resting[0][0] <= clock.now:
-            woken = True
-            _, key, index = heapq.heappop(self._resting)
+                self._add_ready_steps(job, time, moment)
+                self._schedule_time(job, time + 1)
+        while self._backing_off and self._backing_off[0][0] <= moment.now:
+            any_due = True
+            _, key, index = heapq.heappop(self._backing_off)
             job = self._jobs.find(key.job)
             if job is None or job.phase.over:
                 continue
             task = job.at_time(key.time).steps[key.step].tasks[index]
             if not task.open and not task.done:
-                self._task_waits(job, key, index, clock)
-        return woken
+                self._queue_task(job, key, index, moment)
+        return any_due
 
-    def next_wake(self, clock: Clock) -> float:
-        """The steady time at which `wake` has something to do."""
-        due = clock.steady(self._due[0][0]) if self._due else float("inf")
-        rest = self._resting[0][0] if self._resting else float("inf")
-        return min(due, rest)
+    def next_wake(self, moment: Clock) -> float:
+        """Return the monotonic time at which `wake` next has something to add."""
+        due = moment.steady(self._calendar[0][0]) if self._calendar else float("inf")
+        backoff_end = self._backing_off[0][0] if self._backing_off else float("inf")
+        return min(due, backoff_end)
 
 
 def _work_left(job: Job, time: int) -> float:
-    """What is not done yet of a job at a time K, in core-seconds by estimate."""
+    """Return the estimated work that remains of a job at one time, in core-seconds."""
     steps = zip(job.description.steps, job.at_time(time).steps, strict=True)
     return sum(state.left * step.estimate_ms / 1000 * cores(step.needs) for step, state in steps)
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -1,8 +1,8 @@
-"""What the head of the core does: answers calls, schedules, and directs the agents.
+"""The head of the core, its leader: answers calls, runs the scheduler and directs the agents.
 
-Another head works everything here out anew from the replicated state; what must not be lost goes through the chain. A
-head that leads in the next view too goes on with all of it. No input or output: records come in from links, records go
-out on links, time is asked of a clock.
+A new head rebuilds everything in this module from the replicated state; whatever must survive goes through the chain. A
+head that also leads in the next view keeps all of it. The module does no input or output: records arrive from links and
+leave on links, and the time comes from a clock.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 )
 from millethead.control.commit import ChainHead, CommitGate, Committed, CommittedLink, HeadLink, each, of_view
 from millethead.control.configuration_stream import Caller, ConfigurationStream, StoredConfiguration
-from millethead.control.drains import OK, Leaving, drain_answer, runs_to_move
+from millethead.control.drains import OK, DrainReason, drain_answer, runs_to_move
 from millethead.control.feeder import Clock, Feeder
 from millethead.control.housekeeping import PURGE_S, TRIM_S, purge_command, trim_command
 from millethead.control.inspect import inspect
@@ -68,11 +68,11 @@
 
 log = structlog.get_logger()
 
-LOOK_S = 0.5  # between looks at leases, and at runs that stand still
+CHECK_INTERVAL_S = 0.5  # between two checks of leases and of stalled runs
 
 
 class Head:
-    """What the head does from the view in which it begins to lead until another member leads."""
+    """The head, from the first view in which this member leads until another member takes over."""
 
     def __init__(
         self,
@@ -86,49 +86,51 @@
         most_job_bytes: int = MOST_JOB_BYTES,
     ) -> None:
         self.view, self.state, self.clock, self._status_s = view, state, clock, status_s
-        self._first_epoch = view.epoch  # it leads in all epochs from here to that of `view`
+        self._first_epoch = view.epoch  # this head leads in all epochs from here to that of `view`
         self._chain = chain
         self.gate = CommitGate(chain, clock.soon)
         self.scheduler = Scheduler(random, far_times)
         self.agents = Agents(state.jobs, clock.now(), state.drained)
         self.feeder = Feeder(state.jobs, self.scheduler, self._stop_run)
         self.rounds = Rounds(state.jobs, self.gate, self.scheduler, self.agents, self.feeder, clock, self._stop_run)
-        self._watch = AgentWatch(state.jobs, self.agents, self.scheduler, self._end, self._forget_worker, clock.now())
+        self._watch = AgentWatch(
+            state.jobs, self.agents, self.scheduler, self._end_runs, self._forget_worker, clock.now()
+        )
         self.configurations = ConfigurationStream(view.epoch, state.configuration, self.gate)
-        events = CallerEvents(self._job_submitted, self._outcome, self._configured)
-        self._calls = Callers(state, self.gate, events, clock.wall_ms, most_job_bytes)
-        self._next_check = clock.now() + LOOK_S
+        events = CallerEvents(self._job_submitted, self._apply_outcome, self._configuration_committed)
+        self._call_handler = Callers(state, self.gate, events, clock.wall_ms, most_job_bytes)
+        self._next_check = clock.now() + CHECK_INTERVAL_S
         self._next_purge = clock.now() + PURGE_S
         self._next_trim = clock.now() + TRIM_S
         self._set_queues(self.configurations.current)
-        self.feeder.take_over(self._moment())
+        self.feeder.take_over(self._now())
         self.rounds.want()
 
-    def _moment(self) -> Clock:
+    def _now(self) -> Clock:
         return moment_of(self.clock)
 
     def leads_on(self, view: View) -> None:
-        """The same process is the head of the next view too: sessions, leases, tags and all that waits stay."""
+        """Continue as the head in the next view, keeping sessions, leases, call numbers and pending callbacks."""
         self.view = view
         self.gate.leads_on()
         self.configurations.leads_on(view.epoch)
-        for caller in self.configurations.callers:  # it may know the view already, and have called under it
+        for caller in self.configurations.callers:  # a caller may know the view already and have sent calls in it
             caller.link.send(of_view(CallerWelcome(view, True)))
 
     def close(self) -> None:
-        """The epoch is over: nothing that waits is answered."""
+        """End the epoch: pending calls are not answered any more."""
         self.gate.close()
 
     # ---- callers -----------------------------------------------------------------------------------------
 
     def caller_hello(self, link: HeadLink, hello: CallerHello) -> Caller:
-        """A program has come that calls for clients or the operator."""
-        outlet = CommittedLink(link, self._chain)
-        outlet.send(of_view(CallerWelcome(self.view, True)))
-        return self.configurations.join(outlet, hello)
+        """Open the session of a caller, a program that sends the calls of clients or of the operator."""
+        committed_link = CommittedLink(link, self._chain)
+        committed_link.send(of_view(CallerWelcome(self.view, True)))
+        return self.configurations.join(committed_link, hello)
 
     def caller_record(self, caller: Caller, record: Record) -> None:
-        """A record of a caller."""
+        """Handle a record from a caller."""
         match record:
             case HeadCall(epoch=epoch, call=data):
                 if self._first_epoch <= epoch <= self.view.epoch:
@@ -140,18 +142,20 @@
                 caller.link.send(of_view(CallerPong() if current else CallerWelcome(self.view, True)))
 
     def call(self, caller: Caller, record: Record, epoch: int | None = None) -> None:
-        """A call that was sent to this head in `epoch`, one of those in which it leads (None: the present one); raises
-        CodecError for what is none."""
-        called_in = self.view.epoch if epoch is None else epoch
+        """Handle a call that was sent to this head in `epoch`, or in the present epoch if that is None.
+
+        The epoch must be one in which this head leads. Raises CodecError if the record is not a call.
+        """
+        call_epoch = self.view.epoch if epoch is None else epoch
 
         def reply(released: Committed[CallAnswer]) -> None:
-            caller.link.send(released.derive(lambda answer: HeadAnswer(called_in, answer)))
+            caller.link.send(released.derive(lambda answer: HeadAnswer(call_epoch, answer)))
 
         match record:
             case JobCall():
-                self._calls.job(record, reply)
+                self._call_handler.job(record, reply)
             case ConfigurationCall():
-                self._calls.configuration(record, reply)
+                self._call_handler.configuration(record, reply)
             case InspectCall(number=number, what=what):
                 self.gate.confirm(CallAnswer(number, 200, inspect(self, what), 0), reply)
             case DrainCall():
@@ -162,8 +166,8 @@
     def caller_gone(self, caller: Caller) -> None:
         self.configurations.leave(caller)
 
-    def _configured(self, configuration: Committed[StoredConfiguration]) -> None:
-        """A configuration is committed."""
+    def _configuration_committed(self, configuration: Committed[StoredConfiguration]) -> None:
+        """Apply and publish a newly committed configuration."""
         self._set_queues(configuration.value)
         self.configurations.publish(configuration)
         self.rounds.want()
@@ -173,20 +177,20 @@
             self.feeder.set_queues(stored.configuration)
 
     def _job_submitted(self, job: Job) -> None:
-        self.feeder.job_submitted(job, self._moment())
+        self.feeder.job_submitted(job, self._now())
         self.rounds.want()
 
-    def _outcome(self, outcome: Outcome) -> None:
-        """Runs or jobs have ended."""
+    def _apply_outcome(self, outcome: Outcome) -> None:
+        """Apply the outcome of a command that ended runs or jobs."""
         for closed in outcome.closed:
             self.agents.closed(closed.ended.run)
-        self.feeder.runs_closed(outcome, self._moment())
+        self.feeder.runs_closed(outcome, self._now())
         for late in self.feeder.take_late():
             log.info("job_late", job=late.job, time=late.time, queue=late.queue, **late.in_ms())
         self.rounds.want()
 
     def _drain(self, call: DrainCall, reply: Reply) -> None:
-        """The staff take a node's worker out, or put it back."""
+        """Handle an operator's call to drain a node or to undo that."""
         answer = drain_answer(self.state, self.agents, call)
         if answer.status != OK or (call.node in self.state.drained) == call.drained:
             self.gate.confirm(answer, reply)
@@ -203,50 +207,58 @@
     # ---- agents ------------------------------------------------------------------------------------------
 
     def agent_hello(self, link: HeadLink, hello: AgentHello) -> AgentSession:
-        """An agent has come. What is wanted in lives that it may have forgotten is told first."""
+        """Open the session of an agent.
+
+        The first records of the session list the desired runs of all worker instances on the node, because the agent
+        may have lost that state.
+        """
         session = AgentSession(hello, CommittedLink(link, self._chain))
         self.agents.connected(session)
-        self.gate.confirm_newest(lambda: self._wanted_at(session), lambda wanted: self._welcome(session, wanted))
+        self.gate.confirm_newest(lambda: self._desired_at(session), lambda desired: self._welcome(session, desired))
         return session
 
-    def _wanted_at(self, session: AgentSession) -> tuple[DesiredRuns, ...]:
-        """All that is wanted at an agent's node, in any life."""
+    def _desired_at(self, session: AgentSession) -> tuple[DesiredRuns, ...]:
+        """Return the complete lists of desired runs of all worker instances on an agent's node."""
         instances = {task.instance for _, task in self.state.jobs.open_runs() if task.node == session.node}
-        if session.instance:  # it has told of its worker already: what it was sent for that is void by the welcome
+        # An agent that has reported its worker already discards with the welcome what it was sent before.
+        if session.instance:
             instances.add(session.instance)
         return tuple(self.agents.whole(instance) for instance in sorted(instances))
 
-    def _welcome(self, session: AgentSession, wanted: Committed[tuple[DesiredRuns, ...]]) -> None:
-        """Welcome an agent: only now it is certain that this member is still the head, and that no other one has given
-        the agent more to do."""
+    def _welcome(self, session: AgentSession, desired: Committed[tuple[DesiredRuns, ...]]) -> None:
+        """Welcome an agent.
+
+        Only now it is certain that this member is still the head, and that no other head has given the agent further
+        orders.
+        """
         if self.agents.sessions.get(session.node) is not session:
             return
-        session.link.send(wanted.derive(lambda _: AgentWelcome(self.view.epoch)))
-        for whole in each(wanted):
+        session.link.send(desired.derive(lambda _: AgentWelcome(self.view.epoch)))
+        for whole in each(desired):
             self.agents.send_whole(session, whole)
 
     def agent_record(self, session: AgentSession, record: Record) -> None:
-        """A record of an agent."""
+        """Handle a record from an agent."""
         if self._watch.heard(session):
             self.rounds.want()
         match record:
             case LeaseRequest(sent_ms=sent_ms):
-                self._lease(session, sent_ms)
+                self._lease_requested(session, sent_ms)
             case WorkerUpdate(info=info):
-                self._worker(session, info)
+                self._worker_updated(session, info)
             case LifeOver(instance=instance):
-                self._life_over(instance)
+                self._instance_ended(instance)
             case RunReport():
-                self._report(session, record)
+                self._runs_reported(session, record)
             case WorkerSuspected(instance=instance):
-                self._suspected(session, instance)
+                self._worker_suspected(session, instance)
 
     def agent_gone(self, session: AgentSession) -> None:
         self.agents.disconnected(session)
         self._watch.gone(session)
 
-    def _lease(self, session: AgentSession, sent_ms: int) -> None:
-        # the lease counts from the agent's own time of asking: before the moment at which this head is confirmed
+    def _lease_requested(self, session: AgentSession, sent_ms: int) -> None:
+        # The lease starts at the time of the agent's request, before this member is confirmed as the head.
         look_gap_ms = int(self.scheduler.look_gap(session.instance) * 1000)
         grant = LeaseGrant(sent_ms, int(LEASE_S * 1000), look_gap_ms)
         self.gate.confirm(grant, lambda released: self._grant(session, released))
@@ -257,7 +269,7 @@
             self.scheduler.put_worker(worker)
             self.rounds.want()
 
-    def _worker(self, session: AgentSession, info: WorkerInfo | None) -> None:
+    def _worker_updated(self, session: AgentSession, info: WorkerInfo | None) -> None:
         if info is None:
             if session.instance:
                 self._forget_worker(session.instance)
@@ -269,50 +281,50 @@
             for _, task in self.state.jobs.open_runs()
             if task.node == session.node and task.instance != info.instance
         }
-        for instance in sorted(others):  # one worker stands at a node: another life there is over
-            self._life_over(instance)
-        first = session.instance != info.instance
+        for instance in sorted(others):  # a node has one worker, so any other instance has ended
+            self._instance_ended(instance)
+        is_new = session.instance != info.instance
         state = self.agents.worker_state(session, info)
         self.scheduler.put_worker(state)
-        if first:
+        if is_new:
             whole = self.agents.whole(info.instance)
             self.gate.after_commit(whole, lambda released: self.agents.send_whole(session, released))
         self._evacuate(session.node, info)
         self.rounds.want()
 
-    def _suspected(self, session: AgentSession, instance: str) -> None:
-        """A worker does not answer: nothing new goes there until it does."""
+    def _worker_suspected(self, session: AgentSession, instance: str) -> None:
+        """Assign nothing more to a worker that does not answer its agent, until it does."""
         worker = self.agents.suspect(instance, self.clock.now())
         if worker is not None:
             log.info("worker_suspected", node=session.node, instance=instance)
             self.scheduler.put_worker(worker)
 
     def _evacuate(self, node: str, info: WorkerInfo) -> None:
-        """Stop what has to go on elsewhere, at a worker that drains or that the staff have taken out."""
-        leaving = Leaving.SOON if info.draining else Leaving.LATER if node in self.state.drained else None
-        if leaving is not None:
-            for run in runs_to_move(self.state.jobs, info, leaving):
+        """Stop the runs that must continue elsewhere, on a worker that shuts down or whose node is drained."""
+        reason = DrainReason.SHUTDOWN if info.draining else DrainReason.OPERATOR if node in self.state.drained else None
+        if reason is not None:
+            for run in runs_to_move(self.state.jobs, info, reason):
                 self._stop_run(run)
 
     def _forget_worker(self, instance: str) -> None:
         self.scheduler.remove_worker(instance)
         self.agents.forget(instance)
 
-    def _life_over(self, instance: str) -> None:
+    def _instance_ended(self, instance: str) -> None:
         lost = tuple(
             EndedRun(run, RunEnd.LOST, "") for run, task in self.state.jobs.open_runs() if task.instance == instance
         )
         self._forget_worker(instance)
-        self._end(lost)
+        self._end_runs(lost)
 
-    def _end(self, ends: tuple[EndedRun, ...]) -> None:
+    def _end_runs(self, ends: tuple[EndedRun, ...]) -> None:
         if ends:
             outcome = self.gate.propose(EndRuns(ends, self.clock.wall_ms()))
             assert isinstance(outcome, Outcome)
-            self._outcome(outcome)
+            self._apply_outcome(outcome)
 
-    def _report(self, session: AgentSession, report: RunReport) -> None:
-        self._progress(session, report)
+    def _runs_reported(self, session: AgentSession, report: RunReport) -> None:
+        self._save_progress(session, report)
         ends = []
         for entry in report.ends:
             run = task_run(entry.key.task, entry.key.run)
@@ -320,7 +332,7 @@
                 ends.append(EndedRun(run, entry.how, entry.saved))
                 if entry.ran_ms:
                     self.feeder.run_lasted(run, report.instance, entry.ran_ms / 1000)
-        known = tuple(
+        open_ends = tuple(
             end
             for end in ends
             if (task := self.state.jobs.task(end.run)) is not None
@@ -328,12 +340,12 @@
             and task.run == end.run.run
             and task.instance == report.instance
         )
-        self._end(known)
+        self._end_runs(open_ends)
         if report.ends:
             noted = EndsNoted(report.instance, report.sequence)
             self.gate.confirm(noted, session.link.send)
 
-    def _progress(self, session: AgentSession, report: RunReport) -> None:
+    def _save_progress(self, session: AgentSession, report: RunReport) -> None:
         saved = []
         for entry in report.progress:
             run = task_run(entry.key.task, entry.key.run)
@@ -353,18 +365,18 @@
         self.agents.stopping.add(run)
         self.gate.after_commit(RunStop(run, task.node, task.instance), self.agents.send_stop)
 
-    # ---- time --------------------------------------------------------------------------------------------
+    # ---- periodic work -----------------------------------------------------------------------------------
 
     def tick(self) -> float:
-        """Do what is due; returns the steady time of the next call."""
-        moment = self._moment()
+        """Perform all periodic work that is due; return the monotonic time of the next call."""
+        moment = self._now()
         if self.feeder.wake(moment):
             self.rounds.want()
         self.rounds.look(moment.now)
         if moment.now >= self._watch.next_look and self._watch.look(moment.now):
             self.rounds.want()
         if moment.now >= self._next_check:
-            self._next_check = moment.now + LOOK_S
+            self._next_check = moment.now + CHECK_INTERVAL_S
             self._watch.check_leases(moment.now)
             for worker in self.agents.answering_again(moment.now):
                 self.scheduler.put_worker(worker)
@@ -380,18 +392,18 @@
             self.rounds.want()
         if moment.now >= self._next_purge:
             self._next_purge = moment.now + PURGE_S
-            self._propose(purge_command(self.state.jobs.jobs.values(), moment.wall_ms, self._status_s))
+            self._propose_if_any(purge_command(self.state.jobs.jobs.values(), moment.wall_ms, self._status_s))
         if moment.now >= self._next_trim:
             self._next_trim = moment.now + TRIM_S
-            self._propose(trim_command(self.state.jobs.jobs.values()))
-        housekeeping = min(self._next_check, self._next_purge, self._next_trim, self._watch.next_look)
-        return min(self.feeder.next_wake(moment), housekeeping, self.rounds.next_look)
+            self._propose_if_any(trim_command(self.state.jobs.jobs.values()))
+        next_periodic = min(self._next_check, self._next_purge, self._next_trim, self._watch.next_look)
+        return min(self.feeder.next_wake(moment), next_periodic, self.rounds.next_look)
 
-    def _propose(self, command: Record | None) -> None:
+    def _propose_if_any(self, command: Record | None) -> None:
         if command is not None:
             self.gate.propose(command)
 
 
 def run_key(run: TaskRun) -> StepKey:
-    """The scheduler's name of a run's step."""
+    """Return the scheduler's key for the step of a run."""
     return StepKey(run.job, run.time, run.step)
--- a/millethead/control/housekeeping.py
+++ b/millethead/control/housekeeping.py
@@ -1,4 +1,4 @@
-"""Which jobs the core may forget, and of which it has to keep no more than the end."""
+"""Retention of ended jobs: which may be purged, and which may be trimmed to their final state."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from millethead.jobs.commands import PurgeJobs, TrimJobs
 from millethead.jobs.state import Job
 
-PURGE_S = 20.0  # between looks for jobs that may be forgotten
-TRIM_S = 5.0  # between looks for jobs of which only the end has to be kept
-KEEP_MORE_S = 60.0  # ended jobs are kept so much longer than they must be: clocks may jump
-MOST_AT_ONCE = 1000  # jobs in one command
+PURGE_S = 20.0  # between two purges
+TRIM_S = 5.0  # between two trims
+KEEP_MORE_S = 60.0  # added to the retention period of ended jobs, because the time of day may jump
+MAX_JOBS_PER_COMMAND = 1000
 
 
 def purge_command(jobs: Iterable[Job], wall_ms: int, status_s: float) -> PurgeJobs | None:
-    """Has jobs forgotten that ended long ago; None where there are none."""
-    old = wall_ms - int((status_s + KEEP_MORE_S) * 1000)
-    names = (job.name for job in jobs if _over(job) and job.ended_ms < old)
-    found = tuple(islice(names, MOST_AT_ONCE))
+    """Return the command that purges jobs whose retention period is over; None if there are none."""
+    ended_before_ms = wall_ms - int((status_s + KEEP_MORE_S) * 1000)
+    names = (job.name for job in jobs if _has_ended(job) and job.ended_ms < ended_before_ms)
+    found = tuple(islice(names, MAX_JOBS_PER_COMMAND))
     return PurgeJobs(found) if found else None
 
 
 def trim_command(jobs: Iterable[Job]) -> TrimJobs | None:
-    """Has no more kept of jobs that have ended than their end; None where there are none."""
-    found = tuple(islice((job.name for job in jobs if _over(job) and not job.trimmed), MOST_AT_ONCE))
+    """Return the command that trims ended jobs to their final state; None if there are none."""
+    found = tuple(islice((job.name for job in jobs if _has_ended(job) and not job.trimmed), MAX_JOBS_PER_COMMAND))
     return TrimJobs(found) if found else None
 
 
-def _over(job: Job) -> bool:
+def _has_ended(job: Job) -> bool:
     return job.phase.over and not job.open_runs
--- a/millethead/control/inspect.py
+++ b/millethead/control/inspect.py
@@ -1,6 +1,7 @@
-"""The state of the core as JSON, for `millethead status` and `millethead jobs`: what the head sees, typed at both ends.
+"""Reports on the state of the core as JSON, for `millethead status` and `millethead jobs`.
 
-Reading changes nothing: times of a job that nobody has asked for yet are not brought into being here.
+The record types are shared by the head and the command line. Reports do not modify the state: they must not create the
+state of a time of a job that does not exist yet, as `Job.at_time` would.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 from millethead.scheduling.model import StepKey, WaitReason
 from millethead.scheduling.scheduler import Scheduler
 
-MOST_JOBS_SHOWN = 500  # the newest
-MOST_TIMES_SHOWN = 50  # of one job, the newest
-STATUS, JOBS, JOB = "status", "jobs", "job"  # parts; the last two may be followed by a colon and a name
+MAX_JOBS_SHOWN = 500  # the newest jobs
+MAX_TIMES_SHOWN = 50  # the newest times of one job
+STATUS, JOBS, JOB = "status", "jobs", "job"  # names of reports; the last two take a colon and a name
 
 
 class Waiting(StrEnum):
-    """Why tasks wait, where the scheduler is not the one to say."""
+    """Reasons why a task waits that the scheduler does not know of."""
 
     DEPENDENCIES = "steps that it depends on"
     PAUSE = "pause after an end"
@@ -38,8 +39,11 @@
 
 
 class VoterReport(msgspec.Struct, frozen=True):
-    """A member that votes on views. `place`: in the chain, from 0 for the head; None outside it. `disk`: hexadecimal
-    digits that name its disk."""
+    """A member that votes on views.
+
+    `place` is its index in the chain, where the head has 0; None if it is not in the chain. `disk` identifies its disk
+    in hexadecimal digits.
+    """
 
     address: str
     disk: str
@@ -47,15 +51,19 @@
 
 
 class CallerReport(msgspec.Struct, frozen=True):
-    """A dispatcher, with the version of the configuration that it has in force."""
+    """A dispatcher and the version of the configuration in force there."""
 
     node: str
     configuration: int
 
 
 class WorkerReport(msgspec.Struct, frozen=True):
-    """One life of a worker. Processor in thousandths of a core, memory in MB; `runs` are open there. `draining`: it
-    gets nothing new; `taken_out`: by the staff. `standing`: what its ends and its pace have shown; `cause` of that."""
+    """One worker instance.
+
+    CPU is given in thousandths of a core, memory in MB. `runs` counts its open runs. `draining` means that it gets no
+    new tasks, `taken_out` that an operator has drained its node. `standing` is its health as judged from the ends and
+    the speed of its runs, and `cause` is the reason for that.
+    """
 
     instance: str
     node: str
@@ -76,7 +84,7 @@
 
 
 class QueueReport(msgspec.Struct, frozen=True):
-    """Jobs of one queue by state, without states that none is in."""
+    """Number of jobs of one queue in each state. States without jobs are left out."""
 
     queue: str
     service: str
@@ -84,8 +92,11 @@
 
 
 class StatusReport(msgspec.Struct, frozen=True):
-    """The core as its head sees it. `uncommitted`: entries that are not yet synced by the whole chain; `taken_out`:
-    nodes that the staff have drained, with a worker or without."""
+    """The core as seen by its head.
+
+    `uncommitted` counts the log entries that have not been synced by the whole chain. `taken_out` lists the nodes that
+    an operator has drained, with or without a worker.
+    """
 
     epoch: int
     head: str
@@ -101,7 +112,7 @@
 
 
 class JobSummary(msgspec.Struct, frozen=True):
-    """One job in a list. `waiting`: how many tasks of it wait, by reason."""
+    """One job in a list. `waiting` counts its waiting tasks by reason."""
 
     job: str
     queue: str
@@ -113,7 +124,11 @@
 
 
 class RunReport(msgspec.Struct, frozen=True):
-    """A run that has not ended: `index` of its task, its worker's life, how far it was when it last saved."""
+    """An open run.
+
+    `index` is the index of its task, `instance` its worker instance, and `percent` its progress when it last saved a
+    checkpoint.
+    """
 
     index: int
     run: int
@@ -123,7 +138,7 @@
 
 
 class StepReport(msgspec.Struct, frozen=True):
-    """One step of one time of a job."""
+    """One step of a job at one time."""
 
     time: int
     step: int
@@ -135,8 +150,11 @@
 
 
 class JobReport(msgspec.Struct, frozen=True):
-    """One job. `times`: how often it runs in all; `times_done`: how many of them are done; `next_due_ms`: when its
-    next time is due, in ms since 1970 (None without one)."""
+    """One job.
+
+    `times` is the total number of times that it runs, `times_done` how many of them are done. `next_due_ms` is the time
+    of day at which the next one is due, in ms since 1970, or None if there is none.
+    """
 
     job: str
     queue: str
@@ -150,11 +168,11 @@
     steps: tuple[StepReport, ...]
 
 
-# ---- reading ---------------------------------------------------------------------------------------------
+# ---- building --------------------------------------------------------------------------------------------
 
 
 class HeadFacts(Protocol):
-    """What is read of a head."""
+    """The parts of a head that the reports read."""
 
     @property
     def view(self) -> View: ...
@@ -179,19 +197,22 @@
 
 
 def inspect(head: HeadFacts, what: str) -> bytes:
-    """One part of the state: "status" (StatusReport), "jobs" or "jobs:QUEUE" (a list of JobSummary), "job:ID"
-    (JobReport, or null for an unknown one). Anything else is taken for the first."""
-    part, _, name = what.partition(":")
-    if part == JOBS:
+    """Return one report as JSON.
+
+    `what` is "status" (StatusReport), "jobs" or "jobs:QUEUE" (a list of JobSummary), or "job:ID" (JobReport, or null
+    for an unknown job). Any other value gives the status report.
+    """
+    report, _, name = what.partition(":")
+    if report == JOBS:
         return msgspec.json.encode(_jobs(head, name))
-    if part == JOB:
+    if report == JOB:
         job = head.state.jobs.find(name)
         return msgspec.json.encode(None if job is None else _job(head, job))
     return msgspec.json.encode(status_report(head))
 
 
 def status_report(head: HeadFacts) -> StatusReport:
-    """The core as the head sees it at this moment; not confirmed by a barrier."""
+    """Return the core as the head sees it at this moment, without confirmation by a barrier."""
     view, state = head.view, head.state
     chain = [place.member for place in view.chain]
     return StatusReport(
@@ -231,8 +252,8 @@
 def _workers(head: HeadFacts) -> Iterator[WorkerReport]:
     runs = Counter(task.instance for _, task in head.state.jobs.open_runs())
     for worker in head.agents.workers.values():
-        booked = head.scheduler.worker(worker.instance)
-        free = booked.free if booked is not None else worker.free
+        scheduled = head.scheduler.worker(worker.instance)
+        free = scheduled.free if scheduled is not None else worker.free
         yield WorkerReport(
             worker.instance,
             worker.node,
@@ -259,7 +280,7 @@
 
 def _jobs(head: HeadFacts, queue: str) -> list[JobSummary]:
     jobs = [job for job in head.state.jobs.jobs.values() if not queue or job.terms.route == queue]
-    return [_summary(head, job) for job in jobs[-MOST_JOBS_SHOWN:]]
+    return [_summary(head, job) for job in jobs[-MAX_JOBS_SHOWN:]]
 
 
 def _summary(head: HeadFacts, job: Job) -> JobSummary:
@@ -288,14 +309,14 @@
 
 
 def _next_due_ms(job: Job) -> int | None:
-    following = max(job.times, default=-1) + 1
-    if job.phase.over or not job.description.repeats or following >= job.time_count():
+    next_time = max(job.times, default=-1) + 1
+    if job.phase.over or not job.description.repeats or next_time >= job.time_count():
         return None
-    return job.description.due_ms(following)
+    return job.description.due_ms(next_time)
 
 
 def _steps(head: HeadFacts, job: Job) -> Iterator[StepReport]:
-    for time in sorted(job.times)[-MOST_TIMES_SHOWN:]:
+    for time in sorted(job.times)[-MAX_TIMES_SHOWN:]:
         for number, state in enumerate(job.times[time].steps):
             yield _step(head, job, StepKey(job.name, time, number), state)
 
@@ -307,7 +328,7 @@
         if task.open:
             running.append(RunReport(index, task.run, task.node, task.instance, task.percent))
         elif not task.done and not job.phase.over:
-            waiting[_why(head, job, key, index)] += 1
+            waiting[_wait_reason(head, job, key, index)] += 1
     return StepReport(
         key.time,
         key.step,
@@ -319,7 +340,7 @@
     )
 
 
-def _why(head: HeadFacts, job: Job, key: StepKey, index: int) -> str:
+def _wait_reason(head: HeadFacts, job: Job, key: StepKey, index: int) -> str:
     steps = job.times[key.time].steps
     if not all(steps[other].done for other in job.description.steps[key.step].dependencies):
         return Waiting.DEPENDENCIES.value
--- a/millethead/control/job_times.py
+++ b/millethead/control/job_times.py
@@ -1,12 +1,12 @@
-"""Where the time of late jobs went, as the head of one epoch saw it.
+"""Breakdown of the latency of late jobs, as observed by the head of one epoch.
 
-Of each task it is kept how long it waited, how long runs of it took that did not end `done`, how long the run that did
-took at its worker, and what was lost around that run: the commit of its assignment, the way to the worker, and the time
-until its end was known and committed. The task of a step that ended last tells where the step's time went, and the step
-that ended last, with the dependencies that it waited for, where the job's went. What passed before this head served is
-not known to it (`unseen_s`).
+For each task, the following is measured: the time it waited, the duration of runs that did not end with `done`, the
+duration of the successful run on its worker, and the overhead around that run (the commit of its assignment, the way to
+the worker, and the time until its end was known and committed). The task that ended last determines the breakdown of
+its step. The step that ended last, together with the chain of dependencies for which it waited, determines that of the
+job. Time before this head started to lead is unknown (`unseen_s`).
 
-Times are seconds of the steady clock. Memory is bounded by the steps that wait or run.
+All times are seconds of the monotonic clock. Memory use is bounded by the number of steps that wait or run.
 """
 
 from __future__ import annotations
@@ -20,8 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeSpent:
-    """Parts of the time of a job, in seconds. `estimated_s` is what its runs should have taken, `far_s` the part of
-    `ran_s` that passed in racks other than that of the data."""
+    """Parts of the latency of a job, in seconds.
+
+    `waited_s` is the time without a run, `repeated_s` the time in runs that did not succeed, `ran_s` the time of the
+    successful runs on their workers, and `turnover_s` the overhead around those. `estimated_s` is the estimated
+    duration of the successful runs, `far_s` the part of `ran_s` spent in another rack than that of the data.
+    """
 
     waited_s: float = 0.0
     repeated_s: float = 0.0
@@ -42,14 +46,16 @@
 
     @property
     def seen_s(self) -> float:
-        """All that the head has seen of the job's time."""
+        """The part of the latency that this head has observed."""
         return self.waited_s + self.repeated_s + self.ran_s + self.turnover_s
 
 
 @dataclass(frozen=True, slots=True)
 class LateJob:
-    """A job, or one time of a repeated job, that took longer than its objective. `unseen_s`: the part of `total_s`
-    that passed under earlier heads or before the job was known."""
+    """A job, or one time of a repeated job, that took longer than its objective.
+
+    `unseen_s` is the part of `total_s` that passed under earlier heads or before the job was known.
+    """
 
     job: str
     time: int
@@ -63,7 +69,7 @@
         return max(0.0, self.total_s - self.spent.seen_s)
 
     def in_ms(self) -> dict[str, int]:
-        """The parts of its time in whole milliseconds, by their names in the log."""
+        """Return the breakdown in whole milliseconds by log keyword."""
         spent = self.spent
         seconds = {
             "total_ms": self.total_s,
@@ -81,7 +87,11 @@
 
 @dataclass(slots=True)
 class _TaskTimes:
-    """A task since it was ready: waiting or running since `since`. `ran_s`: as its agent told of the last run."""
+    """Times of a task since its step became ready.
+
+    `since` is the start of the present wait or run. `ran_s` is the duration of the last run as measured by its agent,
+    None if unknown.
+    """
 
     since: float
     waited_s: float = 0.0
@@ -92,33 +102,36 @@
 
 @dataclass(slots=True)
 class _StepTimes:
+    """Times of the tasks of a step."""
+
     ready_at: float
     tasks: dict[int, _TaskTimes] = field(default_factory=dict)
-    last: TimeSpent = TimeSpent()  # of the task that ended last
+    last: TimeSpent = TimeSpent()  # breakdown of the task that ended last
 
     def task(self, index: int) -> _TaskTimes:
-        """The times of a task, which waits from when the step was ready."""
+        """Return the times of a task, which starts to wait when the step becomes ready."""
         return self.tasks.setdefault(index, _TaskTimes(self.ready_at))
 
 
 class JobTimes:
-    """The times of all steps that this head has seen ready."""
+    """Times of all steps that became ready under this head."""
 
     def __init__(self) -> None:
         self._steps: dict[StepKey, _StepTimes] = {}
-        self._done: dict[tuple[str, int], dict[int, tuple[float, TimeSpent]]] = {}  # by job and time K, of each step
+        # (job, time) -> step -> (end, breakdown)
+        self._done: dict[tuple[str, int], dict[int, tuple[float, TimeSpent]]] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is kept."""
+        """Whether there is no state left, neither of steps nor of jobs."""
         return not self._steps and not self._done
 
     def step_ready(self, key: StepKey, now: float) -> None:
-        """A step's tasks wait, or run already."""
+        """Start to measure a step whose tasks wait or run."""
         self._steps.setdefault(key, _StepTimes(now))
 
     def run_assigned(self, key: StepKey, index: int, far: bool, now: float) -> None:
-        """A task has a run. `far`: not on the rack of its data."""
+        """Record the start of a run. `far` means that it is not in the rack of its data."""
         step = self._steps.get(key)
         if step is None:
             return
@@ -127,38 +140,40 @@
         task.since, task.far, task.ran_s = now, far, None
 
     def run_lasted(self, key: StepKey, index: int, seconds: float) -> None:
-        """How long a run took, as its agent saw it; its end follows."""
+        """Record the duration of a run as its agent measured it. The end of the run is recorded afterwards."""
         step = self._steps.get(key)
         if step is not None:
             step.task(index).ran_s = seconds
 
     def run_ended(self, key: StepKey, index: int, how: RunEnd, estimate_s: float, now: float) -> None:
-        """A run is over."""
+        """Record the end of a run."""
         step = self._steps.get(key)
         if step is None:
             return
         task = step.task(index)
-        span, task.since = now - task.since, now
+        elapsed_s, task.since = now - task.since, now
         if how is not RunEnd.DONE:
-            task.repeated_s += span
+            task.repeated_s += elapsed_s
             return
-        ran_s = span if task.ran_s is None else min(span, task.ran_s)
+        ran_s = elapsed_s if task.ran_s is None else min(elapsed_s, task.ran_s)
         far_s = ran_s if task.far else 0.0
-        step.last = TimeSpent(task.waited_s, task.repeated_s, ran_s, span - ran_s, estimate_s, far_s)
+        step.last = TimeSpent(task.waited_s, task.repeated_s, ran_s, elapsed_s - ran_s, estimate_s, far_s)
 
     def step_done(self, job: Job, key: StepKey, now: float) -> None:
-        """All tasks of a step are done: its time follows on that of the dependency that was done last."""
+        """Record the end of a step: its breakdown is added to that of the dependency that finished last."""
         step = self._steps.pop(key, None)
         if step is None:
             return
         done = self._done.setdefault((key.job, key.time), {})
-        before = [done[number] for number in job.description.steps[key.step].dependencies if number in done]
-        spent = step.last + max(before, key=lambda entry: entry[0])[1] if before else step.last
+        dependencies = [done[number] for number in job.description.steps[key.step].dependencies if number in done]
+        spent = step.last + max(dependencies, key=lambda entry: entry[0])[1] if dependencies else step.last
         done[key.step] = now, spent
 
     def time_over(self, job: Job, time: int, total_s: float) -> LateJob | None:
-        """All steps of a job are done at one time K, `total_s` after it was handed in or due; None if it was in time,
-        by its estimates."""
+        """Record that all steps of a job are done at one time, `total_s` seconds after it was submitted or due.
+
+        Return its breakdown, or None if the job met its objective, which is derived from its estimates.
+        """
         done = self._done.pop((job.name, time), {})
         objective_s = job.objective_ms / 1000
         if total_s <= objective_s:
@@ -167,7 +182,7 @@
         return LateJob(job.name, time, job.terms.route, total_s, objective_s, spent)
 
     def forget(self, job: str, time: int, steps: int) -> None:
-        """A job is over at a time K at which it has so many steps."""
+        """Drop the measurements of a job that ended at one time with this number of steps."""
         self._done.pop((job, time), None)
         for number in range(steps):
             self._steps.pop(StepKey(job, time, number), None)
--- a/millethead/control/rounds.py
+++ b/millethead/control/rounds.py
@@ -1,6 +1,6 @@
-"""Rounds of the scheduler in one epoch of the head: what it places is committed, and only then told to agents.
+"""Runs scheduling passes in one epoch of the head. Placements are sent to agents only once they are committed.
 
-One round is under way at a time; all that it places is one entry of the log.
+Only one pass is active at a time. All of its placements form one log entry.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from millethead.scheduling.model import PendingTask, Placement, Preemption
 from millethead.scheduling.scheduler import Scheduler
 
-ROUND_GAP_S = 0.01  # between rounds of the scheduler at least
+ROUND_GAP_S = 0.01  # least time between two scheduling passes
 
 
 class HeadClock(Protocol):
-    """Both clocks, and a way to be called soon."""
+    """Monotonic clock, time of day, and timers."""
 
     def now(self) -> float: ...
 
@@ -34,12 +34,12 @@
 
 
 def moment_of(clock: HeadClock) -> Clock:
-    """This moment, by both clocks."""
+    """Read both clocks."""
     return Clock(clock.now(), clock.wall_ms())
 
 
 class Rounds:
-    """`stop(run)` has an open run stopped once its assignment is committed."""
+    """Runs the scheduler whenever its input has changed. `stop` stops an open run once its assignment is committed."""
 
     def __init__(
         self,
@@ -53,25 +53,25 @@
     ) -> None:
         self._jobs, self.gate, self._scheduler, self._agents = jobs, gate, scheduler, agents
         self._feeder, self._clock, self._stop = feeder, clock, stop
-        self._under_way = self._wanted = False
-        self.next_look = math.inf  # steady time at which the scheduler wants a round though nothing has happened
+        self._active = self._requested = False
+        self.next_look = math.inf  # monotonic time at which the scheduler needs a pass without any change
 
     def want(self) -> None:
-        """Something has changed that the scheduler should look at."""
-        if self._under_way or self.gate.closed:
-            self._wanted = True
+        """Request a scheduling pass because the input of the scheduler has changed."""
+        if self._active or self.gate.closed:
+            self._requested = True
             return
-        self._under_way, self._wanted = True, False
-        self._clock.soon(self._round)
+        self._active, self._requested = True, False
+        self._clock.soon(self._run_pass)
 
     def look(self, now: float) -> None:
-        """Begin a round where the scheduler wants one by now."""
+        """Request a pass if the time has come at which the scheduler asked for one."""
         if now >= self.next_look:
             self.next_look = math.inf
             self.want()
 
     def preempt(self, preemption: Preemption) -> None:
-        """Have a run stopped that the scheduler wants stopped, if it is still the one at that worker."""
+        """Stop a run that the scheduler preempts, provided that it is still the open run on that worker."""
         key = preemption.key
         job = self._jobs.find(key.job)
         if job is None:
@@ -80,7 +80,7 @@
         if task.open and task.instance == preemption.instance:
             self._stop(TaskRun(key.job, key.time, key.step, preemption.index, task.run))
 
-    def _round(self) -> None:
+    def _run_pass(self) -> None:
         if self.gate.closed:
             return
         decision = self._scheduler.schedule(self._clock.now())
@@ -89,32 +89,32 @@
             self.preempt(preemption)
         placements = self._startable(decision.placements)
         if not placements:
-            self._clock.later(ROUND_GAP_S, self._over)
+            self._clock.later(ROUND_GAP_S, self._finish_pass)
             return
         assignments = self._feeder.assignments(placements, self._agents.workers)
         self.gate.propose(AssignRuns(assignments, self._clock.wall_ms()))
         self._feeder.runs_opened(assignments, moment_of(self._clock))
-        self.gate.after_commit(self._orders(assignments), self._committed)
+        self.gate.after_commit(self._orders(assignments), self._send_committed)
 
     def _startable(self, placements: Sequence[Placement]) -> list[Placement]:
-        """Those whose worker and job are still there; the others are taken back."""
-        found = []
+        """Return the placements whose worker and job still exist; revert the others."""
+        startable = []
         for placement in placements:
             if placement.instance in self._agents.workers and self._jobs.find(placement.key.job) is not None:
-                found.append(placement)
+                startable.append(placement)
             else:
-                self._take_back(placement)
-        return found
+                self._revert(placement)
+        return startable
 
-    def _take_back(self, placement: Placement) -> None:
-        """A placement that cannot be started: its room is free, and its task waits again."""
+    def _revert(self, placement: Placement) -> None:
+        """Revert a placement that cannot be started: release its resources and queue its task again."""
         now = self._clock.now()
         self._scheduler.run_ended(placement.key, placement.index, placement.instance, 0, RunEnd.NEVER, now)
         if self._jobs.find(placement.key.job) is not None:
             self._scheduler.task_waits(placement.key, PendingTask(placement.index, placement.checkpoint, now), now)
 
     def _orders(self, assignments: tuple[Assignment, ...]) -> tuple[WorkerOrders, ...]:
-        """What each worker is told of the assignments once they are committed."""
+        """Return the orders for each worker, to be sent once the assignments are committed."""
         by_worker: dict[tuple[str, str], list[RunOrder]] = {}
         for assignment in assignments:
             task = self._jobs.task(assignment.run)
@@ -123,13 +123,13 @@
                 by_worker.setdefault((assignment.node, assignment.instance), []).append(order)
         return tuple(WorkerOrders(node, instance, tuple(orders)) for (node, instance), orders in by_worker.items())
 
-    def _committed(self, released: Committed[tuple[WorkerOrders, ...]]) -> None:
+    def _send_committed(self, released: Committed[tuple[WorkerOrders, ...]]) -> None:
         for orders in each(released):
             if self._agents.send_orders(orders):
                 self._agents.silences.await_word(orders.value.node, self._clock.now())
-        self._over()
+        self._finish_pass()
 
-    def _over(self) -> None:
-        self._under_way = False
-        if self._wanted and not self.gate.closed:
+    def _finish_pass(self) -> None:
+        self._active = False
+        if self._requested and not self.gate.closed:
             self.want()
--- a/millethead/control/silence.py
+++ b/millethead/control/silence.py
@@ -1,61 +1,65 @@
-"""Agents that say nothing although they should: what is asked of them since, and for how long.
+"""Failure detector for agents that do not respond although a response is due.
 
-An agent answers each order at once with what it has begun, and asks for its lease every second. One that has been sent
-an order and says nothing is cut off, frozen or gone, long before its lease ends or its connection breaks.
+An agent answers each order at once with the runs that it has started, and it requests its lease every second. An agent
+that was sent an order and does not respond is unreachable, frozen or gone. The detector notices that long before the
+lease expires or the connection breaks.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-SILENT_S = 0.35  # without a word since the first order that was not followed by one
-STALL_S = 0.2  # between two looks: after more than that the head itself may have stood still
+SILENT_S = 0.35  # time without a response since the first order that was not answered
+STALL_S = 0.2  # a longer time between two checks means that the head itself may have been stalled
 
 
 class Silences:
-    """For each node, since when a word of its agent is awaited. Times are seconds of the steady clock."""
+    """Tracks for each node since when a response of its agent is due. Times are seconds of the monotonic clock."""
 
     def __init__(self, now: float) -> None:
-        self._awaited: dict[str, float] = {}  # in the order of their times
-        self._silent: dict[str, None] = {}
-        self._looked_at = now
+        self._pending_since: dict[str, float] = {}  # node -> since when; ascending
+        self._unresponsive: dict[str, None] = {}
+        self._checked_at = now
 
     def await_word(self, node: str, now: float) -> None:
-        """The agent of a node has been told something, or its connection has ended."""
-        if node not in self._silent:
-            self._awaited.setdefault(node, now)
+        """Expect a response of a node's agent, because a record was sent to it."""
+        if node not in self._unresponsive:
+            self._pending_since.setdefault(node, now)
 
     def heard(self, node: str) -> bool:
-        """The agent of a node has said something; returns whether it counted as silent."""
-        self._awaited.pop(node, None)
-        was_silent = node in self._silent
-        self._silent.pop(node, None)
-        return was_silent
+        """Record a response of a node's agent; return whether the node counted as unresponsive."""
+        self._pending_since.pop(node, None)
+        was_unresponsive = node in self._unresponsive
+        self._unresponsive.pop(node, None)
+        return was_unresponsive
 
     def is_silent(self, node: str) -> bool:
-        """Whether it has been found silent and not been heard since."""
-        return node in self._silent
+        """Return whether a node has been found unresponsive and has not responded since."""
+        return node in self._unresponsive
 
     def forget(self, node: str) -> None:
-        """Nothing is expected of a node any more."""
+        """Stop to expect a response of a node."""
         self.heard(node)
 
     def look(self, now: float) -> list[str]:
-        """The nodes that count as silent from now on. Where the head itself may have stood still, all get more time:
-        what they have said may not have been read."""
-        stalled = now - self._looked_at > STALL_S
-        self._looked_at = now
+        """Return the nodes that count as unresponsive from now on.
+
+        If the head itself was stalled since the last check, all nodes get more time, because their responses may not
+        have been read yet.
+        """
+        stalled = now - self._checked_at > STALL_S
+        self._checked_at = now
         if stalled:
-            self._awaited = dict.fromkeys(self._awaited, now)
+            self._pending_since = dict.fromkeys(self._pending_since, now)
             return []
-        found = list(self._due(now))
-        for node in found:
-            del self._awaited[node]
-            self._silent[node] = None
-        return found
+        unresponsive = list(self._due(now))
+        for node in unresponsive:
+            del self._pending_since[node]
+            self._unresponsive[node] = None
+        return unresponsive
 
     def _due(self, now: float) -> Iterator[str]:
-        for node, since in self._awaited.items():
+        for node, since in self._pending_since.items():
             if now < since + SILENT_S:
                 return
             yield node
--- a/millethead/control/state.py
+++ b/millethead/control/state.py
@@ -1,4 +1,4 @@
-"""The replicated state of the core: the configuration, all jobs, and the nodes that are taken out."""
+"""Replicated state of the core: the configuration, all jobs and the drained nodes."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateSnapshot(Record):
-    """The whole state, as a snapshot holds it."""
+    """Snapshot of the complete state."""
 
     configuration: bytes
     jobs: bytes
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstStateSnapshot(Record):
-    """The same before nodes could be taken out; snapshots of that form may lie on disks."""
+    """Snapshot format from before nodes could be drained; such snapshots may still be on disks."""
 
     configuration: bytes
     jobs: bytes
@@ -46,12 +46,12 @@
     try:
         return decode(StateSnapshot, payload)
     except CodecError:
-        first = decode(FirstStateSnapshot, payload)
-        return StateSnapshot(first.configuration, first.jobs, ())
+        old_format = decode(FirstStateSnapshot, payload)
+        return StateSnapshot(old_format.configuration, old_format.jobs, ())
 
 
 def order_of(command: ChangeConfiguration) -> Order:
-    """The operator's order that a command carries."""
+    """Return the operator's order that a command contains."""
     return Order(Method.PATCH if command.patch else Method.PUT, command.if_match, command.body)
 
 
@@ -65,12 +65,13 @@
         self._encoder = TableEncoder(self.jobs)
 
     def apply(self, payload: bytes, place: LogPlace) -> Decision | Outcome | None:
-        """Take in the command of the entry at `place`; the first entry of an epoch has none."""
+        """Apply the command of the log entry at `place`. The first entry of an epoch has no command."""
         if not payload:
             return None
         return self.apply_command(decode_any(payload), place)
 
     def apply_command(self, command: Record, place: LogPlace) -> Decision | Outcome | None:
+        """Apply a decoded command; `place` is its log position."""
         match command:
             case ChangeConfiguration():
                 return self._change(command, place)
@@ -94,7 +95,7 @@
             case DrainNode():
                 self.drained.apply(command)
                 return None
-        raise ValueError(f"{type(command).__name__} is no command")
+        raise ValueError(f"{type(command).__name__} is not a command")
 
     def _change(self, command: ChangeConfiguration, place: LogPlace) -> Decision:
         order = order_of(command)
@@ -104,24 +105,27 @@
         return decision
 
     def prepare_snapshot(self) -> bool:
-        """Do a part of the work of `snapshot` ahead; whether so little is left that it holds nobody up."""
+        """Do a part of the work of `snapshot` in advance.
+
+        Return whether so little work is left that `snapshot` does not block the process noticeably.
+        """
         return self._encoder.prepare()
 
     def snapshot(self) -> bytes:
         return encode(StateSnapshot(self.configuration.encode(), self._encoder.encode(), self.drained.names()))
 
     def restore(self, payload: bytes) -> None:
-        """Take the state of a snapshot; empty bytes are the first state."""
+        """Replace the state by that of a snapshot. Empty bytes stand for the initial state."""
         for _ in self.restoring(payload):
             pass
 
     def restoring(self, payload: bytes) -> Iterator[None]:
-        """The same, a part at each step."""
+        """Like `restore`, but in small steps: each iteration does a part of the work."""
         self._encoder.give_up()
         self.configuration, self.jobs, self.drained = ConfigurationState(), JobTable(), DrainedNodes()
         self._encoder = TableEncoder(self.jobs)
         if payload:
-            kept = _read_snapshot(payload)
-            self.configuration = ConfigurationState.decode(kept.configuration)
-            self.drained = DrainedNodes(kept.drained)
-            yield from restore_table(self.jobs, kept.jobs)
+            snapshot = _read_snapshot(payload)
+            self.configuration = ConfigurationState.decode(snapshot.configuration)
+            self.drained = DrainedNodes(snapshot.drained)
+            yield from restore_table(self.jobs, snapshot.jobs)
--- a/millethead/lab/core_mutants.py
+++ b/millethead/lab/core_mutants.py
@@ -301,7 +301,7 @@
     """Reads that waited for a barrier of the view before are answered when the next view comes."""
 
     def leads_on(self: CommitGate) -> None:
-        ready, self._confirming = self._confirming, []
+        ready, self._awaiting_barrier = self._awaiting_barrier, []
         for _, release in ready:
             release()
 
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -70,8 +70,8 @@
             session.link.send(Committed(EndsNoted(record.instance, record.sequence), 0))
         real(head, session, record)
 
-    real = Head._report
-    patch.setattr(Head, "_report", report)
+    real = Head._runs_reported
+    patch.setattr(Head, "_runs_reported", report)
 
 
 def run_number_reused(patch: Patch) -> None:
@@ -154,7 +154,7 @@
 
     def gone(head: Head, session: AgentSession) -> None:
         real(head, session)
-        head._end(
+        head._end_runs(
             tuple(
                 EndedRun(run, RunEnd.LOST, "") for run, task in head.state.jobs.open_runs() if task.node == session.node
             )
@@ -184,7 +184,7 @@
 
 def sent_before_commit(patch: Patch) -> None:
     """Orders are sent before the assignment is committed."""
-    real = Rounds._round
+    real = Rounds._run_pass
 
     def at_once(value: Any, then: Callable[[Committed[Any]], None]) -> None:
         then(Committed(value, 0))
@@ -198,7 +198,7 @@
         finally:
             patch.setattr(rounds, "gate", gate)
 
-    patch.setattr(Rounds, "_round", round_)
+    patch.setattr(Rounds, "_run_pass", round_)
 
 
 def drained_gets_starts(patch: Patch) -> None:
