--- a/tests/test_committed.py
+++ b/tests/test_committed.py
@@ -1,4 +1,4 @@
-"""What leaves the head is committed: only the gate makes committed values, and followers go by the log's place."""
+"""Only committed values leave the head: static checks of the code, and the order of configurations at followers."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from millethead.replication.place import NO_PLACE, LogPlace
 
 PACKAGE = Path(millethead.__file__).parent
-MAKER = PACKAGE / "control" / "commit.py"
+GATE_MODULE = PACKAGE / "control" / "commit.py"
 
 
-def calls_of(path: Path, name: str) -> int:
+def count_calls(path: Path, name: str) -> int:
     tree = ast.parse(path.read_text())
     return sum(
         isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == name
@@ -26,24 +26,28 @@
     )
 
 
-def test_only_the_gate_makes_committed_values() -> None:
-    makers = {path for path in PACKAGE.rglob("*.py") if calls_of(path, "Committed")}
-    assert makers == {MAKER, PACKAGE / "lab" / "core_mutants.py"}, "mutants leave the gate out on purpose"
+def test_only_the_gate_creates_committed_values() -> None:
+    modules = {path for path in PACKAGE.rglob("*.py") if count_calls(path, "Committed")}
+    assert modules == {GATE_MODULE, PACKAGE / "lab" / "core_mutants.py"}, "mutants bypass the gate on purpose"
 
 
-def raw_uses(source: str) -> list[str]:
-    """Where code of the head gets at a raw link: a parameter of that type that does anything but go into a
-    `CommittedLink`, one that is kept, and the link inside of a `CommittedLink`. What these take, mypy checks."""
+def raw_link_uses(source: str) -> list[str]:
+    """Return the places where code of the head uses a raw link.
+
+    Violations are a parameter of type HeadLink that is used for anything but the construction of a `CommittedLink`, an
+    attribute of that type, and access to the link inside a `CommittedLink`. The argument types of the constructor are
+    checked by mypy.
+    """
     tree = ast.parse(source)
     wrapped = {
         id(node.args[0])
         for node in ast.walk(tree)
         if isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == "CommittedLink"
     }
-    found = [f"kept in line {node.lineno}" for node in ast.walk(tree) if _annotates_raw(node)]
+    found = [f"stored in line {node.lineno}" for node in ast.walk(tree) if _is_raw_attribute(node)]
     for node in ast.walk(tree):
         if isinstance(node, ast.Attribute) and node.attr == "link" and _ends_in_link(node.value):
-            found.append(f"inside in line {node.lineno}")
+            found.append(f"unwrapped in line {node.lineno}")
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
             raw = {argument.arg for argument in _arguments(node) if _is_raw(argument.annotation)}
             found += [
@@ -62,7 +66,7 @@
     return annotation is not None and "HeadLink" in ast.unparse(annotation)
 
 
-def _annotates_raw(node: ast.AST) -> bool:
+def _is_raw_attribute(node: ast.AST) -> bool:
     return isinstance(node, ast.AnnAssign) and _is_raw(node.annotation)
 
 
@@ -71,10 +75,12 @@
 
 
 @pytest.mark.parametrize("path", sorted((PACKAGE / "control").glob("*.py")), ids=lambda path: path.stem)
-def test_links_of_the_head_are_wrapped_at_once(path: Path) -> None:
-    """Whoever holds a raw link could send anything. `commit.py` makes the wrapper; `client.py` is the other end."""
+def test_links_of_the_head_are_wrapped_immediately(path: Path) -> None:
+    """Code with a raw link could send uncommitted values. `commit.py` defines the wrapper; `client.py` is the other
+    end.
+    """
     if path.name not in ("commit.py", "client.py"):
-        assert raw_uses(path.read_text()) == []
+        assert raw_link_uses(path.read_text()) == []
 
 
 @pytest.mark.parametrize(
@@ -88,21 +94,21 @@
         "def tell(self, session): session.link.link.send(record)",
     ],
 )
-def test_the_check_notices_raw_links(source: str) -> None:
-    assert raw_uses(source)
+def test_check_detects_raw_link_uses(source: str) -> None:
+    assert raw_link_uses(source)
 
 
-def test_the_check_lets_a_wrapped_link_pass() -> None:
-    assert raw_uses("def hello(self, link: HeadLink): return CommittedLink(link, self._chain)") == []
+def test_check_accepts_a_wrapped_link() -> None:
+    assert raw_link_uses("def hello(self, link: HeadLink): return CommittedLink(link, self._chain)") == []
 
 
 def update(epoch: int, place: LogPlace, version: int, discard: bool = False) -> ConfigurationUpdate:
     return ConfigurationUpdate(epoch, place, version, b"{}", discard)
 
 
-def test_a_link_passes_nothing_that_is_not_committed() -> None:
+def test_link_rejects_uncommitted_records() -> None:
     class Sink:
-        """Keeps what is sent."""
+        """Link and chain in one that records what is sent."""
 
         def __init__(self) -> None:
             self.sent: list[object] = []
@@ -119,16 +125,16 @@
     assert sink.sent == [CallerPong()]
 
 
-def test_follower_goes_by_the_place_and_not_by_the_number() -> None:
+def test_follower_orders_updates_by_log_position_not_version() -> None:
     held = HeldConfiguration()
     assert held.take(update(2, LogPlace(2, 7), 5), 2)
-    assert not held.take(update(2, LogPlace(2, 7), 5), 2), "the same again"
+    assert not held.take(update(2, LogPlace(2, 7), 5), 2), "the same update again"
     assert held.take(update(3, LogPlace(3, 9), 5), 3), "another order under the same number"
-    assert not held.take(update(3, LogPlace(2, 8), 6), 3), "an earlier entry, whatever its number"
+    assert not held.take(update(3, LogPlace(2, 8), 6), 3), "an earlier entry, whatever its version"
     assert held.ack().place == LogPlace(3, 9)
 
 
-def test_follower_ignores_what_an_earlier_head_had_sent() -> None:
+def test_follower_ignores_updates_of_earlier_heads() -> None:
     held = HeldConfiguration()
     assert held.take(update(4, LogPlace(4, 9), 6), 4)
     assert not held.take(update(3, LogPlace(3, 20), 7), 4)
@@ -136,13 +142,13 @@
     assert held.version == 6
 
 
-def test_follower_discards_what_was_never_committed() -> None:
+def test_follower_replaces_an_uncommitted_configuration() -> None:
     held = HeldConfiguration(9, LogPlace(3, 50))
     assert held.take(update(4, LogPlace(2, 7), 5, discard=True), 4)
     assert (held.version, held.place) == (5, LogPlace(2, 7))
 
 
-def test_oracle_of_the_stream() -> None:
+def test_stream_oracle_detects_invalid_updates() -> None:
     streamed = StreamedConfigurations()
 
     class State:
@@ -151,10 +157,10 @@
     streamed.committed(State())  # type: ignore[arg-type]
     assert streamed.newest == LogPlace(1, 2) > NO_PLACE
     streamed.told(update(1, LogPlace(1, 2), 1))
-    for wrong in (
+    for invalid in (
         update(1, LogPlace(1, 3), 2),
         ConfigurationUpdate(1, LogPlace(1, 2), 1, b"other", False),
         update(1, LogPlace(1, 2), 1, discard=True),
     ):
         with pytest.raises(UncommittedConfiguration):
-            streamed.told(wrong)
+            streamed.told(invalid)
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Internal connections on real sockets: what a stranger may have read, and what all may hold together."""
+"""Limits of internal connections on real sockets: frame size before identification, and memory of all connections."""
 
 from __future__ import annotations
 
@@ -20,26 +20,28 @@
 
 
 class Server:
-    """Takes connections, and raises the bound of those that have said who they are."""
+    """Accepts connections and raises the frame limit of peers that have identified themselves."""
 
-    def __init__(self, most: int = connections.MOST_HELD) -> None:
-        self.budget = InputBudget(most)
+    def __init__(self, limit: int = connections.MOST_HELD) -> None:
+        self.budget = InputBudget(limit)
         self.records: list[Record] = []
-        self.taken: list[Connection] = []
-        self.gone = asyncio.Queue[Connection]()
-        self.came = asyncio.Event()
+        self.accepted: list[Connection] = []
+        self.closed = asyncio.Queue[Connection]()
+        self.received_record = asyncio.Event()
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: Connection(self._received, self.gone.put_nowait, self.taken.append, self.budget), "127.0.0.1", 0
+            lambda: Connection(self._received, self.closed.put_nowait, self.accepted.append, self.budget),
+            "127.0.0.1",
+            0,
         )
         self.port = self._server.sockets[0].getsockname()[1]
 
     def _received(self, connection: Connection, record: Record) -> None:
         connection.most_frame = LARGE
         self.records.append(record)
-        self.came.set()
+        self.received_record.set()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection("127.0.0.1", self.port)
@@ -48,7 +50,7 @@
         self._server.close()
 
 
-async def test_a_stranger_that_announces_a_large_frame_is_dropped_before_it_sends_it() -> None:
+async def test_unidentified_peer_is_dropped_at_the_header_of_a_large_frame() -> None:
     server = Server()
     await server.start()
     reader, writer = await server.connect()
@@ -61,42 +63,43 @@
     server.stop()
 
 
-async def test_a_peer_that_is_known_may_send_larger_frames() -> None:
+async def test_identified_peer_may_send_larger_frames() -> None:
     server = Server()
     await server.start()
     reader, writer = await server.connect()
     writer.write(FRAME.pack(len(HELLO)) + HELLO)
-    await asyncio.wait_for(server.came.wait(), 5)
-    server.came.clear()
+    await asyncio.wait_for(server.received_record.wait(), 5)
+    server.received_record.clear()
     ping = encode_any(CallerPing(1, False))
     writer.write(FRAME.pack(STRANGER_FRAME + 1) + bytes(100))
-    writer.write(bytes(STRANGER_FRAME + 1 - 100))  # no record: dropped for that, and not for its length
+    # This is not a valid record: the connection is dropped for that, and not for the length of the frame.
+    writer.write(bytes(STRANGER_FRAME + 1 - 100))
     assert await asyncio.wait_for(reader.read(), 5) == b""
     assert len(server.records) == 1 and len(ping) < STRANGER_FRAME
     writer.close()
     server.stop()
 
 
-async def test_what_all_connections_hold_unfinished_is_bounded() -> None:
-    server = Server(most=STRANGER_FRAME)
+async def test_unfinished_input_of_all_connections_is_bounded() -> None:
+    server = Server(limit=STRANGER_FRAME)
     await server.start()
     peers = [await server.connect() for _ in range(3)]
     half = FRAME.pack(STRANGER_FRAME) + bytes(STRANGER_FRAME // 2 - FRAME.size)
     for _, writer in peers:
         writer.write(half)
         await writer.drain()
-    lost = await asyncio.wait_for(server.gone.get(), 5)
-    assert lost in server.taken and server.gone.empty()
+    lost = await asyncio.wait_for(server.closed.get(), 5)
+    assert lost in server.accepted and server.closed.empty()
     assert server.budget.held == STRANGER_FRAME
     for _, writer in peers:
         writer.close()
     for _ in range(2):
-        await asyncio.wait_for(server.gone.get(), 5)
-    assert server.budget.held == 0, "what a connection held is free when it ends"
+        await asyncio.wait_for(server.closed.get(), 5)
+    assert server.budget.held == 0, "the budget of a connection is released when it ends"
     server.stop()
 
 
-async def test_a_peer_that_says_nothing_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_peer_that_does_not_identify_itself_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connections, "HELLO_S", 0.0)
     server = Server()
     await server.start()
@@ -107,15 +110,15 @@
     server.stop()
 
 
-async def test_a_peer_that_has_said_who_it_is_may_be_silent() -> None:
+async def test_identified_peer_may_be_idle() -> None:
     loop = asyncio.get_running_loop()
     server = Server()
     await server.start()
     _, writer = await server.connect()
     writer.write(FRAME.pack(len(HELLO)) + HELLO)
-    await asyncio.wait_for(server.came.wait(), 5)
-    assert server.taken[0]._hello_due is None and server.gone.empty()
-    server.taken[0].send(CallerPong())
+    await asyncio.wait_for(server.received_record.wait(), 5)
+    assert server.accepted[0]._hello_due is None and server.closed.empty()
+    server.accepted[0].send(CallerPong())
     assert loop.is_running()
     writer.close()
     server.stop()
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Nodes that the staff take out: nothing new goes there, every later head knows it, and they can be put back."""
+"""Tests of drained nodes: they get no new tasks, every later head knows them, and the drain can be undone."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
 from millethead.rpc.codec import encode
 
 
-def drain(bench: Bench, node: str, out: bool = True, number: int = 500) -> CallAnswer | None:
-    """The answer, if there is one by now."""
-    bench.head.call(bench.caller, DrainCall(number, node, out))
-    return bench.answers().get(number)
+def drain(harness: Bench, node: str, out: bool = True, number: int = 500) -> CallAnswer | None:
+    """Send a drain call; return its answer if there is one immediately."""
+    harness.head.call(harness.caller, DrainCall(number, node, out))
+    return harness.answers().get(number)
 
 
-def drained_answer(bench: Bench, node: str, out: bool = True) -> CallAnswer:
-    drain(bench, node, out)
-    bench.settle()
-    answer = bench.answers()[500]
+def drain_and_settle(harness: Bench, node: str, out: bool = True) -> CallAnswer:
+    """Send a drain call and return its answer after the commit."""
+    drain(harness, node, out)
+    harness.settle()
+    answer = harness.answers()[500]
     assert isinstance(answer, CallAnswer)
     return answer
 
@@ -41,114 +42,114 @@
     return msgspec.json.decode(answer.body, type=DrainReport)
 
 
-def test_nothing_new_goes_to_a_node_that_is_taken_out_and_its_runs_end_there():
-    bench = Bench()
-    agent = bench.agent(info=worker())
-    assert bench.ask("POST", NAME, job({"count": 2})) == (200, {})
-    bench.settle()
+def test_drained_node_gets_no_new_runs_and_finishes_its_open_ones():
+    harness = Bench()
+    agent = harness.agent(info=worker())
+    assert harness.ask("POST", NAME, job({"count": 2})) == (200, {})
+    harness.settle()
     assert len(agent.orders()) == 2
-    assert report(drained_answer(bench, "n-1")) == DrainReport("n-1", True, "i-1", 2)
-    assert bench.ask("POST", OTHER, job()) == (200, {})
-    bench.pass_time(3.0)
+    assert report(drain_and_settle(harness, "n-1")) == DrainReport("n-1", True, "i-1", 2)
+    assert harness.ask("POST", OTHER, job()) == (200, {})
+    harness.pass_time(3.0)
     assert agent.orders() == [] and agent.stops() == []
     agent.report(ended(task(0), 1, RunEnd.DONE), ended(task(1), 1, RunEnd.DONE, 2))
-    bench.settle()
-    assert bench.ask("GET", NAME)[1] == {"state": "done"}
-    assert bench.ask("GET", OTHER)[1] == {"state": "queued"}
+    harness.settle()
+    assert harness.ask("GET", NAME)[1] == {"state": "done"}
+    assert harness.ask("GET", OTHER)[1] == {"state": "queued"}
 
 
-def test_a_node_that_is_put_back_gets_tasks_again():
-    bench = Bench()
-    agent = bench.agent(info=worker())
-    drained_answer(bench, "n-1")
-    assert bench.ask("POST", NAME, job()) == (200, {})
-    bench.pass_time(2.0)
+def test_node_gets_tasks_again_after_the_drain_is_undone():
+    harness = Bench()
+    agent = harness.agent(info=worker())
+    drain_and_settle(harness, "n-1")
+    assert harness.ask("POST", NAME, job()) == (200, {})
+    harness.pass_time(2.0)
     assert agent.orders() == []
-    assert report(drained_answer(bench, "n-1", False)) == DrainReport("n-1", False, "i-1", 0)
-    bench.settle()
+    assert report(drain_and_settle(harness, "n-1", False)) == DrainReport("n-1", False, "i-1", 0)
+    harness.settle()
     assert agent.orders() == [f"{task(0)}#1"]
 
 
-def test_tasks_that_last_go_elsewhere():
-    bench = Bench()
-    agent = bench.agent(info=worker())
-    bench.ask("POST", NAME, job({"count": 1, "long_running": True}))
-    bench.settle()
+def test_long_running_tasks_move_to_another_node():
+    harness = Bench()
+    agent = harness.agent(info=worker())
+    harness.ask("POST", NAME, job({"count": 1, "long_running": True}))
+    harness.settle()
     agent.orders()
-    drained_answer(bench, "n-1")
+    drain_and_settle(harness, "n-1")
     assert agent.stops() == [f"{task(0)}#1"]
-    other = bench.agent("n-2", worker("i-2"))
+    other = harness.agent("n-2", worker("i-2"))
     agent.report(ended(task(0), 1, RunEnd.STOPPED))
-    bench.pass_time(1.0)
+    harness.pass_time(1.0)
     assert other.orders() == [f"{task(0)}#2"] and agent.orders() == []
 
 
-def test_the_answer_waits_for_the_commit():
-    bench = Bench()
-    bench.agent(info=worker())
-    assert drain(bench, "n-1") is None
-    bench.settle()
-    assert report(bench.answers()[500]).drained
+def test_drain_is_answered_after_its_commit():
+    harness = Bench()
+    harness.agent(info=worker())
+    assert drain(harness, "n-1") is None
+    harness.settle()
+    assert report(harness.answers()[500]).drained
 
 
-def test_the_next_life_and_the_next_head_know_it():
-    bench = Bench()
-    agent = bench.agent(info=worker())
-    drained_answer(bench, "n-1")
-    agent.tell(WorkerUpdate(worker("i-9")))
-    bench.ask("POST", NAME, job())
-    bench.pass_time(2.0)
+def test_drain_outlives_the_worker_instance_and_the_head():
+    harness = Bench()
+    agent = harness.agent(info=worker())
+    drain_and_settle(harness, "n-1")
+    agent.send(WorkerUpdate(worker("i-9")))
+    harness.ask("POST", NAME, job())
+    harness.pass_time(2.0)
     assert agent.orders() == []
     copy = ControlState()
-    copy.restore(bench.state.snapshot())
+    copy.restore(harness.state.snapshot())
     later = Bench(copy, epoch=2)
-    again = later.agent(info=worker("i-9"))
+    agent_after_change = later.agent(info=worker("i-9"))
     later.pass_time(2.0)
-    assert again.orders() == []
+    assert agent_after_change.orders() == []
     later.head.call(later.caller, DrainCall(501, "n-1", False))
     later.settle()
-    assert again.orders() == [f"{task(0)}#1"]
+    assert agent_after_change.orders() == [f"{task(0)}#1"]
 
 
-def test_only_nodes_that_are_there_are_taken_out_and_those_that_are_out_are_put_back():
-    bench = Bench()
-    refused = drained_answer(bench, "n-7")
+def test_only_connected_nodes_are_drained_but_any_drain_can_be_undone():
+    harness = Bench()
+    refused = drain_and_settle(harness, "n-7")
     assert refused.status == 404 and b"n-7" in refused.body
-    assert len(bench.state.drained) == 0 and bench.proposed(DrainNode) == []
-    agent = bench.agent("n-7", worker())
-    drained_answer(bench, "n-7")
-    bench.head.agent_gone(agent.session)
-    assert report(drained_answer(bench, "n-7", False)) == DrainReport("n-7", False, "", 0)
-    assert len(bench.state.drained) == 0
+    assert len(harness.state.drained) == 0 and harness.proposed(DrainNode) == []
+    agent = harness.agent("n-7", worker())
+    drain_and_settle(harness, "n-7")
+    harness.head.agent_gone(agent.session)
+    assert report(drain_and_settle(harness, "n-7", False)) == DrainReport("n-7", False, "", 0)
+    assert len(harness.state.drained) == 0
 
 
-def test_the_same_call_again_proposes_nothing():
-    bench = Bench()
-    bench.agent(info=worker())
-    assert report(drained_answer(bench, "n-1")) == report(drained_answer(bench, "n-1"))
-    assert bench.proposed(DrainNode) == [DrainNode("n-1", True)]
+def test_repeated_drain_proposes_nothing():
+    harness = Bench()
+    harness.agent(info=worker())
+    assert report(drain_and_settle(harness, "n-1")) == report(drain_and_settle(harness, "n-1"))
+    assert harness.proposed(DrainNode) == [DrainNode("n-1", True)]
 
 
-def test_there_is_a_bound_on_nodes_that_are_out(monkeypatch):
+def test_number_of_drained_nodes_is_limited(monkeypatch):
     monkeypatch.setattr(drained, "MOST_DRAINED", 1)
     monkeypatch.setattr("millethead.control.drains.MOST_DRAINED", 1)
-    bench = Bench()
+    harness = Bench()
     for node in ("n-1", "n-2"):
-        bench.agent(node, worker(f"i-{node}"))
-    assert drained_answer(bench, "n-1").status == 200
-    assert drained_answer(bench, "n-2").status == 429
+        harness.agent(node, worker(f"i-{node}"))
+    assert drain_and_settle(harness, "n-1").status == 200
+    assert drain_and_settle(harness, "n-2").status == 429
     nodes = DrainedNodes(("n-1",))
     nodes.apply(DrainNode("n-2", True))
     assert nodes.names() == ("n-1",)
 
 
-def test_a_snapshot_of_the_first_form_is_read():
-    bench = Bench()
-    bench.ask("POST", NAME, job())
-    first = FirstStateSnapshot(bench.state.configuration.encode(), encode_table(bench.state.jobs))
+def test_snapshot_of_the_first_format_is_restored():
+    harness = Bench()
+    harness.ask("POST", NAME, job())
+    first = FirstStateSnapshot(harness.state.configuration.encode(), encode_table(harness.state.jobs))
     copy = ControlState()
     copy.restore(encode(first))
-    assert copy.snapshot() == bench.state.snapshot()
+    assert copy.snapshot() == harness.state.snapshot()
     assert copy.configuration.document == document()
 
 
@@ -156,8 +157,8 @@
 
 
 @pytest.fixture
-def reached(core: Core, monkeypatch) -> Core:  # noqa: F811
-    """Calls of the command line reach the head in this process."""
+def in_process_head(core: Core, monkeypatch) -> Core:  # noqa: F811
+    """Route calls of the command line to the head in this process."""
 
     def call(client, make, clear=(200,)):
         core.head.call(core.caller, make(900))
@@ -171,19 +172,19 @@
     return core
 
 
-def test_drain_from_the_command_line(reached):
-    reached.add_worker()
-    ended_well = run("drain", "side-1", "--control", "127.0.0.1:1", "--internal-port", 7660)
-    said = ended_well.stdout.splitlines()[-1]  # behind the log line of the head in this process
-    assert (ended_well.exit_code, said) == (0, "side-1: taken out, worker i-side-1, 0 open runs")
+def test_drain_from_the_command_line(in_process_head):
+    in_process_head.add_worker()
+    finished = run("drain", "side-1", "--control", "127.0.0.1:1", "--internal-port", 7660)
+    output = finished.stdout.splitlines()[-1]  # after the log line of the head in this process
+    assert (finished.exit_code, output) == (0, "side-1: taken out, worker i-side-1, 0 open runs")
     shown = run("status", "--control", "127.0.0.1:1", "--internal-port", 7660).stdout
     assert "taken out" in shown
     back = run("drain", "side-1", "--undo", "--json", "--control", "127.0.0.1:1", "--internal-port", 7660)
-    told = json.loads(back.stdout.splitlines()[-1])
-    assert told == {"node": "side-1", "drained": False, "instance": "i-side-1", "runs": 0}
+    decoded = json.loads(back.stdout.splitlines()[-1])
+    assert decoded == {"node": "side-1", "drained": False, "instance": "i-side-1", "runs": 0}
 
 
-def test_an_unknown_node_is_named(reached):
+def test_drain_of_an_unknown_node_fails(in_process_head):
     refused = run("drain", "side-9", "--control", "127.0.0.1:1", "--internal-port", 7660)
     assert refused.exit_code == ExitCode.NEGATIVE
     assert "side-9" in refused.stderr
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -1,4 +1,4 @@
-"""The head of the core without sockets: what it answers, orders and waits for, over a chain that the test moves."""
+"""Tests of the head without sockets, on top of a fake chain that commits only when the test says so."""
 
 from __future__ import annotations
 
@@ -60,13 +60,13 @@
 NAME, OTHER = "5c0e7a21d94b36f8", "00000000000000ff"
 WALL_MS = 1_760_000_000_000
 STATUS_S = 120.0
-SETTLE_ROUNDS = 4
-LAPSE_S = LEASE_S * 1.05 + 1.0  # by which every lease that was granted before is over
+SETTLE_PASSES = 4
+LEASES_EXPIRED_S = LEASE_S * 1.05 + 1.0  # all leases granted before have expired after this time
 Kind = TypeVar("Kind", bound=Record)
 
 
 class FakeChain:
-    """Commits what has been proposed, and lets barriers pass, when it is told."""
+    """Replication chain that commits entries and passes barriers only on request of the test."""
 
     def __init__(self, state: ControlState, epoch: int = 1) -> None:
         self.state, self.epoch = state, epoch
@@ -83,7 +83,7 @@
 
 
 class FakeClock:
-    """Steady time and time of day, moved by the test."""
+    """Monotonic clock and time of day that advance only on request of the test."""
 
     def __init__(self) -> None:
         self.at = 1000.0
@@ -103,7 +103,7 @@
         self.calls.append((self.at + delay_s, call))
 
     def run(self) -> bool:
-        """Make the calls that are due; whether there were any."""
+        """Make all calls that are due; return whether there were any."""
         due = [entry for entry in self.calls if entry[0] <= self.at]
         self.calls = [entry for entry in self.calls if entry[0] > self.at]
         for _, call in due:
@@ -112,7 +112,7 @@
 
 
 class FakeLink:
-    """Keeps what is sent."""
+    """Link that records what is sent on it."""
 
     def __init__(self) -> None:
         self.sent: list[Record] = []
@@ -126,15 +126,15 @@
         self.closed = True
 
     def take(self, kind: type[Kind]) -> list[Kind]:
-        """What was sent of a kind since the last time."""
+        """Return and remove the recorded records of a type."""
         found = [record for record in self.sent if isinstance(record, kind)]
         self.sent = [record for record in self.sent if not isinstance(record, kind)]
         return found
 
 
 def document(version: int = 1, **routes: Any) -> bytes:
-    """A configuration with the route `slow` and those named, each of the service alpha unless it says otherwise."""
-    listed = [
+    """Return a configuration with the route `slow` and the given ones, of service alpha unless overridden."""
+    all_routes = [
         {
             "name": name,
             "host": "jobs.example",
@@ -145,16 +145,17 @@
             "service": "alpha",
             "retries": 2,
             "skew": 2.0,
-            **more,
+            **overrides,
         }
-        for name, more in {"slow": {}, **routes}.items()
+        for name, overrides in {"slow": {}, **routes}.items()
     ]
     return json.dumps(
-        {"version": version, "routes": listed, "services": [{"name": "alpha"}, {"name": "beta"}]}
+        {"version": version, "routes": all_routes, "services": [{"name": "alpha"}, {"name": "beta"}]}
     ).encode()
 
 
 def job(*steps: dict[str, Any], **more: Any) -> bytes:
+    """Return the body of a job with the given steps."""
     return json.dumps(
         {
             "spec": "work",
@@ -165,7 +166,8 @@
 
 
 def worker(instance: str = "i-1", sequence: int = 1, **changes: Any) -> WorkerInfo:
-    values: dict[str, Any] = {
+    """Return a worker's description of itself."""
+    fields: dict[str, Any] = {
         "instance": instance,
         "service": "alpha",
         "address": "10.0.0.1:80",
@@ -180,11 +182,11 @@
         "sequence": sequence,
         **changes,
     }
-    return WorkerInfo(**values)
+    return WorkerInfo(**fields)
 
 
 class Bench:
-    """A head with its surroundings. `settle` lets everything commit that is under way."""
+    """A head with a fake chain, a fake clock and the session of one caller."""
 
     def __init__(
         self, state: ControlState | None = None, clock: FakeClock | None = None, epoch: int = 1, configured: bool = True
@@ -200,21 +202,21 @@
             self.configure(document())
 
     def commit(self) -> None:
-        """Everything that was proposed is committed, and every barrier has passed."""
+        """Commit everything that has been proposed and pass every barrier that has been sent."""
         self.chain.committed = len(self.chain.log)
         self.head.gate.committed(self.chain.committed)
         self.head.gate.barrier_passed(self.chain.barrier)
 
     def settle(self) -> None:
-        """Everything under way comes to its end; that takes a few rounds of the scheduler."""
-        for _ in range(SETTLE_ROUNDS):
+        """Run and commit everything that is pending, which takes a few scheduling passes."""
+        for _ in range(SETTLE_PASSES):
             while self.clock.run():
                 self.commit()
             self.commit()
             self.clock.at += ROUND_GAP_S
 
     def pass_time(self, seconds: float, step_s: float = 0.25) -> None:
-        """Time passes; every agent that is connected has its lease renewed."""
+        """Advance the clock in steps, with a tick of the head after each."""
         until = self.clock.at + seconds
         while self.clock.at < until - 1e-9:
             self.clock.at += step_s
@@ -222,20 +224,24 @@
             self.settle()
 
     def call(self, method: str, name: str = NAME, body: bytes = b"", path: str = "/slow/") -> int:
+        """Send a client's call without waiting for its answer; return its number."""
         self._number += 1
         self.head.call(self.caller, JobCall(self._number, method, "jobs.example", path + name, body))
         return self._number
 
     def answers(self) -> dict[int, CallAnswer]:
+        """Return and remove the answers received so far, by the number of the call."""
         return {answer.number: answer for answer in self.link.take(CallAnswer)}
 
     def ask(self, method: str, name: str = NAME, body: bytes = b"", path: str = "/slow/") -> tuple[int, Any]:
+        """Send a client's call; return the status and the decoded body of its answer."""
         number = self.call(method, name, body, path)
         self.settle()
         answer = self.answers()[number]
         return answer.status, json.loads(answer.body)
 
     def configure(self, body: bytes, if_match: int | None = 0, method: str = "PUT") -> int:
+        """Send a configuration as the operator; return the status of the answer."""
         self._number += 1
         self.head.call(self.caller, ConfigurationCall(self._number, method, if_match, body))
         number = self._number
@@ -243,43 +249,47 @@
         return self.answers()[number].status
 
     def agent(self, node: str = "n-1", info: WorkerInfo | None = None, leased: bool = True) -> Agent:
+        """Connect an agent with a worker."""
         agent = Agent(self, node)
         self.settle()
         if leased:
-            agent.tell(LeaseRequest(1))
-        agent.tell(WorkerUpdate(info or worker()))
+            agent.send(LeaseRequest(1))
+        agent.send(WorkerUpdate(info or worker()))
         self.settle()
         return agent
 
     def proposed(self, kind: type[Kind]) -> list[Kind]:
+        """Return the proposed commands of a type."""
         return [record for record in self.chain.log if isinstance(record, kind)]
 
 
 class Agent:
-    """An agent's end of a session."""
+    """The agent's end of a session."""
 
-    def __init__(self, bench: Bench, node: str) -> None:
-        self.bench, self.link = bench, FakeLink()
-        self.session: AgentSession = bench.head.agent_hello(self.link, AgentHello(node, 1, 0, "z", "a:1", "alpha"))
+    def __init__(self, harness: Bench, node: str) -> None:
+        self.harness, self.link = harness, FakeLink()
+        self.session: AgentSession = harness.head.agent_hello(self.link, AgentHello(node, 1, 0, "z", "a:1", "alpha"))
         self._sequence = 0
 
-    def tell(self, record: Record) -> None:
-        self.bench.head.agent_record(self.session, record)
+    def send(self, record: Record) -> None:
+        self.harness.head.agent_record(self.session, record)
 
     def report(self, *ends: EndEntry, progress: tuple[RunProgress, ...] = (), instance: str = "i-1") -> int:
         self._sequence += 1
-        self.tell(RunReport(instance, self._sequence, (), ends, progress))
+        self.send(RunReport(instance, self._sequence, (), ends, progress))
         return self._sequence
 
-    def lists(self) -> list[DesiredRuns]:
+    def desired_runs(self) -> list[DesiredRuns]:
+        """Return and remove the lists of desired runs received so far."""
         return self.link.take(DesiredRuns)
 
     def orders(self) -> list[str]:
-        """Tasks ordered since the last time, with their runs."""
-        return [f"{order.key.task}#{order.key.run}" for desired in self.lists() for order in desired.orders]
+        """Return and remove the orders to start runs received so far, as `task#run`."""
+        return [f"{order.key.task}#{order.key.run}" for desired in self.desired_runs() for order in desired.orders]
 
     def stops(self) -> list[str]:
-        return [f"{key.task}#{key.run}" for desired in self.lists() for key in desired.stops]
+        """Return and remove the orders to stop runs received so far, as `task#run`."""
+        return [f"{key.task}#{key.run}" for desired in self.desired_runs() for key in desired.stops]
 
 
 def task(index: int = 0, step: int = 0, time: int = 0, name: str = NAME) -> str:
@@ -290,11 +300,11 @@
     return EndEntry(number, RunKey(name, run), how, saved)
 
 
-# ---- the gate --------------------------------------------------------------------------------------------
+# ---- commit gate -----------------------------------------------------------------------------------------
 
 
 class Gate:
-    """A gate over a chain that the test moves."""
+    """A commit gate on top of a fake chain."""
 
     def __init__(self) -> None:
         self.state = ControlState()
@@ -321,7 +331,7 @@
     return AssignRuns((), 1)
 
 
-def test_command_is_answered_once_it_is_committed() -> None:
+def test_command_is_answered_after_its_commit() -> None:
     gate = Gate()
     gate.propose("one")
     gate.propose("two")
@@ -332,7 +342,7 @@
     assert gate.called == ["one", "two"] and gate.gate.uncommitted == 0
 
 
-def test_read_waits_for_a_barrier_sent_after_it_came() -> None:
+def test_read_waits_for_a_barrier_sent_after_its_arrival() -> None:
     gate = Gate()
     gate.read("first")
     gate.clock.run()
@@ -358,7 +368,7 @@
     assert gate.called == ["read"]
 
 
-def test_commit_alone_confirms_no_read() -> None:
+def test_commit_alone_does_not_confirm_a_read() -> None:
     gate = Gate()
     gate.gate.propose(command())
     gate.read("read")
@@ -381,174 +391,178 @@
 # ---- callers ---------------------------------------------------------------------------------------------
 
 
-def test_caller_is_welcomed_and_told_the_configuration() -> None:
-    bench = Bench()
+def test_new_caller_gets_welcome_and_configuration() -> None:
+    harness = Bench()
     link = FakeLink()
-    caller = bench.head.caller_hello(link, CallerHello("d2", 0, 0, NO_PLACE, True))
+    caller = harness.head.caller_hello(link, CallerHello("d2", 0, 0, NO_PLACE, True))
     assert link.take(CallerWelcome)[0].serving
     assert not link.take(ConfigurationUpdate)
-    bench.settle()
+    harness.settle()
     assert [update.version for update in link.take(ConfigurationUpdate)] == [1]
-    bench.head.caller_record(caller, ConfigurationAck(1, LogPlace(1, 1)))
+    harness.head.caller_record(caller, ConfigurationAck(1, LogPlace(1, 1)))
     assert caller.configuration == 1
 
 
-def test_caller_that_holds_the_configuration_is_not_told_again() -> None:
-    bench = Bench()
+def test_caller_with_the_current_configuration_gets_no_update() -> None:
+    harness = Bench()
     link = FakeLink()
-    bench.head.caller_hello(link, CallerHello("d2", 0, 1, LogPlace(1, 1), True))
-    bench.settle()
+    harness.head.caller_hello(link, CallerHello("d2", 0, 1, LogPlace(1, 1), True))
+    harness.settle()
     assert not link.take(ConfigurationUpdate)
 
 
-def test_new_configuration_goes_to_all_callers_that_are_there() -> None:
-    bench = Bench()
-    gone = bench.head.caller_hello(FakeLink(), CallerHello("d2", 0, 1, LogPlace(1, 1), True))
-    bench.head.caller_gone(gone)
-    bench.link.take(ConfigurationUpdate)
-    assert bench.configure(document(4), 1) == 200
-    assert [update.version for update in bench.link.take(ConfigurationUpdate)] == [4]
+def test_new_configuration_is_sent_to_all_connected_callers() -> None:
+    harness = Bench()
+    gone = harness.head.caller_hello(FakeLink(), CallerHello("d2", 0, 1, LogPlace(1, 1), True))
+    harness.head.caller_gone(gone)
+    harness.link.take(ConfigurationUpdate)
+    assert harness.configure(document(4), 1) == 200
+    assert [update.version for update in harness.link.take(ConfigurationUpdate)] == [4]
 
 
-def test_call_that_was_sent_to_the_head_of_another_epoch_is_passed_over() -> None:
-    """It may have lain in the socket while another head answered it otherwise; only a call of this epoch counts."""
-    bench = Bench(epoch=6)
+def test_call_addressed_to_another_epoch_is_ignored() -> None:
+    """The call may have been delayed in a socket while another head answered it differently. Only calls of the present
+    epoch count.
+    """
+    harness = Bench(epoch=6)
     post = JobCall(70, "POST", "jobs.example", f"/slow/{NAME}", job())
     for epoch in (5, 7):
-        bench.head.caller_record(bench.caller, HeadCall(epoch, encode_any(post)))
-        bench.settle()
-    assert not bench.answers() and not bench.state.jobs.jobs
-    bench.head.caller_record(bench.caller, HeadCall(6, encode_any(post)))
-    bench.settle()
-    assert bench.answers()[70].status == 200
+        harness.head.caller_record(harness.caller, HeadCall(epoch, encode_any(post)))
+        harness.settle()
+    assert not harness.answers() and not harness.state.jobs.jobs
+    harness.head.caller_record(harness.caller, HeadCall(6, encode_any(post)))
+    harness.settle()
+    assert harness.answers()[70].status == 200
 
 
-def test_answer_names_the_epoch_of_the_head_that_gives_it() -> None:
-    bench = Bench(epoch=6)
+def test_answer_carries_the_epoch_of_the_head() -> None:
+    harness = Bench(epoch=6)
     sent: list[Record] = []
-    bench.caller.link.link.send = sent.append  # type: ignore[attr-defined]
-    bench.call("GET")
-    bench.settle()
+    harness.caller.link.link.send = sent.append  # type: ignore[attr-defined]
+    harness.call("GET")
+    harness.settle()
     assert [(answer.epoch, answer.answer.status) for answer in sent if isinstance(answer, HeadAnswer)] == [(6, 410)]
 
 
-def test_caller_that_comes_is_never_told_what_is_not_committed() -> None:
-    """The barrier has passed, and the entry of version 2 is applied and not committed: it may never be."""
-    bench = Bench()
-    bench.head.call(bench.caller, ConfigurationCall(77, "PUT", 1, document(2)))
+def test_new_caller_gets_no_uncommitted_configuration() -> None:
+    """The barrier has passed, but the entry of version 2 is only applied and may never be committed."""
+    harness = Bench()
+    harness.head.call(harness.caller, ConfigurationCall(77, "PUT", 1, document(2)))
     link = FakeLink()
-    bench.head.caller_hello(link, CallerHello("d2", 0, 0, NO_PLACE, True))
-    bench.clock.run()
-    bench.head.gate.barrier_passed(bench.chain.barrier)
+    harness.head.caller_hello(link, CallerHello("d2", 0, 0, NO_PLACE, True))
+    harness.clock.run()
+    harness.head.gate.barrier_passed(harness.chain.barrier)
     assert not link.take(ConfigurationUpdate)
-    bench.commit()
+    harness.commit()
     (update,) = link.take(ConfigurationUpdate)
-    assert (update.version, update.place, update.discard) == (2, LogPlace(1, len(bench.chain.log)), False)
+    assert (update.version, update.place, update.discard) == (2, LogPlace(1, len(harness.chain.log)), False)
 
 
-def test_of_two_orders_under_way_each_is_told_with_its_own_commit() -> None:
-    bench = Bench()
-    bench.link.take(ConfigurationUpdate)
-    first = len(bench.chain.log) + 1
-    bench.head.call(bench.caller, ConfigurationCall(77, "PUT", 1, document(2)))
-    bench.head.call(bench.caller, ConfigurationCall(78, "PUT", 2, document(3)))
-    assert len(bench.chain.log) == first + 1
+def test_each_of_two_pending_orders_is_published_with_its_own_commit() -> None:
+    harness = Bench()
+    harness.link.take(ConfigurationUpdate)
+    first = len(harness.chain.log) + 1
+    harness.head.call(harness.caller, ConfigurationCall(77, "PUT", 1, document(2)))
+    harness.head.call(harness.caller, ConfigurationCall(78, "PUT", 2, document(3)))
+    assert len(harness.chain.log) == first + 1
     for sequence, version in ((first, 2), (first + 1, 3)):
-        bench.chain.committed = sequence
-        bench.head.gate.committed(sequence)
-        (update,) = bench.link.take(ConfigurationUpdate)
+        harness.chain.committed = sequence
+        harness.head.gate.committed(sequence)
+        (update,) = harness.link.take(ConfigurationUpdate)
         assert (update.version, update.place) == (version, LogPlace(1, sequence))
         assert json.loads(update.document)["version"] == version
 
 
-def test_caller_that_holds_what_was_never_committed_is_told_to_discard_it() -> None:
-    bench = Bench(epoch=3)
+def test_caller_with_an_uncommitted_configuration_has_to_replace_it() -> None:
+    harness = Bench(epoch=3)
     link = FakeLink()
     with structlog.testing.capture_logs() as lines:
-        bench.head.caller_hello(link, CallerHello("d2", 0, 9, LogPlace(2, 50), True))
-        bench.settle()
+        harness.head.caller_hello(link, CallerHello("d2", 0, 9, LogPlace(2, 50), True))
+        harness.settle()
     (update,) = link.take(ConfigurationUpdate)
     assert update.discard and (update.epoch, update.version) == (3, 1)
     assert [line["event"] for line in lines if line.get("node") == "d2"] == ["caller_configuration_not_committed"]
 
 
-def test_caller_with_an_older_committed_configuration_discards_nothing() -> None:
-    bench = Bench()
-    before = bench.state.configuration.place
-    assert bench.configure(document(2), 1) == 200
+def test_caller_with_an_older_committed_configuration_gets_a_normal_update() -> None:
+    harness = Bench()
+    before = harness.state.configuration.place
+    assert harness.configure(document(2), 1) == 200
     link = FakeLink()
-    bench.head.caller_hello(link, CallerHello("d2", 0, 1, before, True))
-    bench.settle()
+    harness.head.caller_hello(link, CallerHello("d2", 0, 1, before, True))
+    harness.settle()
     assert [(update.version, update.discard) for update in link.take(ConfigurationUpdate)] == [(2, False)]
 
 
-def test_agent_that_comes_is_not_told_of_a_cancel_that_is_not_committed() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job())
-    bench.call("DELETE")
-    bench.head.agent_gone(agent.session)
-    again = Agent(bench, "n-1")
-    bench.clock.run()
-    bench.head.gate.barrier_passed(bench.chain.barrier)
-    assert not again.link.take(AgentWelcome) and not again.lists()
-    bench.commit()
+def test_new_agent_session_gets_no_uncommitted_cancel() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job())
+    harness.call("DELETE")
+    harness.head.agent_gone(agent.session)
+    again = Agent(harness, "n-1")
+    harness.clock.run()
+    harness.head.gate.barrier_passed(harness.chain.barrier)
+    assert not again.link.take(AgentWelcome) and not again.desired_runs()
+    harness.commit()
     assert again.link.take(AgentWelcome)
-    assert RunKey(task(), 1) in [key for desired in again.lists() for key in desired.stops]
-
-
-def test_stop_that_waits_for_its_commit_is_part_of_what_a_new_session_is_told() -> None:
-    """The whole list is made before the stop is released: it must not have the run begun again."""
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job())
-    bench.call("DELETE")
-    agent.lists()
-    whole = bench.head.agents.whole("i-1")
+    assert RunKey(task(), 1) in [key for desired in again.desired_runs() for key in desired.stops]
+
+
+def test_complete_list_contains_a_stop_that_waits_for_its_commit() -> None:
+    """The complete list is built while the stop order waits for its commit. If it still listed the run, the agent would
+    start the run again.
+    """
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job())
+    harness.call("DELETE")
+    agent.desired_runs()
+    whole = harness.head.agents.whole("i-1")
     assert not whole.orders and whole.stops == (RunKey(task(), 1),)
 
 
-def test_order_that_builds_on_a_version_to_come_is_refused_for_good() -> None:
-    bench = Bench()
-    assert bench.configure(document(9), 5) == 412
-    assert bench.configure(document(5), 1) == 200
-    assert bench.configure(document(9), 5) == 412, "a copy that came late"
-    assert bench.state.configuration.version == 5
-
-
-def test_configuration_is_told_after_its_commit_only() -> None:
-    bench = Bench()
-    bench.link.take(ConfigurationUpdate)
-    bench.head.call(bench.caller, ConfigurationCall(77, "PUT", 1, document(2)))
-    bench.clock.run()
-    assert not bench.answers() and not bench.link.take(ConfigurationUpdate)
-    bench.settle()
-    assert bench.answers()[77].status == 200 and bench.link.take(ConfigurationUpdate)
-
-
-def test_answers_to_the_operator() -> None:
-    bench = Bench(configured=False)
-    bench.head.call(bench.caller, ConfigurationCall(1, "GET", None, b""))
-    bench.settle()
-    assert bench.answers()[1].status == 404
-    assert bench.configure(b"{", 0) == 400
-    assert bench.configure(document(1)) == 200
-    assert bench.configure(document(1)) == 200, "the same order again"
-    assert bench.configure(document(2)) == 412
-    assert bench.configure(document(1, fast={}), 1) == 400, "the version does not rise"
+def test_order_based_on_a_future_version_stays_refused() -> None:
+    harness = Bench()
+    assert harness.configure(document(9), 5) == 412
+    assert harness.configure(document(5), 1) == 200
+    assert harness.configure(document(9), 5) == 412, "a delayed copy"
+    assert harness.state.configuration.version == 5
+
+
+def test_configuration_is_published_after_its_commit() -> None:
+    harness = Bench()
+    harness.link.take(ConfigurationUpdate)
+    harness.head.call(harness.caller, ConfigurationCall(77, "PUT", 1, document(2)))
+    harness.clock.run()
+    assert not harness.answers() and not harness.link.take(ConfigurationUpdate)
+    harness.settle()
+    assert harness.answers()[77].status == 200 and harness.link.take(ConfigurationUpdate)
+
+
+def test_answers_to_configuration_calls() -> None:
+    harness = Bench(configured=False)
+    harness.head.call(harness.caller, ConfigurationCall(1, "GET", None, b""))
+    harness.settle()
+    assert harness.answers()[1].status == 404
+    assert harness.configure(b"{", 0) == 400
+    assert harness.configure(document(1)) == 200
+    assert harness.configure(document(1)) == 200, "a repeated order"
+    assert harness.configure(document(2)) == 412
+    assert harness.configure(document(1, fast={}), 1) == 400, "the version does not increase"
     patch = json.dumps({"version": 5, "delete": {"routes": ["slow"]}}).encode()
-    assert bench.configure(patch, 1, "PATCH") == 200
-    assert bench.configure(document(1)) == 200, "an accepted order stays so"
-    bench.head.call(bench.caller, ConfigurationCall(99, "GET", None, b""))
-    bench.settle()
-    answer = bench.answers()[99]
+    assert harness.configure(patch, 1, "PATCH") == 200
+    assert harness.configure(document(1)) == 200, "an accepted order stays accepted"
+    harness.head.call(harness.caller, ConfigurationCall(99, "GET", None, b""))
+    harness.settle()
+    answer = harness.answers()[99]
     assert answer.status == 200 and json.loads(answer.body)["version"] == 5
 
 
-def test_no_job_is_taken_before_a_configuration() -> None:
-    bench = Bench(configured=False)
-    assert bench.ask("POST", body=job())[0] == 503
-    assert not bench.proposed(SubmitJob)
+def test_job_before_the_first_configuration_is_refused() -> None:
+    harness = Bench(configured=False)
+    assert harness.ask("POST", body=job())[0] == 503
+    assert not harness.proposed(SubmitJob)
 
 
 @pytest.mark.parametrize(
@@ -565,9 +579,9 @@
     ],
 )
 def test_refusals(method: str, name: str, path: str, status: int) -> None:
-    bench = Bench()
-    assert bench.ask(method, name, job(), path)[0] == status
-    assert not bench.proposed(SubmitJob)
+    harness = Bench()
+    assert harness.ask(method, name, job(), path)[0] == status
+    assert not harness.proposed(SubmitJob)
 
 
 def test_invalid_job_is_refused_with_all_findings() -> None:
@@ -575,294 +589,296 @@
     assert status == 400 and len(answer["findings"]) == 2
 
 
-def test_job_is_acknowledged_after_its_commit_and_once() -> None:
-    bench = Bench()
-    first, second = bench.call("POST", body=job()), bench.call("POST", body=job())
-    bench.clock.run()
-    assert not bench.answers()
-    bench.settle()
-    assert {number: answer.status for number, answer in bench.answers().items()} == {first: 200, second: 200}
-    assert len(bench.proposed(SubmitJob)) == 1
+def test_repeated_job_is_submitted_once_and_acknowledged_after_its_commit() -> None:
+    harness = Bench()
+    first, second = harness.call("POST", body=job()), harness.call("POST", body=job())
+    harness.clock.run()
+    assert not harness.answers()
+    harness.settle()
+    assert {number: answer.status for number, answer in harness.answers().items()} == {first: 200, second: 200}
+    assert len(harness.proposed(SubmitJob)) == 1
 
 
-def test_states_as_they_are_shown() -> None:
-    bench = Bench()
-    bench.ask("POST", body=job())
-    assert bench.ask("GET") == (200, {"state": "queued"})
-    assert bench.ask("GET", "") == (200, {"pending": 1})
-    agent = bench.agent()
-    assert bench.ask("GET") == (200, {"state": "running"})
+def test_job_and_queue_status() -> None:
+    harness = Bench()
+    harness.ask("POST", body=job())
+    assert harness.ask("GET") == (200, {"state": "queued"})
+    assert harness.ask("GET", "") == (200, {"pending": 1})
+    agent = harness.agent()
+    assert harness.ask("GET") == (200, {"state": "running"})
     agent.report(ended(task(), 1, RunEnd.DONE))
-    number = bench.call("GET")
-    assert number not in bench.answers(), "the end is not committed yet"
-    bench.settle()
-    assert json.loads(bench.answers()[number].body) == {"state": "done"}
-    assert bench.ask("DELETE") == (200, {"state": "done"})
-    assert bench.ask("GET", "") == (200, {"pending": 0})
+    number = harness.call("GET")
+    assert number not in harness.answers(), "the end is not committed yet"
+    harness.settle()
+    assert json.loads(harness.answers()[number].body) == {"state": "done"}
+    assert harness.ask("DELETE") == (200, {"state": "done"})
+    assert harness.ask("GET", "") == (200, {"pending": 0})
 
 
 def test_cancel_is_acknowledged_after_its_commit() -> None:
-    bench = Bench()
-    bench.ask("POST", body=job())
-    number = bench.call("DELETE")
-    bench.clock.run()
-    assert not bench.answers()
-    bench.settle()
-    assert bench.answers()[number].status == 200
-    assert bench.ask("GET") == (200, {"state": "cancelled"})
+    harness = Bench()
+    harness.ask("POST", body=job())
+    number = harness.call("DELETE")
+    harness.clock.run()
+    assert not harness.answers()
+    harness.settle()
+    assert harness.answers()[number].status == 200
+    assert harness.ask("GET") == (200, {"state": "cancelled"})
 
 
-def test_full_table_refuses_new_jobs_and_knows_the_old_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_full_job_table_refuses_new_jobs_only(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("millethead.control.callers.MOST_JOBS", 1)
-    bench = Bench()
-    assert bench.ask("POST", body=job())[0] == 200
-    assert bench.ask("POST", OTHER, job())[0] == 429
-    assert bench.ask("POST", body=job())[0] == 200
-    assert bench.ask("GET", OTHER)[0] == 410
+    harness = Bench()
+    assert harness.ask("POST", body=job())[0] == 200
+    assert harness.ask("POST", OTHER, job())[0] == 429
+    assert harness.ask("POST", body=job())[0] == 200
+    assert harness.ask("GET", OTHER)[0] == 410
 
 
 def test_inspection_is_answered() -> None:
-    bench = Bench()
-    bench.agent()
-    bench.head.call(bench.caller, InspectCall(5, "status"))
-    bench.settle()
-    assert bench.answers()[5].status == 200
+    harness = Bench()
+    harness.agent()
+    harness.head.call(harness.caller, InspectCall(5, "status"))
+    harness.settle()
+    assert harness.answers()[5].status == 200
 
 
 # ---- orders ----------------------------------------------------------------------------------------------
 
 
-def test_agent_is_welcomed_once_this_is_certainly_the_head() -> None:
-    bench = Bench(epoch=6)
-    agent = Agent(bench, "n-1")
-    bench.clock.run()
+def test_agent_is_welcomed_after_the_head_is_confirmed() -> None:
+    harness = Bench(epoch=6)
+    agent = Agent(harness, "n-1")
+    harness.clock.run()
     assert not agent.link.take(AgentWelcome)
-    bench.settle()
+    harness.settle()
     assert [welcome.epoch for welcome in agent.link.take(AgentWelcome)] == [6]
 
 
 def test_run_is_ordered_after_its_assignment_is_committed() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    agent.lists()
-    bench.call("POST", body=job({"count": 2}))
-    bench.commit()
-    bench.clock.run()
-    assert bench.proposed(AssignRuns) and not agent.orders()
-    bench.commit()
-    orders = [order for desired in agent.lists() for order in desired.orders]
+    harness = Bench()
+    agent = harness.agent()
+    agent.desired_runs()
+    harness.call("POST", body=job({"count": 2}))
+    harness.commit()
+    harness.clock.run()
+    assert harness.proposed(AssignRuns) and not agent.orders()
+    harness.commit()
+    orders = [order for desired in agent.desired_runs() for order in desired.orders]
     assert {order.key.task for order in orders} == {task(0), task(1)}
     assert all(order.spec == "work" and order.needs == Resources(1000, 0, 0) for order in orders)
 
 
-def test_time_that_an_agent_measured_is_told_to_the_scheduler() -> None:
-    """Reported ends, not the times at which they come, say how fast a worker is."""
-    bench = Bench()
-    agent = bench.agent()
-    assert bench.ask("POST", body=job({"count": 3}))[0] == 200
-    bench.clock.at += 60.0
+def test_scheduler_gets_the_run_duration_measured_by_the_agent() -> None:
+    """A worker's speed is judged from the durations that its agent measured, not from the times at which the reports
+    arrive.
+    """
+    harness = Bench()
+    agent = harness.agent()
+    assert harness.ask("POST", body=job({"count": 3}))[0] == 200
+    harness.clock.at += 60.0
     agent.report(*(replace(ended(task(index), 1, RunEnd.DONE, index + 1), ran_ms=500) for index in range(3)))
-    bench.settle()
-    assert bench.head.scheduler.health._workers["i-1"].samples == 3
-    assert bench.head.scheduler.health._workers["i-1"].pace == pytest.approx(0.0)
+    harness.settle()
+    assert harness.head.scheduler.health._workers["i-1"].samples == 3
+    assert harness.head.scheduler.health._workers["i-1"].pace == pytest.approx(0.0)
 
 
 def test_change_of_a_workers_standing_is_logged_once() -> None:
-    bench = Bench()
-    bench.agent()
+    harness = Bench()
+    harness.agent()
     for number in range(3):
-        bench.head.scheduler.health.ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, bench.clock.at)
+        harness.head.scheduler.health.ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, harness.clock.at)
     with structlog.testing.capture_logs() as lines:
-        bench.pass_time(1.5)
+        harness.pass_time(1.5)
     (line,) = [line for line in lines if line["event"] == "worker_standing"]
     assert (line["instance"], line["standing"], line["cause"]) == ("i-1", "avoided", "fails")
 
 
-def look_gaps(*steps: dict[str, Any]) -> list[int]:
-    """The least time between two looks that each run of a job asks for (ms)."""
-    bench = Bench()
-    agent = bench.agent()
-    agent.lists()
-    assert bench.ask("POST", body=job(*steps))[0] == 200
-    return [order.look_gap_ms for desired in agent.lists() for order in desired.orders]
-
-
-def test_order_says_how_late_its_end_may_be_known() -> None:
-    assert look_gaps({}) == [250]  # a quarter of (2.0 - 1) x 500 ms + 500 ms
-    assert look_gaps({}, {"deps": [0]}) == [187]  # half of a quarter of 1,000 + 500 ms
-    assert look_gaps({"long_running": True}) == [500]
-    assert look_gaps({"estimate_ms": 60_000}) == [1200]
-
-
-def test_new_session_is_not_told_of_runs_that_are_not_committed() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.call("POST", body=job())
-    bench.commit()
-    bench.clock.run()
-    assert bench.proposed(AssignRuns)
-    again = Agent(bench, "n-1")
-    bench.head.gate.barrier_passed(bench.chain.barrier)
-    again.tell(WorkerUpdate(worker()))
+def poll_intervals_ms(*steps: dict[str, Any]) -> list[int]:
+    """Return the poll interval in ms that each run of a job allows: the least time between two polls of its worker."""
+    harness = Bench()
+    agent = harness.agent()
+    agent.desired_runs()
+    assert harness.ask("POST", body=job(*steps))[0] == 200
+    return [order.look_gap_ms for desired in agent.desired_runs() for order in desired.orders]
+
+
+def test_order_contains_the_poll_interval() -> None:
+    assert poll_intervals_ms({}) == [250]  # a quarter of (2.0 - 1) x 500 ms + 500 ms
+    assert poll_intervals_ms({}, {"deps": [0]}) == [187]  # half of a quarter of 1,000 + 500 ms
+    assert poll_intervals_ms({"long_running": True}) == [500]
+    assert poll_intervals_ms({"estimate_ms": 60_000}) == [1200]
+
+
+def test_new_session_gets_no_uncommitted_runs() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.call("POST", body=job())
+    harness.commit()
+    harness.clock.run()
+    assert harness.proposed(AssignRuns)
+    again = Agent(harness, "n-1")
+    harness.head.gate.barrier_passed(harness.chain.barrier)
+    again.send(WorkerUpdate(worker()))
     assert not again.orders()
-    bench.settle()
+    harness.settle()
     assert set(again.orders()) == {f"{task()}#1"} and agent.link.closed
 
 
 def test_next_run_has_a_higher_number_and_the_checkpoint() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job({"checkpoints": True}))
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job({"checkpoints": True}))
     assert agent.orders() == [f"{task()}#1"]
     agent.report(progress=(RunProgress(RunKey(task(), 1), "half", 50),))
     agent.report(ended(task(), 1, RunEnd.LAPSED))
-    bench.settle()
-    orders = [order for desired in agent.lists() for order in desired.orders]
+    harness.settle()
+    orders = [order for desired in agent.desired_runs() for order in desired.orders]
     assert [(order.key.run, order.checkpoint) for order in orders] == [(2, "half")]
 
 
-def test_ends_are_noted_after_their_commit() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job())
+def test_run_ends_are_acknowledged_after_their_commit() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job())
     sequence = agent.report(ended(task(), 1, RunEnd.DONE))
-    bench.clock.run()
+    harness.clock.run()
     assert not agent.link.take(EndsNoted)
-    bench.settle()
+    harness.settle()
     assert [noted.sequence for noted in agent.link.take(EndsNoted)] == [sequence]
 
 
-def test_end_that_was_committed_before_is_noted_again() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job())
+def test_repeated_run_end_is_acknowledged_again() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job())
     for _ in range(2):
         sequence = agent.report(ended(task(), 1, RunEnd.DONE))
-        bench.settle()
+        harness.settle()
         assert [noted.sequence for noted in agent.link.take(EndsNoted)] == [sequence]
-    assert bench.state.jobs.jobs[NAME].phase is JobPhase.DONE
+    assert harness.state.jobs.jobs[NAME].phase is JobPhase.DONE
 
 
-def test_ends_of_other_runs_lives_and_jobs_change_nothing() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job())
+def test_ends_of_unknown_runs_instances_and_jobs_change_nothing() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job())
     agent.report(ended(task(), 7, RunEnd.DONE))
     agent.report(ended(task(), 1, RunEnd.DONE), instance="i-0")
     agent.report(ended(task(name=OTHER), 1, RunEnd.DONE))
     agent.report(ended("no task", 1, RunEnd.DONE))
-    bench.settle()
+    harness.settle()
     assert len(agent.link.take(EndsNoted)) == 4
-    assert bench.state.jobs.jobs[NAME].phase is JobPhase.RUNNING
+    assert harness.state.jobs.jobs[NAME].phase is JobPhase.RUNNING
 
 
-def test_room_is_free_at_the_listed_end_not_at_the_stop() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job({"cpu": 4000}))
-    bench.ask("POST", OTHER, job({"cpu": 4000}))
+def test_resources_are_released_at_the_reported_end_not_at_the_stop() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job({"cpu": 4000}))
+    harness.ask("POST", OTHER, job({"cpu": 4000}))
     assert agent.orders() == [f"{task()}#1"]
-    bench.ask("DELETE")
+    harness.ask("DELETE")
     assert agent.stops() == [f"{task()}#1"]
-    bench.pass_time(2.0)
+    harness.pass_time(2.0)
     assert not agent.orders()
     agent.report(ended(task(), 1, RunEnd.STOPPED))
-    bench.settle()
+    harness.settle()
     assert agent.orders() == [f"{task(name=OTHER)}#1"]
 
 
-def test_run_that_is_cancelled_before_its_commit_is_stopped_not_ordered() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    agent.lists()
-    bench.call("POST", body=job())
-    bench.commit()
-    bench.clock.run()
-    bench.call("DELETE")
-    bench.settle()
-    lists = agent.lists()
-    assert not [order for desired in lists for order in desired.orders]
-    assert [key for desired in lists for key in desired.stops] == [RunKey(task(), 1)]
-
-
-def test_steps_wait_for_those_they_depend_on() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job({"count": 2}, {"deps": [0]}))
+def test_run_cancelled_before_its_commit_is_stopped_and_not_started() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    agent.desired_runs()
+    harness.call("POST", body=job())
+    harness.commit()
+    harness.clock.run()
+    harness.call("DELETE")
+    harness.settle()
+    received = agent.desired_runs()
+    assert not [order for desired in received for order in desired.orders]
+    assert [key for desired in received for key in desired.stops] == [RunKey(task(), 1)]
+
+
+def test_steps_wait_for_their_dependencies() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job({"count": 2}, {"deps": [0]}))
     assert sorted(agent.orders()) == [f"{task(0)}#1", f"{task(1)}#1"]
     agent.report(ended(task(0), 1, RunEnd.DONE))
-    bench.settle()
+    harness.settle()
     assert not agent.orders()
     agent.report(ended(task(1), 1, RunEnd.DONE, 2))
-    bench.settle()
+    harness.settle()
     assert agent.orders() == [f"{task(0, 1)}#1"]
 
 
-def test_queue_that_was_dropped_keeps_its_jobs() -> None:
-    bench = Bench()
-    bench.ask("POST", body=job())
-    assert bench.configure(document(2, fast={}).replace(b'"/slow/"', b'"/other/"'), 1) == 200
-    agent = bench.agent()
+def test_jobs_of_a_removed_queue_still_run() -> None:
+    harness = Bench()
+    harness.ask("POST", body=job())
+    assert harness.configure(document(2, fast={}).replace(b'"/slow/"', b'"/other/"'), 1) == 200
+    agent = harness.agent()
     assert agent.orders() == [f"{task()}#1"]
-    assert bench.ask("GET")[0] == 404
+    assert harness.ask("GET")[0] == 404
 
 
 # ---- gangs -----------------------------------------------------------------------------------------------
 
 
-def test_gang_is_placed_whole_or_not_at_all() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job({"count": 5, "gang": True}))
+def test_gang_is_placed_completely_or_not_at_all() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job({"count": 5, "gang": True}))
     assert not agent.orders()
-    other = bench.agent("n-2", worker("i-2", capacity=Resources(1000, 8000, 0)))
+    other = harness.agent("n-2", worker("i-2", capacity=Resources(1000, 8000, 0)))
     orders = agent.orders() + other.orders()
     assert sorted(orders) == [f"{task(index)}#1" for index in range(5)]
 
 
-def test_members_of_a_gang_share_the_run_above_all_of_theirs() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job({"count": 2, "gang": True}))
-    agent.lists()
+def test_members_of_a_gang_get_the_same_next_run_number() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job({"count": 2, "gang": True}))
+    agent.desired_runs()
     agent.report(ended(task(0), 1, RunEnd.FAILED), ended(task(1), 1, RunEnd.BROKEN, 2))
-    bench.pass_time(2.0)
+    harness.pass_time(2.0)
     assert sorted(agent.orders()) == [f"{task(0)}#2", f"{task(1)}#2"]
 
 
-def test_gang_of_which_one_ends_is_stopped_and_starts_again_once_all_have_ended() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job({"count": 3, "gang": True}))
-    agent.lists()
+def test_gang_is_stopped_when_one_run_ends_and_restarts_after_all_ends() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job({"count": 3, "gang": True}))
+    agent.desired_runs()
     agent.report(ended(task(1), 1, RunEnd.NEVER, 0))
-    bench.settle()
+    harness.settle()
     assert sorted(agent.stops()) == [f"{task(0)}#1", f"{task(2)}#1"]
     agent.report(ended(task(0), 1, RunEnd.STOPPED))
-    bench.pass_time(2.0)
+    harness.pass_time(2.0)
     assert not agent.orders()
     agent.report(ended(task(2), 1, RunEnd.STOPPED, 2))
-    bench.pass_time(2.0)
+    harness.pass_time(2.0)
     assert sorted(agent.orders()) == [f"{task(index)}#2" for index in range(3)]
 
 
-def test_gang_that_failed_where_it_fits_alone_goes_there_again() -> None:
-    """A gang waits for workers on which it has not failed, but not for ever."""
-    bench = Bench()
-    first = bench.agent()
-    second = bench.agent("n-2", worker("i-2"))
-    bench.ask("POST", OTHER, job({"cpu": 4000, "long_running": True}))
+def test_gang_returns_to_the_only_worker_where_it_fits() -> None:
+    """A gang prefers workers on which it has not failed, but does not wait for them forever."""
+    harness = Bench()
+    first = harness.agent()
+    second = harness.agent("n-2", worker("i-2"))
+    harness.ask("POST", OTHER, job({"cpu": 4000, "long_running": True}))
     free = second if first.orders() else first
-    free.lists()
+    free.desired_runs()
     instance = "i-2" if free is second else "i-1"
-    bench.ask("POST", body=job({"count": 2, "gang": True, "cpu": 2000}))
+    harness.ask("POST", body=job({"count": 2, "gang": True, "cpu": 2000}))
     assert sorted(free.orders()) == [f"{task(0)}#1", f"{task(1)}#1"]
     free.report(ended(task(0), 1, RunEnd.FAILED), ended(task(1), 1, RunEnd.BROKEN, 2), instance=instance)
-    bench.pass_time(3.0)
+    harness.pass_time(3.0)
     assert sorted(free.orders()) == [f"{task(0)}#2", f"{task(1)}#2"]
 
 
-# ---- times and pauses ------------------------------------------------------------------------------------
+# ---- times and backoff -----------------------------------------------------------------------------------
 
 
 def timed(repeats: int, delay_ms: int, interval_ms: int, *steps: dict[str, Any]) -> bytes:
@@ -870,280 +886,283 @@
 
 
 def test_times_start_when_they_are_due() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=timed(2, 4000, 3000))
-    while bench.clock.wall_ms() < WALL_MS + 3500:
-        bench.pass_time(0.1)
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=timed(2, 4000, 3000))
+    while harness.clock.wall_ms() < WALL_MS + 3500:
+        harness.pass_time(0.1)
         assert not agent.orders()
-    bench.pass_time(1.5)
+    harness.pass_time(1.5)
     assert agent.orders() == [f"{task()}#1"]
-    bench.pass_time(3.0)
+    harness.pass_time(3.0)
     assert agent.orders() == [f"{task(time=1)}#1"], "times may overlap"
 
 
-def test_times_without_a_run_outlive_the_head() -> None:
-    """Time 0 finds no room, time 1 does; a head that knows only what is committed must run both."""
-    bench = Bench()
-    bench.agent()
-    bench.ask("POST", OTHER, job({"cpu": 4000}))
-    bench.ask("POST", body=timed(2, 100, 100))
-    bench.pass_time(1.0)
+def test_new_head_runs_due_times_without_an_earlier_run() -> None:
+    """Time 0 finds no free worker and time 1 does. A new head knows only the committed run of time 1, but must run
+    both.
+    """
+    harness = Bench()
+    harness.agent()
+    harness.ask("POST", OTHER, job({"cpu": 4000}))
+    harness.ask("POST", body=timed(2, 100, 100))
+    harness.pass_time(1.0)
     state = ControlState()
-    state.restore(bench.state.snapshot())
+    state.restore(harness.state.snapshot())
     times = state.jobs.jobs[NAME].times
     for time in list(times):
         del times[time]
-    state.jobs.jobs[NAME].at_time(1)  # as on a member that has seen a run of time 1 only
-    bench.head.close()
-    successor = Bench(state, bench.clock, epoch=2)
+    state.jobs.jobs[NAME].at_time(1)  # as on a member that has applied a run of time 1 only
+    harness.head.close()
+    successor = Bench(state, harness.clock, epoch=2)
     agent = successor.agent("n-2", worker("i-2"))
     successor.pass_time(1.0)
     assert sorted(agent.orders()) == [f"{task()}#1", f"{task(time=1)}#1"]
 
 
-def test_lasting_task_is_started_again_within_three_seconds() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job({"long_running": True}))
+def test_long_running_task_is_restarted_within_three_seconds() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job({"long_running": True}))
     for number in range(1, 9):
-        bench.pass_time(0.0)
+        harness.pass_time(0.0)
         waited = 0.0
         while f"{task()}#{number}" not in agent.orders():
-            bench.pass_time(0.25)
+            harness.pass_time(0.25)
             waited += 0.25
-            assert waited <= 2.75, f"run {number} waits for {waited} s"
+            assert waited <= 2.75, f"run {number} has waited for {waited} s"
         agent.report(ended(task(), number, RunEnd.FAILED, number))
-        bench.settle()
+        harness.settle()
 
 
-def test_rejected_task_rests_a_little() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job())
-    agent.lists()
+def test_rejected_task_is_retried_after_a_backoff() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job())
+    agent.desired_runs()
     agent.report(ended(task(), 1, RunEnd.NEVER, 0))
-    bench.settle()
+    harness.settle()
     assert not agent.orders()
-    bench.pass_time(0.5)
+    harness.pass_time(0.5)
     assert agent.orders() == [f"{task()}#2"]
 
 
-# ---- lives and leases ------------------------------------------------------------------------------------
+# ---- worker instances and leases -------------------------------------------------------------------------
 
 
-def test_lease_is_granted_once_this_is_certainly_the_head() -> None:
-    bench = Bench()
-    agent = bench.agent(leased=False)
-    agent.tell(LeaseRequest(12_345))
-    bench.clock.run()
+def test_lease_is_granted_after_the_head_is_confirmed() -> None:
+    harness = Bench()
+    agent = harness.agent(leased=False)
+    agent.send(LeaseRequest(12_345))
+    harness.clock.run()
     assert not agent.link.take(LeaseGrant)
-    bench.settle()
+    harness.settle()
     (grant,) = agent.link.take(LeaseGrant)
     assert grant.sent_ms == 12_345 and grant.lease_ms == LEASE_S * 1000
 
 
-def test_runs_outlive_a_lost_session_until_the_lease_is_over() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job())
-    bench.head.agent_gone(agent.session)
-    other = bench.agent("n-2", worker("i-2"))
-    bench.pass_time(LEASE_S)
+def test_runs_of_a_lost_session_are_kept_until_the_lease_expires() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job())
+    harness.head.agent_gone(agent.session)
+    other = harness.agent("n-2", worker("i-2"))
+    harness.pass_time(LEASE_S)
     assert not other.orders()
-    bench.pass_time(LAPSE_S - LEASE_S)
+    harness.pass_time(LEASES_EXPIRED_S - LEASE_S)
     assert other.orders() == [f"{task()}#2"]
 
 
-def test_lease_of_an_earlier_head_is_waited_for() -> None:
-    bench = Bench()
-    bench.agent()
-    bench.ask("POST", body=job())
+def test_new_head_waits_for_leases_of_earlier_heads() -> None:
+    harness = Bench()
+    harness.agent()
+    harness.ask("POST", body=job())
     state = ControlState()
-    state.restore(bench.state.snapshot())
-    successor = Bench(state, bench.clock, epoch=2)
+    state.restore(harness.state.snapshot())
+    successor = Bench(state, harness.clock, epoch=2)
     other = successor.agent("n-2", worker("i-2"))
     successor.pass_time(LEASE_S)
     assert not other.orders()
-    successor.pass_time(LAPSE_S - LEASE_S)
+    successor.pass_time(LEASES_EXPIRED_S - LEASE_S)
     assert other.orders() == [f"{task()}#2"]
 
 
-def test_lapse_ends_the_session_in_which_the_orders_went_out() -> None:
-    """An agent that stood still for longer than its lease must not start what has been given to others since, though
-    its connection still stands."""
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job())
-    bench.agent("n-2", worker("i-2"))
-    bench.pass_time(LAPSE_S + 1.0)
+def test_lease_expiry_closes_the_session_of_the_agent() -> None:
+    """An agent that was stalled for longer than its lease must not start runs that have been assigned elsewhere since,
+    even if its connection is still open.
+    """
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job())
+    harness.agent("n-2", worker("i-2"))
+    harness.pass_time(LEASES_EXPIRED_S + 1.0)
     assert agent.link.closed
 
 
-def test_no_lease_is_granted_in_a_session_that_has_ended() -> None:
-    bench = Bench()
-    agent = bench.agent()
+def test_no_lease_is_granted_in_a_closed_session() -> None:
+    harness = Bench()
+    agent = harness.agent()
     agent.link.take(LeaseGrant)
-    agent.tell(LeaseRequest(5000))
-    again = Agent(bench, "n-1")
-    bench.settle()
+    agent.send(LeaseRequest(5000))
+    again = Agent(harness, "n-1")
+    harness.settle()
     assert not [record for record in agent.link.sent if isinstance(record, LeaseGrant)]
     assert again.link.take(AgentWelcome)
 
 
-def test_nothing_is_given_to_an_agent_that_has_no_lease_yet() -> None:
-    bench = Bench()
-    bench.pass_time(LAPSE_S)
-    agent = bench.agent(leased=False)
-    bench.ask("POST", body=job())
+def test_agent_without_a_lease_gets_no_runs() -> None:
+    harness = Bench()
+    harness.pass_time(LEASES_EXPIRED_S)
+    agent = harness.agent(leased=False)
+    harness.ask("POST", body=job())
     assert not agent.orders()
-    agent.tell(LeaseRequest(1))
-    bench.settle()
+    agent.send(LeaseRequest(1))
+    harness.settle()
     assert agent.orders() == [f"{task()}#1"]
 
 
-def test_worker_comes_back_after_its_lease_was_over() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job())
-    bench.pass_time(LAPSE_S + 1.0)
-    bench.head.agent_gone(agent.session)
-    again = bench.agent()
-    bench.pass_time(1.0)
+def test_worker_returns_after_its_lease_expired() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job())
+    harness.pass_time(LEASES_EXPIRED_S + 1.0)
+    harness.head.agent_gone(agent.session)
+    again = harness.agent()
+    harness.pass_time(1.0)
     assert again.orders() == [f"{task()}#2"]
 
 
-def test_life_that_is_over_frees_its_runs_at_once() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job())
-    agent.lists()
-    agent.tell(LifeOver("i-1"))
-    agent.tell(WorkerUpdate(worker("i-2")))
-    bench.settle()
+def test_runs_of_an_ended_worker_instance_restart_at_once() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job())
+    agent.desired_runs()
+    agent.send(LifeOver("i-1"))
+    agent.send(WorkerUpdate(worker("i-2")))
+    harness.settle()
     assert agent.orders() == [f"{task()}#2"]
 
 
-def test_new_life_at_a_node_ends_the_one_before() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job())
-    agent.lists()
-    agent.tell(WorkerUpdate(worker("i-2")))
-    bench.settle()
+def test_new_worker_instance_on_a_node_ends_the_previous_one() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job())
+    agent.desired_runs()
+    agent.send(WorkerUpdate(worker("i-2")))
+    harness.settle()
     assert agent.orders() == [f"{task()}#2"]
 
 
-def test_worker_that_left_gets_nothing() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    agent.lists()
-    agent.tell(WorkerUpdate(None))
-    bench.ask("POST", body=job())
+def test_worker_that_left_gets_no_runs() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    agent.desired_runs()
+    agent.send(WorkerUpdate(None))
+    harness.ask("POST", body=job())
     assert not agent.orders()
 
 
-def test_suspected_worker_gets_nothing_until_it_answers_again() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    agent.lists()
-    agent.tell(WorkerSuspected("i-1", 900))
-    bench.ask("POST", body=job())
-    bench.pass_time(1.0)
+def test_suspected_worker_gets_no_runs_until_it_answers_again() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    agent.desired_runs()
+    agent.send(WorkerSuspected("i-1", 900))
+    harness.ask("POST", body=job())
+    harness.pass_time(1.0)
     assert not agent.orders()
-    bench.pass_time(2.0)
+    harness.pass_time(2.0)
     assert agent.orders() == [f"{task()}#1"]
 
 
-def test_draining_worker_gets_nothing_and_what_cannot_end_there_is_stopped() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job({"estimate_ms": 1000}))
-    bench.ask("POST", OTHER, job({"estimate_ms": 60_000}))
-    agent.lists()
-    agent.tell(WorkerUpdate(worker(draining=True, remaining_ms=5000, sequence=2)))
-    bench.settle()
+def test_draining_worker_gets_no_runs_and_long_runs_are_stopped() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job({"estimate_ms": 1000}))
+    harness.ask("POST", OTHER, job({"estimate_ms": 60_000}))
+    agent.desired_runs()
+    agent.send(WorkerUpdate(worker(draining=True, remaining_ms=5000, sequence=2)))
+    harness.settle()
     assert agent.stops() == [f"{task(name=OTHER)}#1"]
-    bench.ask("POST", "a" * 16, job())
+    harness.ask("POST", "a" * 16, job())
     assert not agent.orders()
 
 
-def test_new_session_is_told_whole_with_what_is_to_be_stopped() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job())
-    bench.ask("POST", OTHER, job())
-    bench.ask("DELETE", OTHER)
-    bench.head.agent_gone(agent.session)
-    again = bench.agent()
-    whole = [desired for desired in again.lists() if desired.whole]
+def test_new_session_gets_the_complete_list_with_pending_stops() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job())
+    harness.ask("POST", OTHER, job())
+    harness.ask("DELETE", OTHER)
+    harness.head.agent_gone(agent.session)
+    again = harness.agent()
+    whole = [desired for desired in again.desired_runs() if desired.whole]
     assert whole and all(desired.instance == "i-1" for desired in whole)
     assert [order.key for order in whole[-1].orders] == [RunKey(task(), 1)]
     assert whole[-1].stops == (RunKey(task(name=OTHER), 1),)
 
 
-def test_later_session_of_a_node_takes_the_place_of_the_earlier_one() -> None:
-    bench = Bench()
-    first = bench.agent()
-    second = bench.agent()
+def test_later_session_of_a_node_replaces_the_earlier_one() -> None:
+    harness = Bench()
+    first = harness.agent()
+    second = harness.agent()
     assert first.link.closed
-    bench.head.agent_gone(first.session)
-    assert bench.head.agents.sessions["n-1"] is second.session
+    harness.head.agent_gone(first.session)
+    assert harness.head.agents.sessions["n-1"] is second.session
 
 
 # ---- epochs ----------------------------------------------------------------------------------------------
 
 
-def test_new_head_goes_on_with_what_runs() -> None:
-    bench = Bench()
-    bench.agent()
-    bench.ask("POST", body=job({"count": 2, "cpu": 2000}, {"deps": [0]}))
-    bench.ask("POST", OTHER, job({"cpu": 2000}))
+def test_new_head_continues_with_open_runs() -> None:
+    harness = Bench()
+    harness.agent()
+    harness.ask("POST", body=job({"count": 2, "cpu": 2000}, {"deps": [0]}))
+    harness.ask("POST", OTHER, job({"cpu": 2000}))
     state = ControlState()
-    state.restore(bench.state.snapshot())
-    successor = Bench(state, bench.clock, epoch=2)
+    state.restore(harness.state.snapshot())
+    successor = Bench(state, harness.clock, epoch=2)
     agent = successor.agent()
-    assert sorted(set(agent.orders())) == [f"{task(0)}#1", f"{task(1)}#1"], "there is no room for more"
+    assert sorted(set(agent.orders())) == [f"{task(0)}#1", f"{task(1)}#1"], "the worker has no more free resources"
     agent.report(ended(task(0), 1, RunEnd.DONE), ended(task(1), 1, RunEnd.DONE, 2))
     successor.settle()
     assert set(agent.orders()) == {f"{task(0, 1)}#1", f"{task(name=OTHER)}#1"}
 
 
-def test_head_whose_epoch_is_over_answers_and_orders_nothing() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    agent.lists()
-    bench.call("POST", body=job())
-    bench.call("GET", OTHER)
-    agent.tell(LeaseRequest(9000))
+def test_head_sends_nothing_after_its_epoch() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    agent.desired_runs()
+    harness.call("POST", body=job())
+    harness.call("GET", OTHER)
+    agent.send(LeaseRequest(9000))
     agent.link.take(LeaseGrant)
-    bench.head.close()
-    bench.settle()
-    assert not bench.answers() and not agent.link.take(LeaseGrant) and not agent.orders()
+    harness.head.close()
+    harness.settle()
+    assert not harness.answers() and not agent.link.take(LeaseGrant) and not agent.orders()
 
 
-def test_ended_jobs_are_forgotten_late() -> None:
-    bench = Bench()
-    agent = bench.agent()
-    bench.ask("POST", body=job())
+def test_ended_jobs_are_purged_after_the_retention_period() -> None:
+    harness = Bench()
+    agent = harness.agent()
+    harness.ask("POST", body=job())
     agent.report(ended(task(), 1, RunEnd.DONE))
-    bench.settle()
-    bench.pass_time(STATUS_S, 1.0)
-    assert bench.ask("GET") == (200, {"state": "done"})
-    bench.pass_time(KEEP_MORE_S + PURGE_S + 1.0, 1.0)
-    assert bench.ask("GET")[0] == 410
-    assert not bench.state.jobs.jobs
+    harness.settle()
+    harness.pass_time(STATUS_S, 1.0)
+    assert harness.ask("GET") == (200, {"state": "done"})
+    harness.pass_time(KEEP_MORE_S + PURGE_S + 1.0, 1.0)
+    assert harness.ask("GET")[0] == 410
+    assert not harness.state.jobs.jobs
 
 
-# ---- feeder and agents by themselves ---------------------------------------------------------------------
+# ---- scheduler input and agent registry ------------------------------------------------------------------
 
 
-def test_feeder_wakes_when_the_next_time_is_due() -> None:
+def test_next_time_of_a_repeated_job_is_added_when_due() -> None:
     state = ControlState()
     feeder = Feeder(state.jobs, Scheduler(Random(1)), lambda run: None)
-    bench = Bench()
-    bench.ask("POST", body=timed(3, 1000, 500))
-    feeder = bench.head.feeder
+    harness = Bench()
+    harness.ask("POST", body=timed(3, 1000, 500))
+    feeder = harness.head.feeder
     clock = Clock(500.0, WALL_MS)
     assert feeder.next_wake(clock) == pytest.approx(501.0)
     assert not feeder.wake(clock)
@@ -1151,16 +1170,16 @@
     assert feeder.next_wake(Clock(501.2, WALL_MS + 1200)) == pytest.approx(501.5)
 
 
-def test_scheduler_forgets_a_job_that_is_over() -> None:
-    bench = Bench()
-    bench.ask("POST", body=job({"count": 3}))
-    assert bench.head.scheduler.why_waiting(StepKey(NAME, 0, 0), 0, bench.clock.at).value != "not waiting"
-    bench.ask("DELETE")
-    assert bench.head.scheduler.why_waiting(StepKey(NAME, 0, 0), 0, bench.clock.at).value == "not waiting"
-    assert not bench.head.feeder._steps
+def test_ended_job_is_removed_from_the_scheduler() -> None:
+    harness = Bench()
+    harness.ask("POST", body=job({"count": 3}))
+    assert harness.head.scheduler.why_waiting(StepKey(NAME, 0, 0), 0, harness.clock.at).value != "not waiting"
+    harness.ask("DELETE")
+    assert harness.head.scheduler.why_waiting(StepKey(NAME, 0, 0), 0, harness.clock.at).value == "not waiting"
+    assert not harness.head.feeder._steps
 
 
-def test_lease_counts_from_the_begin_of_the_epoch_where_none_was_granted() -> None:
+def test_lease_without_a_grant_starts_with_the_epoch() -> None:
     agents = Agents(ControlState().jobs, 100.0)
     assert not agents.lapsed("n-1", 100.0 + LEASE_S)
-    assert agents.lapsed("n-1", 100.0 + LAPSE_S)
+    assert agents.lapsed("n-1", 100.0 + LEASES_EXPIRED_S)
--- a/tests/test_head_caller.py
+++ b/tests/test_head_caller.py
@@ -1,4 +1,4 @@
-"""Calls to the head on real sockets, the crossing of answers, calls and changes of the head forced by the test."""
+"""Tests of the head client on real sockets: calls, answers and changes of the head in an order forced by the test."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 from millethead.rpc.codec import Record, decode_any
 from millethead.rpc.connection import Connection, InputBudget
 
-PATIENCE_S = 5.0
+TIMEOUT_S = 5.0
 
 
 class FakeMember:
-    """A member of the core whose records the test sends by hand."""
+    """A member of the core whose records are sent by the test."""
 
     def __init__(self) -> None:
         self.address = ""
         self.connection: Connection | None = None
-        self._came: dict[type[Record], asyncio.Queue[Record]] = {}
+        self._received_records: dict[type[Record], asyncio.Queue[Record]] = {}
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
@@ -47,14 +47,14 @@
         self.connection = connection
 
     def _received(self, connection: Connection, record: Record) -> None:
-        self._came.setdefault(type(record), asyncio.Queue()).put_nowait(record)
+        self._received_records.setdefault(type(record), asyncio.Queue()).put_nowait(record)
 
     async def next(self, kind: type[Record]) -> Record:
-        """The next record of a kind that the caller has sent."""
-        return await asyncio.wait_for(self._came.setdefault(kind, asyncio.Queue()).get(), PATIENCE_S)
+        """Return the next record of a type from the client."""
+        return await asyncio.wait_for(self._received_records.setdefault(kind, asyncio.Queue()).get(), TIMEOUT_S)
 
     async def next_call(self) -> tuple[int, JobCall]:
-        """The epoch and the call of the next one."""
+        """Return the next call and the epoch to which it is addressed."""
         sent = await self.next(HeadCall)
         assert isinstance(sent, HeadCall)
         call = decode_any(sent.call)
@@ -66,7 +66,7 @@
         self.connection.send(record)
 
     def serve(self, epoch: int) -> None:
-        """Say that it is the head of an epoch."""
+        """Announce itself as the head of an epoch."""
         member = Member(self.address, 1)
         self.send(CallerWelcome(View(epoch, (member,), (ChainMember(member, 1, 1),)), True))
 
@@ -78,24 +78,26 @@
 
 
 async def joined(configured: Callable[[int, bytes], None] | None = None) -> tuple[FakeMember, HeadCaller]:
-    """A caller that has found the head of epoch 1."""
+    """Return a member that is the head of epoch 1 and a client connected to it."""
     member = FakeMember()
     await member.start()
-    caller = HeadCaller("d1", lambda: (member.address,), Random(1), configured)
-    caller.start()
+    client = HeadCaller("d1", lambda: (member.address,), Random(1), configured)
+    client.start()
     await member.next(CallerHello)
     member.serve(1)
-    return member, caller
+    return member, client
 
 
 def post(number: int) -> JobCall:
     return JobCall(number, "POST", "jobs.example", "/slow/00000000000000ff", b"{}")
 
 
-async def test_answer_of_an_earlier_head_is_not_that_of_the_call_sent_again() -> None:
-    """The earlier head's refusal is on its way while the later head takes the job: the client is told of the latter."""
-    member, caller = await joined()
-    call = asyncio.create_task(caller.call(post, PATIENCE_S, PATIENCE_S))
+async def test_answer_of_an_earlier_head_to_a_resent_call_is_ignored() -> None:
+    """The refusal of the previous head arrives while the new head accepts the job. The client must return the answer of
+    the new head.
+    """
+    member, client = await joined()
+    call = asyncio.create_task(client.call(post, TIMEOUT_S, TIMEOUT_S))
     epoch, sent = await member.next_call()
     assert epoch == 1
     member.serve(2)
@@ -104,42 +106,42 @@
     member.answer(1, sent.number, 429)
     member.answer(2, sent.number, 200)
     assert (await call).status == 200
-    caller.close()
+    client.close()
     member.stop()
 
 
-async def test_answer_to_a_call_that_was_given_up_meets_no_other_call() -> None:
-    member, caller = await joined()
-    first = asyncio.create_task(caller.call(post, 0.0, 0.0))
+async def test_late_answer_to_an_abandoned_call_is_ignored() -> None:
+    member, client = await joined()
+    first = asyncio.create_task(client.call(post, 0.0, 0.0))
     with pytest.raises(CallFailed):
         await first
-    second = asyncio.create_task(caller.call(post, PATIENCE_S, PATIENCE_S))
+    second = asyncio.create_task(client.call(post, TIMEOUT_S, TIMEOUT_S))
     epoch, sent = await member.next_call()
     if sent.number == 1:
         epoch, sent = await member.next_call()
     member.answer(epoch, 1, 410)
     member.answer(epoch, sent.number, 200)
     assert sent.number == 2 and (await second).status == 200
-    caller.close()
+    client.close()
     member.stop()
 
 
-async def test_a_call_that_was_sent_and_not_answered_may_have_been_taken() -> None:
-    member, caller = await joined()
-    call = asyncio.create_task(caller.call(post, PATIENCE_S, 0.0))
+async def test_unanswered_call_is_reported_as_sent() -> None:
+    member, client = await joined()
+    call = asyncio.create_task(client.call(post, TIMEOUT_S, 0.0))
     await member.next_call()
     assert member.connection is not None
     member.connection.close()
     with pytest.raises(CallFailed) as failed:
         await call
     assert failed.value.sent
-    caller.close()
+    client.close()
     member.stop()
 
 
-async def test_configuration_of_an_earlier_head_is_not_put_into_force() -> None:
-    told: list[int] = []
-    member, caller = await joined(lambda version, _: told.append(version))
+async def test_configuration_of_an_earlier_head_is_ignored() -> None:
+    applied: list[int] = []
+    member, client = await joined(lambda version, _: applied.append(version))
     member.send(ConfigurationUpdate(1, LogPlace(1, 4), 7, b"{}", False))
     await member.next(ConfigurationAck)
     member.serve(2)
@@ -148,6 +150,6 @@
     assert ack == ConfigurationAck(7, LogPlace(1, 4))
     member.send(ConfigurationUpdate(2, LogPlace(2, 6), 8, b"{}", False))
     assert await member.next(ConfigurationAck) == ConfigurationAck(8, LogPlace(2, 6))
-    assert told == [7, 8]
-    caller.close()
+    assert applied == [7, 8]
+    client.close()
     member.stop()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""What the system's programs tell of themselves, read by Prometheus' own parser: true, and explained on the page."""
+"""Metrics of the system's programs, read by the parser of Prometheus: correct, and all documented."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def read(figures) -> dict[tuple[str, ...], float]:
-    """Name and labels' values -> value, as the parser reads the page."""
+    """Parse figures as a metrics page; return the values by name and label values."""
     families = text_string_to_metric_families(render(list(figures)).decode())
     return {
         (sample.name.removeprefix(PREFIX), *(sample.labels[label] for label in sorted(sample.labels))): sample.value
@@ -48,20 +48,20 @@
     }
 
 
-def test_a_page_is_read_back_whatever_its_labels_hold():
-    odd = 'a"b\\c\nd'
+def test_metrics_page_escapes_labels():
+    special = 'a"b\\c\nd'
     page = read(
         [
             gauge("depth", "Deep.", 2.5),
             counter("seen", "Seen.", 3),
-            Figure("jobs", "Jobs.", [Sample((odd, "done"), 1)], ("queue", "state")),
+            Figure("jobs", "Jobs.", [Sample((special, "done"), 1)], ("queue", "state")),
             Figure("none", "No line.", [], ("queue",)),
         ]
     )
-    assert page == {("depth",): 2.5, ("seen_total",): 3.0, ("jobs", odd, "done"): 1.0}
+    assert page == {("depth",): 2.5, ("seen_total",): 3.0, ("jobs", special, "done"): 1.0}
 
 
-def test_the_page_is_asked_for_by_its_path_and_made_anew_each_time():
+def test_metrics_page_is_rendered_on_each_request():
     app, values = bottle.Bottle(), [1.0, 2.0]
     add_metrics(app, lambda: [gauge("value", "Value.", values.pop(0))])
     request = Request("GET", METRICS_PATH, {"host": "127.0.0.1"})
@@ -70,82 +70,82 @@
     assert b"value 1.0" in first.body and b"value 2.0" in second.body
 
 
-def test_the_head_tells_of_jobs_workers_and_dispatchers():
-    bench = Bench()
-    bench.agent(info=worker())
-    bench.agent("n-2", worker("i-2"))
-    bench.ask("POST", NAME, job({"count": 3}))
-    bench.settle()
-    bench.head.call(bench.caller, DrainCall(500, "n-2", True))
-    bench.settle()
-    page = read(head_figures(bench.head))
+def test_head_metrics():
+    harness = Bench()
+    harness.agent(info=worker())
+    harness.agent("n-2", worker("i-2"))
+    harness.ask("POST", NAME, job({"count": 3}))
+    harness.settle()
+    harness.head.call(harness.caller, DrainCall(500, "n-2", True))
+    harness.settle()
+    page = read(head_figures(harness.head))
     assert page["is_head",] == 1 and page["open_runs",] == 3 and page["uncommitted_entries",] == 0
     assert page["jobs", "slow", "running"] == 1
     assert page["workers", "alpha", "draining"] == 1 and page["workers", "alpha", "ready"] == 1
     assert (page["dispatchers",], page["dispatchers_behind",], page["configuration_version",]) == (1, 1, 1)
-    bench.head.caller_record(bench.caller, ConfigurationAck(1, bench.state.configuration.place))
-    assert read(head_figures(bench.head))["dispatchers_behind",] == 0
+    harness.head.caller_record(harness.caller, ConfigurationAck(1, harness.state.configuration.place))
+    assert read(head_figures(harness.head))["dispatchers_behind",] == 0
 
 
-def test_a_worker_that_fails_what_it_runs_is_told_apart():
-    bench = Bench()
-    bench.agent(info=worker())
+def test_worker_with_failing_runs_counts_as_avoided():
+    harness = Bench()
+    harness.agent(info=worker())
     for number in range(3):
-        bench.head.scheduler.health.ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, 0.0)
-    assert read(head_figures(bench.head))["workers", "alpha", "avoided"] == 1
+        harness.head.scheduler.health.ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, 0.0)
+    assert read(head_figures(harness.head))["workers", "alpha", "avoided"] == 1
 
 
-def test_a_worker_without_its_agent_is_told_apart():
-    bench = Bench()
-    agent = bench.agent(info=worker())
-    bench.head.agent_gone(agent.session)
-    assert read(head_figures(bench.head))["workers", "alpha", "agent_away"] == 1
+def test_worker_without_its_agent_counts_as_agent_away():
+    harness = Bench()
+    agent = harness.agent(info=worker())
+    harness.head.agent_gone(agent.session)
+    assert read(head_figures(harness.head))["workers", "alpha", "agent_away"] == 1
 
 
-def test_a_member_that_is_not_the_head_says_so():
+def test_metrics_of_a_member_that_is_not_the_head():
     assert read(head_figures(None)) == {("is_head",): 0.0}
 
 
 @pytest.mark.parametrize("disk", [True, False])
-def test_a_member_tells_of_view_log_and_disk(disk):
+def test_member_metrics(disk):
     replica = SimpleNamespace(
         view=SimpleNamespace(epoch=7, chain=(1, 2), voters=(1, 2, 3)),
         chain=SimpleNamespace(log=SimpleNamespace(last=(7, 90)), committed=88),
     )
-    stands = SimpleNamespace(size=4096, broken=False, latency_ms=lambda: 12)
-    page = read(member_figures(replica, *((stands, SimpleNamespace(passes=3)) if disk else (None, None))))
+    disk_state = SimpleNamespace(size=4096, broken=False, latency_ms=lambda: 12)
+    page = read(member_figures(replica, *((disk_state, SimpleNamespace(passes=3)) if disk else (None, None))))
     assert (page["view_epoch",], page["chain_members",], page["voters",]) == (7, 2, 3)
     assert (page["log_last_entry",], page["log_committed_entry",]) == (90, 88)
     assert page.get(("disk_sync_seconds",)) == (0.012 if disk else None)
     assert page.get(("disk_scrubs_total",)) == (3 if disk else None)
 
 
-def test_a_dispatcher_counts_its_answers():
+def test_dispatcher_metrics():
     page = read(dispatcher_figures(5, True, False, 2, {200: 9, 503: 1}))
     assert page["requests_total", "200"] == 9 and page["requests_total", "503"] == 1
     assert (page["configuration_version",], page["head_connected",], page["ready",]) == (5, 1, 0)
     assert page["requests_under_way",] == 2
 
 
-def test_an_agent_tells_of_its_lease_and_runs():
+def test_agent_metrics():
     desk = Desk()
     page = read(agent_figures(desk.agent, desk.now))
     assert page["worker_known",] == 0 and page["lease_left_seconds",] == 0
     assert page["runs", "running"] == 0
 
 
-def test_every_figure_is_explained_and_no_other():
+def test_documentation_lists_exactly_the_metrics():
     code = "".join(path.read_text() for path in PROGRAMS.glob("*_figures.py"))
-    told = set(re.findall(r'gauge\("([a-z_]+)"', code)) | set(re.findall(r'Figure\(\s*"([a-z_]+)"', code))
-    told |= {f"{name}_total" for name in re.findall(r'counter\("([a-z_]+)"', code)}
-    told = {"requests_total" if name == "requests" else name for name in told}
+    metrics = set(re.findall(r'gauge\("([a-z_]+)"', code)) | set(re.findall(r'Figure\(\s*"([a-z_]+)"', code))
+    metrics |= {f"{name}_total" for name in re.findall(r'counter\("([a-z_]+)"', code)}
+    metrics = {"requests_total" if name == "requests" else name for name in metrics}
     rows = [row.split("|")[1] for row in section("Metrics").splitlines() if row.startswith("| `")]
-    assert {name for row in rows for name in re.findall(r"`([a-z_]+)`", row)} == told
+    assert {name for row in rows for name in re.findall(r"`([a-z_]+)`", row)} == metrics
 
 
 @pytest.mark.parametrize("program", ["dispatcher", "agent"])
-def test_a_program_imports_nothing_of_the_head_nor_the_library_before_it_is_asked(program):
-    """Each import costs every machine memory and time at its start."""
+def test_programs_do_not_import_the_head_or_the_metrics_library_at_start(program):
+    """Each import costs memory and start-up time on every machine."""
     code = f"import sys, millethead.programs.{program}; print(*sys.modules)"
     loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout.split()
     assert "millethead.web.metrics" in loaded
