--- a/millethead/control/callers.py
+++ b/millethead/control/callers.py
@@ -22,7 +22,7 @@
 from millethead.jobs.state import Job, Outcome, job_bytes
 
 JOB_NAME = re.compile(r"[0-9a-f]{16}")
-MOST_JOBS = 50_000  # in the job table; further jobs are refused until some have been purged
+MAX_JOBS = 50_000  # in the job table; further jobs are refused until some have been purged
 MOST_JOB_BYTES = 64 << 20  # accounted size of all jobs, unless derived from the machine (`control.admission`)
 OVERLOAD_RETRY_AFTER_S = 2
 
@@ -133,7 +133,7 @@
             self._confirmed(reply, _answer(call.number, 400, {"error": "invalid job", "findings": error.findings}))
             return
         job_bytes_after = self._state.jobs.held_bytes + job_bytes(description, call.body)
-        if len(self._state.jobs.jobs) >= MOST_JOBS or job_bytes_after > self._most_job_bytes:
+        if len(self._state.jobs.jobs) >= MAX_JOBS or job_bytes_after > self._most_job_bytes:
             self._confirmed(reply, _error(call.number, 429, "too many jobs", OVERLOAD_RETRY_AFTER_S))
             return
         terms = QueueTerms(
