--- a/millethead/control/callers.py
+++ b/millethead/control/callers.py
@@ -23,7 +23,7 @@
 
 JOB_NAME = re.compile(r"[0-9a-f]{16}")
 MAX_JOBS = 50_000  # in the job table; further jobs are refused until some have been purged
-MOST_JOB_BYTES = 64 << 20  # accounted size of all jobs, unless derived from the machine (`control.admission`)
+MAX_JOB_BYTES = 64 << 20  # accounted size of all jobs, unless derived from the machine (`control.admission`)
 OVERLOAD_RETRY_AFTER_S = 2
 
 Reply = Callable[[Committed[CallAnswer]], None]
@@ -63,7 +63,7 @@
         gate: CommitGate,
         events: CallerEvents,
         wall_ms: Callable[[], int],
-        most_job_bytes: int = MOST_JOB_BYTES,
+        most_job_bytes: int = MAX_JOB_BYTES,
     ) -> None:
         self._state, self._gate, self._events, self._wall_ms = state, gate, events, wall_ms
         self._most_job_bytes = most_job_bytes
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -13,7 +13,7 @@
 
 from millethead.control.agent_watch import AgentWatch
 from millethead.control.agents import LEASE_S, Agents, AgentSession, RunStop
-from millethead.control.callers import MOST_JOB_BYTES, CallerEvents, Callers, Reply
+from millethead.control.callers import MAX_JOB_BYTES, CallerEvents, Callers, Reply
 from millethead.control.calls import (
     CallAnswer,
     CallerHello,
@@ -83,7 +83,7 @@
         random: Random,
         status_s: float,
         far_times: float = FAR_TIMES,
-        most_job_bytes: int = MOST_JOB_BYTES,
+        most_job_bytes: int = MAX_JOB_BYTES,
     ) -> None:
         self.view, self.state, self.clock, self._status_s = view, state, clock, status_s
         self._first_epoch = view.epoch  # this head leads in all epochs from here to that of `view`
