--- a/millethead/control/admission.py
+++ b/millethead/control/admission.py
@@ -15,7 +15,7 @@
 MB = 1 << 20
 
 
-def most_job_bytes(memory_mb: float, disk_mb: float) -> int:
+def max_job_bytes(memory_mb: float, disk_mb: float) -> int:
     """Return the maximum accounted size of all jobs in bytes (compare `JobTable.held_bytes`).
 
     A `disk_mb` of 0 means that the size of the disk is unknown; only the memory limits the jobs then.
--- a/millethead/control/callers.py
+++ b/millethead/control/callers.py
@@ -63,10 +63,10 @@
         gate: CommitGate,
         events: CallerEvents,
         wall_ms: Callable[[], int],
-        most_job_bytes: int = MAX_JOB_BYTES,
+        max_job_bytes: int = MAX_JOB_BYTES,
     ) -> None:
         self._state, self._gate, self._events, self._wall_ms = state, gate, events, wall_ms
-        self._most_job_bytes = most_job_bytes
+        self._most_job_bytes = max_job_bytes
         self._route_table: RouteTable | None = None
         self._route_table_source: object = None
 
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -83,7 +83,7 @@
         random: Random,
         status_s: float,
         far_times: float = FAR_TIMES,
-        most_job_bytes: int = MAX_JOB_BYTES,
+        max_job_bytes: int = MAX_JOB_BYTES,
     ) -> None:
         self.view, self.state, self.clock, self._status_s = view, state, clock, status_s
         self._first_epoch = view.epoch  # this head leads in all epochs from here to that of `view`
@@ -98,7 +98,7 @@
         )
         self.configurations = ConfigurationStream(view.epoch, state.configuration, self.gate)
         events = CallerEvents(self._job_submitted, self._apply_outcome, self._configuration_committed)
-        self._call_handler = Callers(state, self.gate, events, clock.wall_ms, most_job_bytes)
+        self._call_handler = Callers(state, self.gate, events, clock.wall_ms, max_job_bytes)
         self._next_check = clock.now() + CHECK_INTERVAL_S
         self._next_purge = clock.now() + PURGE_S
         self._next_trim = clock.now() + TRIM_S
--- a/millethead/programs/control.py
+++ b/millethead/programs/control.py
@@ -13,7 +13,7 @@
 import structlog
 
 from millethead.configuration.settings import InvalidSettings, ProcessSettings, load_settings
-from millethead.control.admission import MB, most_job_bytes
+from millethead.control.admission import MB, max_job_bytes
 from millethead.control.client import HeadCaller
 from millethead.control.head import Head
 from millethead.control.state import ControlState
@@ -300,7 +300,7 @@
             self._random,
             self._settings.bounds.status_s,
             self._settings.bounds.far_x,
-            most_job_bytes(self._settings.limits.memory_mb, self._settings.limits.disk_mb),
+            max_job_bytes(self._settings.limits.memory_mb, self._settings.limits.disk_mb),
         )
         self._head_tick = 0.0
         self._sessions.begin(self._head)
