--- a/millethead/control/callers.py
+++ b/millethead/control/callers.py
@@ -66,7 +66,7 @@
         max_job_bytes: int = MAX_JOB_BYTES,
     ) -> None:
         self._state, self._gate, self._events, self._wall_ms = state, gate, events, wall_ms
-        self._most_job_bytes = max_job_bytes
+        self._max_job_bytes = max_job_bytes
         self._route_table: RouteTable | None = None
         self._route_table_source: object = None
 
@@ -133,7 +133,7 @@
             self._confirmed(reply, _answer(call.number, 400, {"error": "invalid job", "findings": error.findings}))
             return
         job_bytes_after = self._state.jobs.held_bytes + job_bytes(description, call.body)
-        if len(self._state.jobs.jobs) >= MAX_JOBS or job_bytes_after > self._most_job_bytes:
+        if len(self._state.jobs.jobs) >= MAX_JOBS or job_bytes_after > self._max_job_bytes:
             self._confirmed(reply, _error(call.number, 429, "too many jobs", OVERLOAD_RETRY_AFTER_S))
             return
         terms = QueueTerms(
--- a/tests/test_large_state.py
+++ b/tests/test_large_state.py
@@ -362,7 +362,7 @@
 
 def test_more_than_the_machine_holds_is_refused_with_a_time_to_come_back():
     bench = Bench()
-    bench.head._call_handler._most_job_bytes = bench.state.jobs.held_bytes + 20_000
+    bench.head._call_handler._max_job_bytes = bench.state.jobs.held_bytes + 20_000
     body = job(spec="x" * 4000)
     assert bench.ask("POST", body=body)[0] == 200
     number = bench.call("POST", OTHER, body)
