--- a/millethead/control/admission.py
+++ b/millethead/control/admission.py
@@ -11,7 +11,7 @@
 MEMORY_SHARE = 0.25  # fraction of the process memory available for the accounted size of jobs
 LOG_GROWTH_BYTES = 32 << 20  # largest growth of the log before it is rewritten
 DISK_SHARE = 0.8  # fraction of the remaining disk space available for jobs
-LEAST_BYTES = 4 << 20
+MIN_JOB_BYTES = 4 << 20
 MB = 1 << 20
 
 
@@ -23,4 +23,4 @@
     most = MEMORY_SHARE * memory_mb * MB
     if disk_mb:
         most = min(most, DISK_SHARE * (disk_mb * MB - LOG_GROWTH_BYTES))
-    return max(LEAST_BYTES, int(most))
+    return max(MIN_JOB_BYTES, int(most))
--- a/tests/test_large_state.py
+++ b/tests/test_large_state.py
@@ -10,7 +10,7 @@
 from test_head import NAME, OTHER, Bench, ended, job, task
 from test_replication import HEAD, MIDDLE, TAIL, VIEW, Link, Machine, Ports, Standing
 
-from millethead.control.admission import LEAST_BYTES, MB, max_job_bytes
+from millethead.control.admission import MB, MIN_JOB_BYTES, max_job_bytes
 from millethead.control.housekeeping import PURGE_S, TRIM_S
 from millethead.control.state import ControlState
 from millethead.execution.messages import RunEnd
@@ -357,7 +357,7 @@
     assert max_job_bytes(300, 128) == int(0.25 * 300 * MB)
     assert max_job_bytes(2000, 128) == int(0.8 * 96 * MB), "the disk is the narrower one"
     assert max_job_bytes(300, 0) == int(0.25 * 300 * MB)
-    assert max_job_bytes(1, 1) == LEAST_BYTES
+    assert max_job_bytes(1, 1) == MIN_JOB_BYTES
 
 
 def test_more_than_the_machine_holds_is_refused_with_a_time_to_come_back():
