--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -32,7 +32,7 @@
 from millethead.control.configuration_stream import Caller, ConfigurationStream, StoredConfiguration
 from millethead.control.drains import OK, DrainReason, drain_answer, runs_to_move
 from millethead.control.feeder import Clock, Feeder
-from millethead.control.housekeeping import PURGE_S, TRIM_S, purge_command, trim_command
+from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_S, purge_command, trim_command
 from millethead.control.inspect import inspect
 from millethead.control.rounds import HeadClock, Rounds, moment_of
 from millethead.control.state import ControlState
@@ -100,7 +100,7 @@
         events = CallerEvents(self._job_submitted, self._apply_outcome, self._configuration_committed)
         self._call_handler = Callers(state, self.gate, events, clock.wall_ms, max_job_bytes)
         self._next_check = clock.now() + CHECK_INTERVAL_S
-        self._next_purge = clock.now() + PURGE_S
+        self._next_purge = clock.now() + PURGE_INTERVAL_S
         self._next_trim = clock.now() + TRIM_S
         self._set_queues(self.configurations.current)
         self.feeder.take_over(self._now())
@@ -391,7 +391,7 @@
                 self.rounds.preempt(preemption)
             self.rounds.want()
         if moment.now >= self._next_purge:
-            self._next_purge = moment.now + PURGE_S
+            self._next_purge = moment.now + PURGE_INTERVAL_S
             self._propose_if_any(purge_command(self.state.jobs.jobs.values(), moment.wall_ms, self._status_s))
         if moment.now >= self._next_trim:
             self._next_trim = moment.now + TRIM_S
--- a/tests/test_large_state.py
+++ b/tests/test_large_state.py
@@ -11,7 +11,7 @@
 from test_replication import HEAD, MIDDLE, TAIL, VIEW, Link, Machine, Ports, Standing
 
 from millethead.control.admission import MB, MIN_JOB_BYTES, max_job_bytes
-from millethead.control.housekeeping import PURGE_S, TRIM_S
+from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_S
 from millethead.control.state import ControlState
 from millethead.execution.messages import RunEnd
 from millethead.jobs import snapshot as snapshots
@@ -390,7 +390,7 @@
     copy = ControlState()
     copy.restore(bench.state.snapshot())
     assert copy.jobs.jobs[NAME].phase is JobPhase.DONE and copy.jobs.jobs[NAME].trimmed
-    assert TRIM_S < PURGE_S
+    assert TRIM_S < PURGE_INTERVAL_S
 
 
 def test_a_cancelled_job_keeps_what_its_open_runs_need():
