--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -32,7 +32,7 @@
 from millethead.control.configuration_stream import Caller, ConfigurationStream, StoredConfiguration
 from millethead.control.drains import OK, DrainReason, drain_answer, runs_to_move
 from millethead.control.feeder import Clock, Feeder
-from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_S, purge_command, trim_command
+from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_INTERVAL_S, purge_command, trim_command
 from millethead.control.inspect import inspect
 from millethead.control.rounds import HeadClock, Rounds, moment_of
 from millethead.control.state import ControlState
@@ -101,7 +101,7 @@
         self._call_handler = Callers(state, self.gate, events, clock.wall_ms, max_job_bytes)
         self._next_check = clock.now() + CHECK_INTERVAL_S
         self._next_purge = clock.now() + PURGE_INTERVAL_S
-        self._next_trim = clock.now() + TRIM_S
+        self._next_trim = clock.now() + TRIM_INTERVAL_S
         self._set_queues(self.configurations.current)
         self.feeder.take_over(self._now())
         self.rounds.want()
@@ -394,7 +394,7 @@
             self._next_purge = moment.now + PURGE_INTERVAL_S
             self._propose_if_any(purge_command(self.state.jobs.jobs.values(), moment.wall_ms, self._status_s))
         if moment.now >= self._next_trim:
-            self._next_trim = moment.now + TRIM_S
+            self._next_trim = moment.now + TRIM_INTERVAL_S
             self._propose_if_any(trim_command(self.state.jobs.jobs.values()))
         next_periodic = min(self._next_check, self._next_purge, self._next_trim, self._watch.next_look)
         return min(self.feeder.next_wake(moment), next_periodic, self.rounds.next_look)
--- a/millethead/control/housekeeping.py
+++ b/millethead/control/housekeeping.py
@@ -9,7 +9,7 @@
 from millethead.jobs.state import Job
 
 PURGE_INTERVAL_S = 20.0  # between two purges
-TRIM_S = 5.0  # between two trims
+TRIM_INTERVAL_S = 5.0  # between two trims
 KEEP_MORE_S = 60.0  # added to the retention period of ended jobs, because the time of day may jump
 MAX_JOBS_PER_COMMAND = 1000
 
--- a/tests/test_large_state.py
+++ b/tests/test_large_state.py
@@ -11,7 +11,7 @@
 from test_replication import HEAD, MIDDLE, TAIL, VIEW, Link, Machine, Ports, Standing
 
 from millethead.control.admission import MB, MIN_JOB_BYTES, max_job_bytes
-from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_S
+from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_INTERVAL_S
 from millethead.control.state import ControlState
 from millethead.execution.messages import RunEnd
 from millethead.jobs import snapshot as snapshots
@@ -371,7 +371,7 @@
     assert answer.status == 429 and answer.retry_after_s > 0
     assert bench.ask("POST", body=body)[0] == 200, "the same job again is the job that was taken"
     assert bench.ask("DELETE")[0] == 200
-    bench.pass_time(TRIM_S + 1)
+    bench.pass_time(TRIM_INTERVAL_S + 1)
     assert bench.ask("POST", OTHER, body)[0] == 200, "one that has ended holds no room"
 
 
@@ -381,7 +381,7 @@
     assert bench.ask("POST", body=job(spec="secret" * 100))[0] == 200
     agent.report(ended(task(), 1, RunEnd.DONE))
     bench.settle()
-    bench.pass_time(TRIM_S + 1)
+    bench.pass_time(TRIM_INTERVAL_S + 1)
     kept = bench.state.jobs.jobs[NAME]
     assert kept.trimmed and kept.phase is JobPhase.DONE and not kept.times
     assert b"secret" not in bench.state.snapshot()
@@ -390,7 +390,7 @@
     copy = ControlState()
     copy.restore(bench.state.snapshot())
     assert copy.jobs.jobs[NAME].phase is JobPhase.DONE and copy.jobs.jobs[NAME].trimmed
-    assert TRIM_S < PURGE_INTERVAL_S
+    assert TRIM_INTERVAL_S < PURGE_INTERVAL_S
 
 
 def test_a_cancelled_job_keeps_what_its_open_runs_need():
@@ -398,5 +398,5 @@
     bench.agent()
     assert bench.ask("POST", body=job())[0] == 200
     assert bench.ask("DELETE")[0] == 200
-    bench.pass_time(TRIM_S + 1)
+    bench.pass_time(TRIM_INTERVAL_S + 1)
     assert not bench.state.jobs.jobs[NAME].trimmed, "its run has not ended"
