--- a/millethead/control/housekeeping.py
+++ b/millethead/control/housekeeping.py
@@ -10,13 +10,13 @@
 
 PURGE_INTERVAL_S = 20.0  # between two purges
 TRIM_INTERVAL_S = 5.0  # between two trims
-KEEP_MORE_S = 60.0  # added to the retention period of ended jobs, because the time of day may jump
+RETENTION_MARGIN_S = 60.0  # added to the retention period of ended jobs, because the time of day may jump
 MAX_JOBS_PER_COMMAND = 1000
 
 
 def purge_command(jobs: Iterable[Job], wall_ms: int, status_s: float) -> PurgeJobs | None:
     """Return the command that purges jobs whose retention period is over; None if there are none."""
-    ended_before_ms = wall_ms - int((status_s + KEEP_MORE_S) * 1000)
+    ended_before_ms = wall_ms - int((status_s + RETENTION_MARGIN_S) * 1000)
     names = (job.name for job in jobs if _has_ended(job) and job.ended_ms < ended_before_ms)
     found = tuple(islice(names, MAX_JOBS_PER_COMMAND))
     return PurgeJobs(found) if found else None
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -28,7 +28,7 @@
 from millethead.control.configuration_stream import Caller
 from millethead.control.feeder import Clock, Feeder
 from millethead.control.head import Head
-from millethead.control.housekeeping import KEEP_MORE_S, PURGE_INTERVAL_S
+from millethead.control.housekeeping import PURGE_INTERVAL_S, RETENTION_MARGIN_S
 from millethead.control.rounds import ROUND_GAP_S
 from millethead.control.state import ControlState
 from millethead.execution.messages import (
@@ -1149,7 +1149,7 @@
     harness.settle()
     harness.pass_time(STATUS_S, 1.0)
     assert harness.ask("GET") == (200, {"state": "done"})
-    harness.pass_time(KEEP_MORE_S + PURGE_INTERVAL_S + 1.0, 1.0)
+    harness.pass_time(RETENTION_MARGIN_S + PURGE_INTERVAL_S + 1.0, 1.0)
     assert harness.ask("GET")[0] == 410
     assert not harness.state.jobs.jobs
 
