--- a/millethead/control/rounds.py
+++ b/millethead/control/rounds.py
@@ -18,7 +18,7 @@
 from millethead.scheduling.model import PendingTask, Placement, Preemption
 from millethead.scheduling.scheduler import Scheduler
 
-ROUND_GAP_S = 0.01  # least time between two scheduling passes
+MIN_PASS_INTERVAL_S = 0.01  # least time between two scheduling passes
 
 
 class HeadClock(Protocol):
@@ -89,7 +89,7 @@
             self.preempt(preemption)
         placements = self._startable(decision.placements)
         if not placements:
-            self._clock.later(ROUND_GAP_S, self._finish_pass)
+            self._clock.later(MIN_PASS_INTERVAL_S, self._finish_pass)
             return
         assignments = self._feeder.assignments(placements, self._agents.workers)
         self.gate.propose(AssignRuns(assignments, self._clock.wall_ms()))
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -29,7 +29,7 @@
 from millethead.control.feeder import Clock, Feeder
 from millethead.control.head import Head
 from millethead.control.housekeeping import PURGE_INTERVAL_S, RETENTION_MARGIN_S
-from millethead.control.rounds import ROUND_GAP_S
+from millethead.control.rounds import MIN_PASS_INTERVAL_S
 from millethead.control.state import ControlState
 from millethead.execution.messages import (
     AgentHello,
@@ -213,7 +213,7 @@
             while self.clock.run():
                 self.commit()
             self.commit()
-            self.clock.at += ROUND_GAP_S
+            self.clock.at += MIN_PASS_INTERVAL_S
 
     def pass_time(self, seconds: float, step_s: float = 0.25) -> None:
         """Advance the clock in steps, with a tick of the head after each."""
