--- a/millethead/control/silence.py
+++ b/millethead/control/silence.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterator
 
-SILENT_S = 0.35  # time without a response since the first order that was not answered
+RESPONSE_TIMEOUT_S = 0.35  # time without a response since the first order that was not answered
 STALL_S = 0.2  # a longer time between two checks means that the head itself may have been stalled
 
 
@@ -60,6 +60,6 @@
 
     def _due(self, now: float) -> Iterator[str]:
         for node, since in self._pending_since.items():
-            if now < since + SILENT_S:
+            if now < since + RESPONSE_TIMEOUT_S:
                 return
             yield node
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -4,7 +4,7 @@
 
 from test_head import OTHER, Agent, Bench, ended, job, task, worker
 
-from millethead.control.silence import SILENT_S, STALL_S, Silences
+from millethead.control.silence import RESPONSE_TIMEOUT_S, STALL_S, Silences
 from millethead.execution.messages import LeaseRequest, RunEnd
 
 STEP_S = 0.1
@@ -48,9 +48,9 @@
     silences = Silences(0.0)
     silences.await_word("n", 0.0)
     silences.await_word("n", 0.3)  # the time of the first order counts
-    assert check_until(silences, 0.0, SILENT_S) == []
-    assert silences.look(SILENT_S + 0.01) == ["n"] and silences.is_silent("n")
-    assert silences.look(SILENT_S + 0.05) == []  # reported once
+    assert check_until(silences, 0.0, RESPONSE_TIMEOUT_S) == []
+    assert silences.look(RESPONSE_TIMEOUT_S + 0.01) == ["n"] and silences.is_silent("n")
+    assert silences.look(RESPONSE_TIMEOUT_S + 0.05) == []  # reported once
     assert silences.heard("n") and not silences.is_silent("n")
 
 
@@ -65,8 +65,8 @@
     silences = Silences(0.0)
     silences.await_word("n", 0.0)
     assert silences.look(STALL_S + 3.0) == []
-    assert check_until(silences, STALL_S + 3.0, STALL_S + 3.0 + SILENT_S) == []
-    assert silences.look(STALL_S + 3.0 + SILENT_S + 0.02) == ["n"]
+    assert check_until(silences, STALL_S + 3.0, STALL_S + 3.0 + RESPONSE_TIMEOUT_S) == []
+    assert silences.look(STALL_S + 3.0 + RESPONSE_TIMEOUT_S + 0.02) == ["n"]
 
 
 def test_run_of_an_unresponsive_agent_stays_while_its_lease_is_valid() -> None:
@@ -89,7 +89,7 @@
     assert not agent.orders()
     agent.report(ended(task(), 1, RunEnd.NEVER))
     harness.settle()
-    pass_time(harness, SILENT_S + 3 * STEP_S)
+    pass_time(harness, RESPONSE_TIMEOUT_S + 3 * STEP_S)
     harness.ask("POST", OTHER, job())
     assert agent.orders() == [f"{task(name=OTHER)}#1"]
 
@@ -108,7 +108,7 @@
 def test_unresponsive_agent_gets_no_new_runs_until_it_responds() -> None:
     harness, first, second = two_agents()
     assigned, other = run_on_first(harness, first, second)
-    pass_time(harness, SILENT_S + 3 * STEP_S, other)
+    pass_time(harness, RESPONSE_TIMEOUT_S + 3 * STEP_S, other)
     harness.ask("POST", OTHER, job({"count": 4}))
     assert len(other.orders()) == 4 and not assigned.orders()
     assigned.report(ended(task(), 1, RunEnd.DONE), instance="i-1" if assigned is first else "i-2")
