--- a/millethead/control/silence.py
+++ b/millethead/control/silence.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 
 RESPONSE_TIMEOUT_S = 0.35  # time without a response since the first order that was not answered
-STALL_S = 0.2  # a longer time between two checks means that the head itself may have been stalled
+STALL_THRESHOLD_S = 0.2  # a longer time between two checks means that the head itself may have been stalled
 
 
 class Silences:
@@ -47,7 +47,7 @@
         If the head itself was stalled since the last check, all nodes get more time, because their responses may not
         have been read yet.
         """
-        stalled = now - self._checked_at > STALL_S
+        stalled = now - self._checked_at > STALL_THRESHOLD_S
         self._checked_at = now
         if stalled:
             self._pending_since = dict.fromkeys(self._pending_since, now)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -4,7 +4,7 @@
 
 from test_head import OTHER, Agent, Bench, ended, job, task, worker
 
-from millethead.control.silence import RESPONSE_TIMEOUT_S, STALL_S, Silences
+from millethead.control.silence import RESPONSE_TIMEOUT_S, STALL_THRESHOLD_S, Silences
 from millethead.execution.messages import LeaseRequest, RunEnd
 
 STEP_S = 0.1
@@ -64,9 +64,9 @@
 def test_stall_of_the_head_extends_all_deadlines() -> None:
     silences = Silences(0.0)
     silences.await_word("n", 0.0)
-    assert silences.look(STALL_S + 3.0) == []
-    assert check_until(silences, STALL_S + 3.0, STALL_S + 3.0 + RESPONSE_TIMEOUT_S) == []
-    assert silences.look(STALL_S + 3.0 + RESPONSE_TIMEOUT_S + 0.02) == ["n"]
+    assert silences.look(STALL_THRESHOLD_S + 3.0) == []
+    assert check_until(silences, STALL_THRESHOLD_S + 3.0, STALL_THRESHOLD_S + 3.0 + RESPONSE_TIMEOUT_S) == []
+    assert silences.look(STALL_THRESHOLD_S + 3.0 + RESPONSE_TIMEOUT_S + 0.02) == ["n"]
 
 
 def test_run_of_an_unresponsive_agent_stays_while_its_lease_is_valid() -> None:
