--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -352,7 +352,7 @@
             task = self.state.jobs.task(run) if run is not None else None
             if run is None or task is None or not task.open or task.run != run.run:
                 continue
-            self.scheduler.progress(run_key(run), run.index, task.instance, entry.percent, self.clock.now())
+            self.scheduler.progress(step_key(run), run.index, task.instance, entry.percent, self.clock.now())
             if entry.saved and entry.saved != task.saved:
                 saved.append(SavedRun(run, entry.saved, min(entry.percent, 100)))
         if saved:
@@ -404,6 +404,6 @@
             self.gate.propose(command)
 
 
-def run_key(run: TaskRun) -> StepKey:
+def step_key(run: TaskRun) -> StepKey:
     """Return the scheduler's key for the step of a run."""
     return StepKey(run.job, run.time, run.step)
