--- a/millethead/control/drains.py
+++ b/millethead/control/drains.py
@@ -42,7 +42,7 @@
     runs: int
 
 
-def runs_to_move(jobs: JobTable, info: WorkerInfo, reason: DrainReason) -> Iterator[TaskRun]:
+def runs_to_evacuate(jobs: JobTable, info: WorkerInfo, reason: DrainReason) -> Iterator[TaskRun]:
     """Yield the open runs of a worker that must continue on another worker.
 
     The consumer may stop each run as soon as it is yielded.
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -30,7 +30,7 @@
 )
 from millethead.control.commit import ChainHead, CommitGate, Committed, CommittedLink, HeadLink, each, of_view
 from millethead.control.configuration_stream import Caller, ConfigurationStream, StoredConfiguration
-from millethead.control.drains import OK, DrainReason, drain_answer, runs_to_move
+from millethead.control.drains import OK, DrainReason, drain_answer, runs_to_evacuate
 from millethead.control.feeder import Clock, Feeder
 from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_INTERVAL_S, purge_command, trim_command
 from millethead.control.inspect import inspect
@@ -303,7 +303,7 @@
         """Stop the runs that must continue elsewhere, on a worker that shuts down or whose node is drained."""
         reason = DrainReason.SHUTDOWN if info.draining else DrainReason.OPERATOR if node in self.state.drained else None
         if reason is not None:
-            for run in runs_to_move(self.state.jobs, info, reason):
+            for run in runs_to_evacuate(self.state.jobs, info, reason):
                 self._stop_run(run)
 
     def _forget_worker(self, instance: str) -> None:
