--- a/millethead/control/commit.py
+++ b/millethead/control/commit.py
@@ -44,7 +44,7 @@
     return [Committed(value, released.sequence) for value in released.value]
 
 
-def of_view(record: CallerWelcome | CallerPong) -> Committed[Record]:
+def from_view(record: CallerWelcome | CallerPong) -> Committed[Record]:
     """Wrap a record that depends on the agreed view only and on no log entry."""
     return Committed(record, 0)
 
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -28,7 +28,7 @@
     InspectCall,
     JobCall,
 )
-from millethead.control.commit import ChainHead, CommitGate, Committed, CommittedLink, HeadLink, each, of_view
+from millethead.control.commit import ChainHead, CommitGate, Committed, CommittedLink, HeadLink, each, from_view
 from millethead.control.configuration_stream import Caller, ConfigurationStream, StoredConfiguration
 from millethead.control.drains import OK, DrainReason, drain_answer, runs_to_evacuate
 from millethead.control.feeder import Clock, Feeder
@@ -115,7 +115,7 @@
         self.gate.leads_on()
         self.configurations.leads_on(view.epoch)
         for caller in self.configurations.callers:  # a caller may know the view already and have sent calls in it
-            caller.link.send(of_view(CallerWelcome(view, True)))
+            caller.link.send(from_view(CallerWelcome(view, True)))
 
     def close(self) -> None:
         """End the epoch: pending calls are not answered any more."""
@@ -126,7 +126,7 @@
     def caller_hello(self, link: HeadLink, hello: CallerHello) -> Caller:
         """Open the session of a caller, a program that sends the calls of clients or of the operator."""
         committed_link = CommittedLink(link, self._chain)
-        committed_link.send(of_view(CallerWelcome(self.view, True)))
+        committed_link.send(from_view(CallerWelcome(self.view, True)))
         return self.configurations.join(committed_link, hello)
 
     def caller_record(self, caller: Caller, record: Record) -> None:
@@ -139,7 +139,7 @@
                 self.configurations.acknowledged(caller, record)
             case CallerPing(epoch=epoch, serving=serving):
                 current = epoch == self.view.epoch and serving
-                caller.link.send(of_view(CallerPong() if current else CallerWelcome(self.view, True)))
+                caller.link.send(from_view(CallerPong() if current else CallerWelcome(self.view, True)))
 
     def call(self, caller: Caller, record: Record, epoch: int | None = None) -> None:
         """Handle a call that was sent to this head in `epoch`, or in the present epoch if that is None.
