--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -28,7 +28,15 @@
     InspectCall,
     JobCall,
 )
-from millethead.control.commit import ChainHead, CommitGate, Committed, CommittedLink, HeadLink, each, from_view
+from millethead.control.commit import (
+    ChainHead,
+    CommitGate,
+    Committed,
+    CommittedLink,
+    HeadLink,
+    from_view,
+    split_committed,
+)
 from millethead.control.configuration_stream import Caller, ConfigurationStream, StoredConfiguration
 from millethead.control.drains import OK, DrainReason, drain_answer, runs_to_evacuate
 from millethead.control.feeder import Clock, Feeder
@@ -234,7 +242,7 @@
         if self.agents.sessions.get(session.node) is not session:
             return
         session.link.send(desired.derive(lambda _: AgentWelcome(self.view.epoch)))
-        for whole in each(desired):
+        for whole in split_committed(desired):
             self.agents.send_whole(session, whole)
 
     def agent_record(self, session: AgentSession, record: Record) -> None:
--- a/millethead/control/rounds.py
+++ b/millethead/control/rounds.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from millethead.control.agents import Agents, WorkerOrders
-from millethead.control.commit import CommitGate, Committed, each
+from millethead.control.commit import CommitGate, Committed, split_committed
 from millethead.control.feeder import Clock, Feeder
 from millethead.execution.messages import RunEnd, RunOrder
 from millethead.jobs.commands import Assignment, AssignRuns, TaskRun
@@ -114,7 +114,7 @@
             self._scheduler.task_waits(placement.key, PendingTask(placement.index, placement.checkpoint, now), now)
 
     def _orders(self, assignments: tuple[Assignment, ...]) -> tuple[WorkerOrders, ...]:
-        """Return the orders for each worker, to be sent once the assignments are committed."""
+        """Return the orders for split_committed worker, to be sent once the assignments are committed."""
         by_worker: dict[tuple[str, str], list[RunOrder]] = {}
         for assignment in assignments:
             task = self._jobs.task(assignment.run)
@@ -124,7 +124,7 @@
         return tuple(WorkerOrders(node, instance, tuple(orders)) for (node, instance), orders in by_worker.items())
 
     def _send_committed(self, released: Committed[tuple[WorkerOrders, ...]]) -> None:
-        for orders in each(released):
+        for orders in split_committed(released):
             if self._agents.send_orders(orders):
                 self._agents.silences.await_word(orders.value.node, self._clock.now())
         self._finish_pass()
