--- a/millethead/control/commit.py
+++ b/millethead/control/commit.py
@@ -39,7 +39,7 @@
         return Committed(make(self.value), self.sequence)
 
 
-def each(released: Committed[tuple[T, ...]]) -> list[Committed[T]]:
+def split_committed(released: Committed[tuple[T, ...]]) -> list[Committed[T]]:
     """Split a committed tuple into its committed elements."""
     return [Committed(value, released.sequence) for value in released.value]
 
