--- a/millethead/control/callers.py
+++ b/millethead/control/callers.py
@@ -15,7 +15,7 @@
 from millethead.configuration.routing import RouteTable
 from millethead.control.calls import CallAnswer, ConfigurationCall, JobCall
 from millethead.control.commit import CommitGate, Committed
-from millethead.control.configuration_stream import StoredConfiguration, stored
+from millethead.control.configuration_stream import StoredConfiguration, stored_configuration
 from millethead.control.state import ControlState, order_of
 from millethead.jobs.commands import CancelJob, ChangeConfiguration, QueueTerms, RefuseOrder, SubmitJob
 from millethead.jobs.description import InvalidJob, read_job
@@ -204,7 +204,7 @@
             reply(released.derive(lambda accepted: _answer(number, 200, {"version": accepted.version})))
             self._events.configured(released)
 
-        self._gate.after_commit(stored(self._state.configuration), committed)
+        self._gate.after_commit(stored_configuration(self._state.configuration), committed)
 
     def _configuration_document(self, call: ConfigurationCall, reply: Reply) -> None:
         document = self._state.configuration.document
--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -82,7 +82,7 @@
         return self.configuration.version if self.configuration is not None else 0
 
 
-def stored(state: ConfigurationState) -> StoredConfiguration:
+def stored_configuration(state: ConfigurationState) -> StoredConfiguration:
     """Return the newest applied configuration, which may not be committed yet."""
     return StoredConfiguration(state.place, state.document, state.configuration)
 
@@ -97,7 +97,7 @@
     def __init__(self, epoch: int, state: ConfigurationState, gate: CommitGate) -> None:
         self._epoch, self._state, self._gate = epoch, state, gate
         self.callers: list[Caller] = []
-        self.current: StoredConfiguration = stored(state)
+        self.current: StoredConfiguration = stored_configuration(state)
 
     def leads_on(self, epoch: int) -> None:
         """Continue as the head in another view.
@@ -123,7 +123,7 @@
         self._gate.confirm_newest(self._newest, lambda newest: self._start(caller, newest))
 
     def _newest(self) -> StoredConfiguration:
-        return stored(self._state)
+        return stored_configuration(self._state)
 
     def leave(self, caller: Caller) -> None:
         """Remove the session of a caller."""
