--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -42,7 +42,7 @@
 from millethead.control.feeder import Clock, Feeder
 from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_INTERVAL_S, purge_command, trim_command
 from millethead.control.inspect import inspect
-from millethead.control.rounds import HeadClock, Rounds, moment_of
+from millethead.control.rounds import HeadClock, Rounds, read_clocks
 from millethead.control.state import ControlState
 from millethead.execution.messages import (
     AgentHello,
@@ -115,7 +115,7 @@
         self.rounds.want()
 
     def _now(self) -> Clock:
-        return moment_of(self.clock)
+        return read_clocks(self.clock)
 
     def leads_on(self, view: View) -> None:
         """Continue as the head in the next view, keeping sessions, leases, call numbers and pending callbacks."""
--- a/millethead/control/rounds.py
+++ b/millethead/control/rounds.py
@@ -33,7 +33,7 @@
     def later(self, delay_s: float, call: Callable[[], None]) -> None: ...
 
 
-def moment_of(clock: HeadClock) -> Clock:
+def read_clocks(clock: HeadClock) -> Clock:
     """Read both clocks."""
     return Clock(clock.now(), clock.wall_ms())
 
@@ -93,7 +93,7 @@
             return
         assignments = self._feeder.assignments(placements, self._agents.workers)
         self.gate.propose(AssignRuns(assignments, self._clock.wall_ms()))
-        self._feeder.runs_opened(assignments, moment_of(self._clock))
+        self._feeder.runs_opened(assignments, read_clocks(self._clock))
         self.gate.after_commit(self._orders(assignments), self._send_committed)
 
     def _startable(self, placements: Sequence[Placement]) -> list[Placement]:
