--- a/millethead/control/callers.py
+++ b/millethead/control/callers.py
@@ -16,7 +16,7 @@
 from millethead.control.calls import CallAnswer, ConfigurationCall, JobCall
 from millethead.control.commit import CommitGate, Committed
 from millethead.control.configuration_stream import StoredConfiguration, stored_configuration
-from millethead.control.state import ControlState, order_of
+from millethead.control.state import ControlState, configuration_order
 from millethead.jobs.commands import CancelJob, ChangeConfiguration, QueueTerms, RefuseOrder, SubmitJob
 from millethead.jobs.description import InvalidJob, read_job
 from millethead.jobs.state import Job, Outcome, job_bytes
@@ -176,7 +176,7 @@
             self._configuration_document(call, reply)
             return
         command = ChangeConfiguration(call.method == "PATCH", call.if_match, call.body)
-        order = order_of(command)
+        order = configuration_order(command)
         decision = self._state.configuration.decide(order)
         version = self._state.configuration.version
         match decision.verdict:
--- a/millethead/control/state.py
+++ b/millethead/control/state.py
@@ -50,7 +50,7 @@
         return StateSnapshot(old_format.configuration, old_format.jobs, ())
 
 
-def order_of(command: ChangeConfiguration) -> Order:
+def configuration_order(command: ChangeConfiguration) -> Order:
     """Return the operator's order that a command contains."""
     return Order(Method.PATCH if command.patch else Method.PUT, command.if_match, command.body)
 
@@ -98,7 +98,7 @@
         raise ValueError(f"{type(command).__name__} is not a command")
 
     def _change(self, command: ChangeConfiguration, place: LogPlace) -> Decision:
-        order = order_of(command)
+        order = configuration_order(command)
         decision = self.configuration.decide(order)
         if decision.verdict is Verdict.ACCEPTED:
             self.configuration.accept(order, decision, place)
--- a/millethead/lab/core_clients.py
+++ b/millethead/lab/core_clients.py
@@ -12,7 +12,7 @@
 
 from millethead.control.calls import CallAnswer, CallerHello, ConfigurationCall, ConfigurationUpdate, JobCall
 from millethead.control.configuration_stream import Caller, HeldConfiguration
-from millethead.control.state import order_of
+from millethead.control.state import configuration_order
 from millethead.jobs.commands import ChangeConfiguration
 from millethead.lab.core_calls import DELAY_S, Call, CallContext, Judge
 from millethead.lab.core_machine import CoreProcess
@@ -106,7 +106,7 @@
 
     def _judge(self, command: ChangeConfiguration) -> Judge:
         oracle = self._context.oracle
-        before = order_of(command).digest() in oracle.acknowledged_orders
+        before = configuration_order(command).digest() in oracle.acknowledged_orders
         return lambda answer: oracle.order_answered(command, answer.status, before)
 
     def order(self, command: ChangeConfiguration) -> None:
--- a/millethead/lab/core_oracle.py
+++ b/millethead/lab/core_oracle.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from millethead.configuration.change import Verdict
-from millethead.control.state import ControlState, order_of
+from millethead.control.state import ControlState, configuration_order
 from millethead.jobs.commands import ChangeConfiguration, SubmitJob
 from millethead.jobs.state import JobPhase
 from millethead.lab.core_machine import CoreProcess
@@ -120,7 +120,7 @@
         self.streamed.committed(self.reference.configuration)
         command = decode_any(payload) if payload else None
         if isinstance(command, ChangeConfiguration):
-            digest = order_of(command).digest()
+            digest = configuration_order(command).digest()
             if getattr(result, "verdict", None) is Verdict.ACCEPTED and digest in self.refused_orders:
                 raise Violation("an order that was refused is in force")
         elif isinstance(command, SubmitJob) and command.job not in self.reference.jobs.jobs:
@@ -136,11 +136,11 @@
 
     def in_force(self, command: ChangeConfiguration) -> bool:
         """Whether an order has taken effect at some time."""
-        return order_of(command).digest() in self.reference.configuration._accepted
+        return configuration_order(command).digest() in self.reference.configuration._accepted
 
     def order_answered(self, command: ChangeConfiguration, status: int, known_acknowledged: bool) -> None:
         """`known_acknowledged`: it had been acknowledged when this call was made."""
-        digest = order_of(command).digest()
+        digest = configuration_order(command).digest()
         if status == OK:
             if not self.in_force(command):
                 raise Violation("an order is acknowledged that is not committed")
