--- a/millethead/control/state.py
+++ b/millethead/control/state.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FirstStateSnapshot(Record):
+class StateSnapshotV1(Record):
     """Snapshot format from before nodes could be drained; such snapshots may still be on disks."""
 
     configuration: bytes
@@ -46,7 +46,7 @@
     try:
         return decode(StateSnapshot, payload)
     except CodecError:
-        old_format = decode(FirstStateSnapshot, payload)
+        old_format = decode(StateSnapshotV1, payload)
         return StateSnapshot(old_format.configuration, old_format.jobs, ())
 
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -11,7 +11,7 @@
 
 from millethead.control.calls import CallAnswer, DrainCall
 from millethead.control.drains import DrainReport
-from millethead.control.state import ControlState, FirstStateSnapshot
+from millethead.control.state import ControlState, StateSnapshotV1
 from millethead.execution.messages import RunEnd, WorkerUpdate
 from millethead.jobs import drained
 from millethead.jobs.commands import DrainNode
@@ -146,7 +146,7 @@
 def test_snapshot_of_the_first_format_is_restored():
     harness = Bench()
     harness.ask("POST", NAME, job())
-    first = FirstStateSnapshot(harness.state.configuration.encode(), encode_table(harness.state.jobs))
+    first = StateSnapshotV1(harness.state.configuration.encode(), encode_table(harness.state.jobs))
     copy = ControlState()
     copy.restore(encode(first))
     assert copy.snapshot() == harness.state.snapshot()
