--- a/millethead/control/callers.py
+++ b/millethead/control/callers.py
@@ -54,7 +54,7 @@
     return _answer(number, 412, {"error": "another version is in place", "version": version})
 
 
-class Callers:
+class CallHandler:
     """Answers calls from the replicated state."""
 
     def __init__(
--- a/millethead/lab/core_machine.py
+++ b/millethead/lab/core_machine.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Protocol
 
-from millethead.control.callers import CallerEvents, Callers
+from millethead.control.callers import CallerEvents, CallHandler
 from millethead.control.calls import CallAnswer, CallerHello, ConfigurationCall, JobCall
 from millethead.control.commit import CommitGate, CommittedLink, HeadLink
 from millethead.control.configuration_stream import Caller, ConfigurationStream
@@ -152,7 +152,7 @@
         self.state = ControlState()
         self.replica: Replica | None = None
         self.gate: CommitGate | None = None
-        self.callers: Callers | None = None
+        self.callers: CallHandler | None = None
         self.stream: ConfigurationStream | None = None
         self._links: dict[LinkEnd, None] = {}
         self._maintenance: DiskMaintenance | None = None
@@ -409,7 +409,7 @@
         self.gate = CommitGate(self._running().chain, self.soon)
         self.stream = ConfigurationStream(epoch, self.state.configuration, self.gate)
         events = CallerEvents(lambda job: None, lambda outcome: None, self.stream.publish)
-        self.callers = Callers(self.state, self.gate, events, self.wall_ms)
+        self.callers = CallHandler(self.state, self.gate, events, self.wall_ms)
         self._around.watcher.head_began(self)
         self._welcome_agents()
 
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -11,7 +11,7 @@
 import pytest
 
 from millethead.control.agents import Agents, AgentSession, WorkerOrders
-from millethead.control.callers import Callers
+from millethead.control.callers import CallHandler
 from millethead.control.commit import CommitGate, Committed
 from millethead.control.feeder import Feeder
 from millethead.control.head import Head
@@ -214,7 +214,7 @@
 
 def shown_before_commit(patch: Patch) -> None:
     """States are shown before they are committed."""
-    patch.setattr(Callers, "_confirmed", lambda callers, reply, answer: reply(Committed(answer, 0)))
+    patch.setattr(CallHandler, "_confirmed", lambda callers, reply, answer: reply(Committed(answer, 0)))
 
 
 def taken_before_commit(patch: Patch) -> None:
