--- a/millethead/control/callers.py
+++ b/millethead/control/callers.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerEvents:
+class StateChangeCallbacks:
     """Callbacks for state changes that result from a call.
 
     `submitted` and `configured` are called after the commit. `ended` is called immediately, so that no further task of
@@ -61,7 +61,7 @@
         self,
         state: ControlState,
         gate: CommitGate,
-        events: CallerEvents,
+        events: StateChangeCallbacks,
         wall_ms: Callable[[], int],
         max_job_bytes: int = MAX_JOB_BYTES,
     ) -> None:
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -13,7 +13,7 @@
 
 from millethead.control.agent_watch import AgentWatch
 from millethead.control.agents import LEASE_S, Agents, AgentSession, RunStop
-from millethead.control.callers import MAX_JOB_BYTES, CallerEvents, CallHandler, Reply
+from millethead.control.callers import MAX_JOB_BYTES, CallHandler, Reply, StateChangeCallbacks
 from millethead.control.calls import (
     CallAnswer,
     CallerHello,
@@ -105,7 +105,7 @@
             state.jobs, self.agents, self.scheduler, self._end_runs, self._forget_worker, clock.now()
         )
         self.configurations = ConfigurationStream(view.epoch, state.configuration, self.gate)
-        events = CallerEvents(self._job_submitted, self._apply_outcome, self._configuration_committed)
+        events = StateChangeCallbacks(self._job_submitted, self._apply_outcome, self._configuration_committed)
         self._call_handler = CallHandler(state, self.gate, events, clock.wall_ms, max_job_bytes)
         self._next_check = clock.now() + CHECK_INTERVAL_S
         self._next_purge = clock.now() + PURGE_INTERVAL_S
--- a/millethead/lab/core_machine.py
+++ b/millethead/lab/core_machine.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Protocol
 
-from millethead.control.callers import CallerEvents, CallHandler
+from millethead.control.callers import CallHandler, StateChangeCallbacks
 from millethead.control.calls import CallAnswer, CallerHello, ConfigurationCall, JobCall
 from millethead.control.commit import CommitGate, CommittedLink, HeadLink
 from millethead.control.configuration_stream import Caller, ConfigurationStream
@@ -408,7 +408,7 @@
     def serving(self, epoch: int) -> None:
         self.gate = CommitGate(self._running().chain, self.soon)
         self.stream = ConfigurationStream(epoch, self.state.configuration, self.gate)
-        events = CallerEvents(lambda job: None, lambda outcome: None, self.stream.publish)
+        events = StateChangeCallbacks(lambda job: None, lambda outcome: None, self.stream.publish)
         self.callers = CallHandler(self.state, self.gate, events, self.wall_ms)
         self._around.watcher.head_began(self)
         self._welcome_agents()
