--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Caller:
+class CallerSession:
     """Session of a caller, a program that sends the calls of clients or of the operator.
 
     `configuration` and `place` are the version and the log position of the configuration in force at the caller. `sent`
@@ -96,7 +96,7 @@
 
     def __init__(self, epoch: int, state: ConfigurationState, gate: CommitGate) -> None:
         self._epoch, self._state, self._gate = epoch, state, gate
-        self.callers: list[Caller] = []
+        self.callers: list[CallerSession] = []
         self.current: StoredConfiguration = stored_configuration(state)
 
     def leads_on(self, epoch: int) -> None:
@@ -111,26 +111,26 @@
                 caller.sent = NO_PLACE
                 self._send_newest(caller)
 
-    def join(self, link: CommittedLink, hello: CallerHello) -> Caller:
+    def join(self, link: CommittedLink, hello: CallerHello) -> CallerSession:
         """Open the session of a caller and send it the newest configuration, unless that is in force there already."""
-        caller = Caller(hello.node, link, hello.wants_configuration, hello.configuration, hello.place)
+        caller = CallerSession(hello.node, link, hello.wants_configuration, hello.configuration, hello.place)
         self.callers.append(caller)
         if caller.wants_configuration and hello.place != self._state.place:
             self._send_newest(caller)
         return caller
 
-    def _send_newest(self, caller: Caller) -> None:
+    def _send_newest(self, caller: CallerSession) -> None:
         self._gate.confirm_newest(self._newest, lambda newest: self._start(caller, newest))
 
     def _newest(self) -> StoredConfiguration:
         return stored_configuration(self._state)
 
-    def leave(self, caller: Caller) -> None:
+    def leave(self, caller: CallerSession) -> None:
         """Remove the session of a caller."""
         if caller in self.callers:
             self.callers.remove(caller)
 
-    def acknowledged(self, caller: Caller, record: ConfigurationAck) -> None:
+    def acknowledged(self, caller: CallerSession, record: ConfigurationAck) -> None:
         """Record which configuration a caller has put into force."""
         caller.configuration, caller.place = record.version, record.place
 
@@ -140,7 +140,7 @@
         for caller in self.callers:
             self._send(caller, configuration, False)
 
-    def _start(self, caller: Caller, newest: Committed[StoredConfiguration]) -> None:
+    def _start(self, caller: CallerSession, newest: Committed[StoredConfiguration]) -> None:
         discard = not self._state.knows(caller.place)
         if discard:
             log.warning(
@@ -152,7 +152,7 @@
             )
         self._send(caller, newest, discard)
 
-    def _send(self, caller: Caller, configuration: Committed[StoredConfiguration], discard: bool) -> None:
+    def _send(self, caller: CallerSession, configuration: Committed[StoredConfiguration], discard: bool) -> None:
         place = configuration.value.place
         if caller.wants_configuration and configuration.value.document and place != caller.sent:
             caller.sent = place
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -37,7 +37,7 @@
     from_view,
     split_committed,
 )
-from millethead.control.configuration_stream import Caller, ConfigurationStream, StoredConfiguration
+from millethead.control.configuration_stream import CallerSession, ConfigurationStream, StoredConfiguration
 from millethead.control.drains import OK, DrainReason, drain_answer, runs_to_evacuate
 from millethead.control.feeder import Clock, Feeder
 from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_INTERVAL_S, purge_command, trim_command
@@ -131,13 +131,13 @@
 
     # ---- callers -----------------------------------------------------------------------------------------
 
-    def caller_hello(self, link: HeadLink, hello: CallerHello) -> Caller:
+    def caller_hello(self, link: HeadLink, hello: CallerHello) -> CallerSession:
         """Open the session of a caller, a program that sends the calls of clients or of the operator."""
         committed_link = CommittedLink(link, self._chain)
         committed_link.send(from_view(CallerWelcome(self.view, True)))
         return self.configurations.join(committed_link, hello)
 
-    def caller_record(self, caller: Caller, record: Record) -> None:
+    def caller_record(self, caller: CallerSession, record: Record) -> None:
         """Handle a record from a caller."""
         match record:
             case HeadCall(epoch=epoch, call=data):
@@ -149,7 +149,7 @@
                 current = epoch == self.view.epoch and serving
                 caller.link.send(from_view(CallerPong() if current else CallerWelcome(self.view, True)))
 
-    def call(self, caller: Caller, record: Record, epoch: int | None = None) -> None:
+    def call(self, caller: CallerSession, record: Record, epoch: int | None = None) -> None:
         """Handle a call that was sent to this head in `epoch`, or in the present epoch if that is None.
 
         The epoch must be one in which this head leads. Raises CodecError if the record is not a call.
@@ -171,7 +171,7 @@
             case _:
                 raise CodecError(f"{type(record).__name__} is no call")
 
-    def caller_gone(self, caller: Caller) -> None:
+    def caller_gone(self, caller: CallerSession) -> None:
         self.configurations.leave(caller)
 
     def _configuration_committed(self, configuration: Committed[StoredConfiguration]) -> None:
--- a/millethead/lab/core_clients.py
+++ b/millethead/lab/core_clients.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from millethead.control.calls import CallAnswer, CallerHello, ConfigurationCall, ConfigurationUpdate, JobCall
-from millethead.control.configuration_stream import Caller, HeldConfiguration
+from millethead.control.configuration_stream import CallerSession, HeldConfiguration
 from millethead.control.state import configuration_order
 from millethead.jobs.commands import ChangeConfiguration
 from millethead.lab.core_calls import DELAY_S, Call, CallContext, Judge
@@ -225,7 +225,7 @@
 
     def __init__(self, follower: Follower, process: CoreProcess) -> None:
         self._follower, self.process = follower, process
-        self.caller: Caller | None = None
+        self.caller: CallerSession | None = None
         self.open = True
         self.last_at = 0.0
 
--- a/millethead/lab/core_machine.py
+++ b/millethead/lab/core_machine.py
@@ -13,7 +13,7 @@
 from millethead.control.callers import CallHandler, StateChangeCallbacks
 from millethead.control.calls import CallAnswer, CallerHello, ConfigurationCall, JobCall
 from millethead.control.commit import CommitGate, CommittedLink, HeadLink
-from millethead.control.configuration_stream import Caller, ConfigurationStream
+from millethead.control.configuration_stream import CallerSession, ConfigurationStream
 from millethead.control.state import ControlState
 from millethead.lab.core_network import LinkEnd, Network
 from millethead.lab.core_processor import Processor
@@ -475,7 +475,7 @@
             self.callers.configuration(record, lambda answer: reply(answer.value))
         return None
 
-    def follow(self, link: HeadLink, hello: CallerHello) -> Caller | None:
+    def follow(self, link: HeadLink, hello: CallerHello) -> CallerSession | None:
         """A follower of the configuration has connected; None where this process does not serve."""
         if self.stream is None:
             return None
--- a/millethead/lab/system_core.py
+++ b/millethead/lab/system_core.py
@@ -13,7 +13,7 @@
 
 from millethead.control.agents import AgentSession
 from millethead.control.calls import CallerHello, CallerWelcome
-from millethead.control.configuration_stream import Caller
+from millethead.control.configuration_stream import CallerSession
 from millethead.control.head import Head
 from millethead.control.state import ControlState
 from millethead.execution.messages import AgentHello, AgentTurnedAway
@@ -150,7 +150,7 @@
         self.frozen = False
         self.retiring = False  # it is about to learn that it is not the head any more
         self._deferred: list[Callable[[], None]] = []
-        self._sessions: dict[WireEnd, Caller | AgentSession | None] = {}
+        self._sessions: dict[WireEnd, CallerSession | AgentSession | None] = {}
         self.chain = StandInChain(core, self, epoch, log)
         self.head = self._make_head(epoch)
 
@@ -217,7 +217,7 @@
         if end not in self._sessions:
             return
         session = self._sessions[end]
-        if isinstance(session, Caller):
+        if isinstance(session, CallerSession):
             self.head.caller_record(session, record)
         elif isinstance(session, AgentSession):
             self.head.agent_record(session, record)
@@ -228,7 +228,7 @@
 
     def _gone(self, end: WireEnd) -> None:
         session = self._sessions.pop(end, None)
-        if isinstance(session, Caller):
+        if isinstance(session, CallerSession):
             self.head.caller_gone(session)
         elif isinstance(session, AgentSession):
             self.head.agent_gone(session)
@@ -240,7 +240,7 @@
         self.head.close()
         self.head = self._make_head(epoch)
         for end, session in list(self._sessions.items()):
-            if isinstance(session, Caller):
+            if isinstance(session, CallerSession):
                 self._sessions[end] = self.head.caller_hello(end, session.hello())
             elif isinstance(session, AgentSession):
                 self._sessions[end] = self.head.agent_hello(end, session.hello)
@@ -251,7 +251,7 @@
         for end, session in list(self._sessions.items()):
             if isinstance(session, AgentSession):
                 end.send(AgentTurnedAway(self._core.epoch, "", ()))
-            elif isinstance(session, Caller):
+            elif isinstance(session, CallerSession):
                 end.send(CallerWelcome(NO_VIEW, False))
             end.close()
         self.end()
--- a/millethead/programs/core_sessions.py
+++ b/millethead/programs/core_sessions.py
@@ -10,7 +10,7 @@
 
 from millethead.control.agents import AgentSession
 from millethead.control.calls import CallerHello, CallerPing, CallerPong, CallerWelcome
-from millethead.control.configuration_stream import Caller
+from millethead.control.configuration_stream import CallerSession
 from millethead.control.head import Head
 from millethead.execution.messages import AgentHello, AgentTurnedAway
 from millethead.programs.chain_links import ChainLinks
@@ -24,7 +24,7 @@
 # Bytes of the largest frame by who sends it, once its first record has told.
 MEMBER_FRAME, CALLER_FRAME, AGENT_FRAME = 16 << 20, (8 << 20) + (64 << 10), 4 << 20
 
-Session = Caller | AgentSession | CallerHello | AgentHello | None  # None: nothing has come yet
+Session = CallerSession | AgentSession | CallerHello | AgentHello | None  # None: nothing has come yet
 
 
 class CoreSessions:
@@ -50,7 +50,7 @@
         """It is the head no more."""
         self._head = None
         for connection, session in list(self._sessions.items()):
-            if isinstance(session, Caller):
+            if isinstance(session, CallerSession):
                 self._sessions[connection] = session.hello()
             elif isinstance(session, AgentSession):
                 self._sessions[connection] = session.hello
@@ -76,7 +76,7 @@
         session = self._sessions.get(connection)
         if session is None:
             self._first_record(connection, record)
-        elif self._head is not None and isinstance(session, Caller):
+        elif self._head is not None and isinstance(session, CallerSession):
             self._head.caller_record(session, record)
         elif self._head is not None and isinstance(session, AgentSession):
             self._head.agent_record(session, record)
@@ -127,7 +127,7 @@
         session = self._sessions.pop(connection, None)
         if self._head is None:
             return
-        if isinstance(session, Caller):
+        if isinstance(session, CallerSession):
             self._head.caller_gone(session)
         elif isinstance(session, AgentSession):
             self._head.agent_gone(session)
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -25,7 +25,7 @@
     JobCall,
 )
 from millethead.control.commit import CommitGate, Committed
-from millethead.control.configuration_stream import Caller
+from millethead.control.configuration_stream import CallerSession
 from millethead.control.feeder import Clock, Feeder
 from millethead.control.head import Head
 from millethead.control.housekeeping import PURGE_INTERVAL_S, RETENTION_MARGIN_S
@@ -196,7 +196,7 @@
         self.chain = FakeChain(self.state, epoch)
         self.head = Head(View(epoch, (), ()), self.state, self.chain, self.clock, Random(1), STATUS_S)
         self.link = FakeLink()
-        self.caller: Caller = self.head.caller_hello(self.link, CallerHello("d1", 0, 0, NO_PLACE, True))
+        self.caller: CallerSession = self.head.caller_hello(self.link, CallerHello("d1", 0, 0, NO_PLACE, True))
         self._number = 0
         if configured and state is None:
             self.configure(document())
