--- a/millethead/control/client.py
+++ b/millethead/control/client.py
@@ -70,7 +70,7 @@
     lost: asyncio.Event = field(default_factory=asyncio.Event)
 
 
-class HeadCaller:
+class HeadClient:
     """Sends calls to the head and follows the stream of configurations.
 
     `configured` is called with the version and the document of each newer configuration, never with an older one.
--- a/millethead/programs/control.py
+++ b/millethead/programs/control.py
@@ -14,7 +14,7 @@
 
 from millethead.configuration.settings import InvalidSettings, ProcessSettings, load_settings
 from millethead.control.admission import MB, max_job_bytes
-from millethead.control.client import HeadCaller
+from millethead.control.client import HeadClient
 from millethead.control.head import Head
 from millethead.control.state import ControlState
 from millethead.programs.addresses import internal_address, seed_addresses, split_address
@@ -72,7 +72,7 @@
         self._links = ChainLinks(lambda: self._replica)
         self._sessions = CoreSessions(lambda: self._replica, self._links)
         self._input = InputBudget(int(INPUT_SHARE * settings.limits.memory_mb * MB))
-        self._caller = HeadCaller(settings.node, self._caller_seeds, self._random)
+        self._caller = HeadClient(settings.node, self._caller_seeds, self._random)
         self._http = HttpServer(
             operator_app(self._caller, self._figures), HttpLimits(max_body_bytes=OPERATOR_BODY_BYTES)
         )
--- a/millethead/programs/core_client.py
+++ b/millethead/programs/core_client.py
@@ -13,7 +13,7 @@
 from millethead.configuration.findings import Finding
 from millethead.configuration.settings import ProcessSettings
 from millethead.control.calls import CallAnswer, DrainCall, InspectCall
-from millethead.control.client import CallFailed, HeadCaller
+from millethead.control.client import CallFailed, HeadClient
 from millethead.control.drains import NOT_FOUND, OK, TOO_MANY, DrainReport
 from millethead.control.inspect import JOB, JOBS, STATUS, JobReport, JobSummary, StatusReport
 from millethead.rpc.codec import Record
@@ -148,7 +148,7 @@
 
 
 async def _call_head(members: tuple[str, ...], make: Callable[[int], Record]) -> CallAnswer:
-    caller = HeadCaller(NODE, lambda: members, Random())
+    caller = HeadClient(NODE, lambda: members, Random())
     caller.start()
     try:
         return await caller.call(make, HEAD_TIMEOUT_S, HEAD_TIMEOUT_S)
--- a/millethead/programs/dispatcher.py
+++ b/millethead/programs/dispatcher.py
@@ -19,7 +19,7 @@
 from millethead.configuration.model import Configuration, InvalidConfiguration
 from millethead.configuration.settings import InvalidSettings, ProcessSettings, load_settings
 from millethead.control.calls import CallAnswer, JobCall
-from millethead.control.client import CallFailed, HeadCaller
+from millethead.control.client import CallFailed, HeadClient
 from millethead.programs.addresses import seed_addresses, split_address
 from millethead.programs.dispatcher_figures import dispatcher_figures
 from millethead.programs.signals import on_signals
@@ -49,7 +49,7 @@
         self._front_address, self._ready_address = settings.listen.front, settings.listen.ready
         self._stopped = asyncio.Event()
         self._configuration: Configuration | None = None
-        self._caller = HeadCaller(settings.node, self._seeds, Random(), self._configured)
+        self._caller = HeadClient(settings.node, self._seeds, Random(), self._configured)
         self._front = HttpServer(self._front_app(), HttpLimits())
         self._ready = HttpServer(self._ready_app(), HttpLimits(max_connections=64))
         self._leaving = False
--- a/millethead/programs/operator_api.py
+++ b/millethead/programs/operator_api.py
@@ -8,7 +8,7 @@
 import bottle  # type: ignore[import-untyped]
 
 from millethead.control.calls import ConfigurationCall
-from millethead.control.client import CallFailed, HeadCaller
+from millethead.control.client import CallFailed, HeadClient
 from millethead.web.metrics import Figure, add_metrics
 from millethead.web.server import Answer, Deferred, error_answer, json_answer, request_body
 
@@ -20,7 +20,7 @@
 MakeCall = Callable[[int], ConfigurationCall]
 
 
-def operator_app(caller: HeadCaller, figures: Callable[[], Iterable[Figure]]) -> bottle.Bottle:
+def operator_app(caller: HeadClient, figures: Callable[[], Iterable[Figure]]) -> bottle.Bottle:
     """The application; `caller` finds the head, `figures` are this member's metrics."""
     app = bottle.Bottle()
     add_metrics(app, figures)
@@ -50,7 +50,7 @@
     return int(text) if text.isascii() and text.isdigit() and len(text) <= LONGEST_VERSION else None
 
 
-async def _answer(caller: HeadCaller, make: MakeCall, into: Deferred) -> None:
+async def _answer(caller: HeadClient, make: MakeCall, into: Deferred) -> None:
     try:
         answer = await caller.call(make, REACH_S, ANSWER_S)
     except CallFailed as failure:
--- a/tests/test_head_caller.py
+++ b/tests/test_head_caller.py
@@ -18,7 +18,7 @@
     HeadCall,
     JobCall,
 )
-from millethead.control.client import CallFailed, HeadCaller
+from millethead.control.client import CallFailed, HeadClient
 from millethead.replication.place import LogPlace
 from millethead.replication.view import ChainMember, Member, View
 from millethead.rpc.codec import Record, decode_any
@@ -77,11 +77,11 @@
         self._server.close()
 
 
-async def joined(configured: Callable[[int, bytes], None] | None = None) -> tuple[FakeMember, HeadCaller]:
+async def joined(configured: Callable[[int, bytes], None] | None = None) -> tuple[FakeMember, HeadClient]:
     """Return a member that is the head of epoch 1 and a client connected to it."""
     member = FakeMember()
     await member.start()
-    client = HeadCaller("d1", lambda: (member.address,), Random(1), configured)
+    client = HeadClient("d1", lambda: (member.address,), Random(1), configured)
     client.start()
     await member.next(CallerHello)
     member.serve(1)
