--- a/millethead/control/client.py
+++ b/millethead/control/client.py
@@ -23,7 +23,7 @@
     HeadAnswer,
     HeadCall,
 )
-from millethead.control.configuration_stream import HeldConfiguration
+from millethead.control.configuration_stream import ActiveConfiguration
 from millethead.replication.view import NO_VIEW, View
 from millethead.rpc.codec import Record, encode_any
 from millethead.rpc.connection import Connection, connect
@@ -87,7 +87,7 @@
     ) -> None:
         self._node, self._seeds, self._random, self._configured = node, seeds, random, configured
         self.view: View = NO_VIEW
-        self._active = HeldConfiguration()
+        self._active = ActiveConfiguration()
         self._members: dict[str, _MemberConnection] = {}
         self._head: _MemberConnection | None = None
         self._calls: dict[int, _PendingCall] = {}
--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class HeldConfiguration:
+class ActiveConfiguration:
     """Configuration in force at a follower of the stream: its version and its log position."""
 
     version: int = 0
--- a/millethead/lab/core_clients.py
+++ b/millethead/lab/core_clients.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from millethead.control.calls import CallAnswer, CallerHello, ConfigurationCall, ConfigurationUpdate, JobCall
-from millethead.control.configuration_stream import CallerSession, HeldConfiguration
+from millethead.control.configuration_stream import ActiveConfiguration, CallerSession
 from millethead.control.state import configuration_order
 from millethead.jobs.commands import ChangeConfiguration
 from millethead.lab.core_calls import DELAY_S, Call, CallContext, Judge
@@ -245,7 +245,7 @@
 
     def __init__(self, context: CallContext, number: int) -> None:
         self._context, self._name = context, f"d{number}"
-        self.held = HeldConfiguration()
+        self.held = ActiveConfiguration()
         self._epoch = 0
         self._link: _FollowerLink | None = None
         self.until = 0.0
--- a/millethead/lab/system_clients.py
+++ b/millethead/lab/system_clients.py
@@ -22,7 +22,7 @@
     HeadCall,
     JobCall,
 )
-from millethead.control.configuration_stream import HeldConfiguration
+from millethead.control.configuration_stream import ActiveConfiguration
 from millethead.lab.core_time import Timeline
 from millethead.lab.system_jobs import JobPlan
 from millethead.lab.system_wire import Wire
@@ -64,7 +64,7 @@
         self._number = 0
         self._wire: Wire | None = None
         self._serving = False
-        self.held = HeldConfiguration()
+        self.held = ActiveConfiguration()
         self._epoch = 0
         self._connect()
 
--- a/tests/test_committed.py
+++ b/tests/test_committed.py
@@ -10,7 +10,7 @@
 import millethead
 from millethead.control.calls import CallerPong, ConfigurationUpdate
 from millethead.control.commit import Committed, CommittedLink, UncommittedRelease
-from millethead.control.configuration_stream import HeldConfiguration
+from millethead.control.configuration_stream import ActiveConfiguration
 from millethead.lab.streamed import StreamedConfigurations, UncommittedConfiguration
 from millethead.replication.place import NO_PLACE, LogPlace
 
@@ -126,7 +126,7 @@
 
 
 def test_follower_orders_updates_by_log_position_not_version() -> None:
-    held = HeldConfiguration()
+    held = ActiveConfiguration()
     assert held.take(update(2, LogPlace(2, 7), 5), 2)
     assert not held.take(update(2, LogPlace(2, 7), 5), 2), "the same update again"
     assert held.take(update(3, LogPlace(3, 9), 5), 3), "another order under the same number"
@@ -135,7 +135,7 @@
 
 
 def test_follower_ignores_updates_of_earlier_heads() -> None:
-    held = HeldConfiguration()
+    held = ActiveConfiguration()
     assert held.take(update(4, LogPlace(4, 9), 6), 4)
     assert not held.take(update(3, LogPlace(3, 20), 7), 4)
     assert not held.take(update(3, LogPlace(3, 8), 5, discard=True), 4)
@@ -143,7 +143,7 @@
 
 
 def test_follower_replaces_an_uncommitted_configuration() -> None:
-    held = HeldConfiguration(9, LogPlace(3, 50))
+    held = ActiveConfiguration(9, LogPlace(3, 50))
     assert held.take(update(4, LogPlace(2, 7), 5, discard=True), 4)
     assert (held.version, held.place) == (5, LogPlace(2, 7))
 
