--- a/millethead/control/feeder.py
+++ b/millethead/control/feeder.py
@@ -51,7 +51,7 @@
     started: float = 0.0
 
 
-class Feeder:
+class SchedulerSync:
     """Translates between `JobTable` and `Scheduler`. `stop` is called for each run that has to be stopped."""
 
     def __init__(self, jobs: JobTable, scheduler: Scheduler, stop: Callable[[TaskRun], None]) -> None:
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -39,7 +39,7 @@
 )
 from millethead.control.configuration_stream import CallerSession, ConfigurationStream, StoredConfiguration
 from millethead.control.drains import OK, DrainReason, drain_answer, runs_to_evacuate
-from millethead.control.feeder import Clock, Feeder
+from millethead.control.feeder import Clock, SchedulerSync
 from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_INTERVAL_S, purge_command, trim_command
 from millethead.control.inspect import inspect
 from millethead.control.rounds import HeadClock, Rounds, read_clocks
@@ -99,7 +99,7 @@
         self.gate = CommitGate(chain, clock.soon)
         self.scheduler = Scheduler(random, far_times)
         self.agents = Agents(state.jobs, clock.now(), state.drained)
-        self.feeder = Feeder(state.jobs, self.scheduler, self._stop_run)
+        self.feeder = SchedulerSync(state.jobs, self.scheduler, self._stop_run)
         self.rounds = Rounds(state.jobs, self.gate, self.scheduler, self.agents, self.feeder, clock, self._stop_run)
         self._watch = AgentWatch(
             state.jobs, self.agents, self.scheduler, self._end_runs, self._forget_worker, clock.now()
--- a/millethead/control/rounds.py
+++ b/millethead/control/rounds.py
@@ -11,7 +11,7 @@
 
 from millethead.control.agents import Agents, WorkerOrders
 from millethead.control.commit import CommitGate, Committed, split_committed
-from millethead.control.feeder import Clock, Feeder
+from millethead.control.feeder import Clock, SchedulerSync
 from millethead.execution.messages import RunEnd, RunOrder
 from millethead.jobs.commands import Assignment, AssignRuns, TaskRun
 from millethead.jobs.state import JobTable
@@ -47,7 +47,7 @@
         gate: CommitGate,
         scheduler: Scheduler,
         agents: Agents,
-        feeder: Feeder,
+        feeder: SchedulerSync,
         clock: HeadClock,
         stop: Callable[[TaskRun], None],
     ) -> None:
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -26,7 +26,7 @@
 )
 from millethead.control.commit import CommitGate, Committed
 from millethead.control.configuration_stream import CallerSession
-from millethead.control.feeder import Clock, Feeder
+from millethead.control.feeder import Clock, SchedulerSync
 from millethead.control.head import Head
 from millethead.control.housekeeping import PURGE_INTERVAL_S, RETENTION_MARGIN_S
 from millethead.control.rounds import MIN_PASS_INTERVAL_S
@@ -1159,7 +1159,7 @@
 
 def test_next_time_of_a_repeated_job_is_added_when_due() -> None:
     state = ControlState()
-    feeder = Feeder(state.jobs, Scheduler(Random(1)), lambda run: None)
+    feeder = SchedulerSync(state.jobs, Scheduler(Random(1)), lambda run: None)
     harness = Bench()
     harness.ask("POST", body=timed(3, 1000, 500))
     feeder = harness.head.feeder
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -13,7 +13,7 @@
 from millethead.control.agents import Agents, AgentSession, WorkerOrders
 from millethead.control.callers import CallHandler
 from millethead.control.commit import CommitGate, Committed
-from millethead.control.feeder import Feeder
+from millethead.control.feeder import SchedulerSync
 from millethead.control.head import Head
 from millethead.control.rounds import Rounds
 from millethead.execution.actions import Action
@@ -77,7 +77,7 @@
 def run_number_reused(patch: Patch) -> None:
     """A task's next run has the number of its last one."""
 
-    def number(feeder: Feeder, placement: Any, gangs: Any) -> int:
+    def number(feeder: SchedulerSync, placement: Any, gangs: Any) -> int:
         key = placement.key
         step = feeder._jobs.jobs[key.job].at_time(key.time).steps[key.step]
         return max(1, step.tasks[placement.index].run)
@@ -90,7 +90,7 @@
         return real(table, command)
 
     real = JobTable.assign
-    patch.setattr(Feeder, "_run_number", number)
+    patch.setattr(SchedulerSync, "_run_number", number)
     patch.setattr(JobTable, "assign", assign)
 
 
@@ -242,7 +242,7 @@
 
 def cancel_stops_nothing(patch: Patch) -> None:
     """What runs of a cancelled job runs on."""
-    patch.setattr(Feeder, "job_over", lambda feeder, job: None)
+    patch.setattr(SchedulerSync, "job_over", lambda feeder, job: None)
 
 
 def leases_in_stale_sessions(patch: Patch) -> None:
