--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -42,7 +42,7 @@
 from millethead.control.feeder import Clock, SchedulerSync
 from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_INTERVAL_S, purge_command, trim_command
 from millethead.control.inspect import inspect
-from millethead.control.rounds import HeadClock, Rounds, read_clocks
+from millethead.control.rounds import HeadClock, SchedulingLoop, read_clocks
 from millethead.control.state import ControlState
 from millethead.execution.messages import (
     AgentHello,
@@ -100,7 +100,9 @@
         self.scheduler = Scheduler(random, far_times)
         self.agents = Agents(state.jobs, clock.now(), state.drained)
         self.feeder = SchedulerSync(state.jobs, self.scheduler, self._stop_run)
-        self.rounds = Rounds(state.jobs, self.gate, self.scheduler, self.agents, self.feeder, clock, self._stop_run)
+        self.rounds = SchedulingLoop(
+            state.jobs, self.gate, self.scheduler, self.agents, self.feeder, clock, self._stop_run
+        )
         self._watch = AgentWatch(
             state.jobs, self.agents, self.scheduler, self._end_runs, self._forget_worker, clock.now()
         )
--- a/millethead/control/rounds.py
+++ b/millethead/control/rounds.py
@@ -38,7 +38,7 @@
     return Clock(clock.now(), clock.wall_ms())
 
 
-class Rounds:
+class SchedulingLoop:
     """Runs the scheduler whenever its input has changed. `stop` stops an open run once its assignment is committed."""
 
     def __init__(
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -15,7 +15,7 @@
 from millethead.control.commit import CommitGate, Committed
 from millethead.control.feeder import SchedulerSync
 from millethead.control.head import Head
-from millethead.control.rounds import Rounds
+from millethead.control.rounds import SchedulingLoop
 from millethead.execution.actions import Action
 from millethead.execution.agent import Agent
 from millethead.execution.life import Life
@@ -184,12 +184,12 @@
 
 def sent_before_commit(patch: Patch) -> None:
     """Orders are sent before the assignment is committed."""
-    real = Rounds._run_pass
+    real = SchedulingLoop._run_pass
 
     def at_once(value: Any, then: Callable[[Committed[Any]], None]) -> None:
         then(Committed(value, 0))
 
-    def round_(rounds: Rounds) -> None:
+    def round_(rounds: SchedulingLoop) -> None:
         gate = rounds.gate
         early = SimpleNamespace(propose=gate.propose, after_commit=at_once, closed=gate.closed)
         patch.setattr(rounds, "gate", early)
@@ -198,7 +198,7 @@
         finally:
             patch.setattr(rounds, "gate", gate)
 
-    patch.setattr(Rounds, "_run_pass", round_)
+    patch.setattr(SchedulingLoop, "_run_pass", round_)
 
 
 def drained_gets_starts(patch: Patch) -> None:
