--- a/millethead/control/agent_watch.py
+++ b/millethead/control/agent_watch.py
@@ -11,7 +11,7 @@
 import structlog
 
 from millethead.control.agents import Agents, AgentSession
-from millethead.control.silence import Silences
+from millethead.control.silence import FailureDetector
 from millethead.execution.messages import RunEnd
 from millethead.jobs.commands import EndedRun, TaskRun
 from millethead.jobs.state import JobTable, Task
@@ -40,7 +40,7 @@
     ) -> None:
         self._jobs, self._agents, self._scheduler = jobs, agents, scheduler
         self._end, self._forget_worker = end, forget_worker
-        self._silences: Silences = agents.silences
+        self._silences: FailureDetector = agents.silences
         self.next_look = now
 
     def heard(self, session: AgentSession) -> bool:
--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from millethead.control.commit import Committed, CommittedLink
-from millethead.control.silence import Silences
+from millethead.control.silence import FailureDetector
 from millethead.execution.messages import AgentHello, DesiredRuns, LeaseGrant, RunKey, RunOrder, WorkerInfo
 from millethead.jobs.commands import TaskRun, task_run
 from millethead.jobs.state import JobTable, Task
@@ -68,7 +68,7 @@
         self._lease_ends: dict[str, float] = {}
         self.stopping: set[TaskRun] = set()  # the stop order has been sent or waits for its commit
         self._suspected: dict[str, float] = {}  # instance -> time of the last suspicion
-        self.silences = Silences(now)
+        self.silences = FailureDetector(now)
 
     # ---- sessions and worker instances -------------------------------------------------------------------
 
--- a/millethead/control/silence.py
+++ b/millethead/control/silence.py
@@ -13,7 +13,7 @@
 STALL_THRESHOLD_S = 0.2  # a longer time between two checks means that the head itself may have been stalled
 
 
-class Silences:
+class FailureDetector:
     """Tracks for each node since when a response of its agent is due. Times are seconds of the monotonic clock."""
 
     def __init__(self, now: float) -> None:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -4,13 +4,13 @@
 
 from test_head import OTHER, Agent, Bench, ended, job, task, worker
 
-from millethead.control.silence import RESPONSE_TIMEOUT_S, STALL_THRESHOLD_S, Silences
+from millethead.control.silence import RESPONSE_TIMEOUT_S, STALL_THRESHOLD_S, FailureDetector
 from millethead.execution.messages import LeaseRequest, RunEnd
 
 STEP_S = 0.1
 
 
-def check_until(silences: Silences, begin: float, end: float) -> list[str]:
+def check_until(silences: FailureDetector, begin: float, end: float) -> list[str]:
     """Run the check repeatedly, as the head does."""
     found: list[str] = []
     now = begin
@@ -45,7 +45,7 @@
 
 
 def test_node_is_unresponsive_after_the_response_timeout() -> None:
-    silences = Silences(0.0)
+    silences = FailureDetector(0.0)
     silences.await_word("n", 0.0)
     silences.await_word("n", 0.3)  # the time of the first order counts
     assert check_until(silences, 0.0, RESPONSE_TIMEOUT_S) == []
@@ -55,14 +55,14 @@
 
 
 def test_response_in_time_clears_the_deadline() -> None:
-    silences = Silences(0.0)
+    silences = FailureDetector(0.0)
     silences.await_word("n", 0.0)
     assert not silences.heard("n")
     assert check_until(silences, 0.0, 2.0) == []
 
 
 def test_stall_of_the_head_extends_all_deadlines() -> None:
-    silences = Silences(0.0)
+    silences = FailureDetector(0.0)
     silences.await_word("n", 0.0)
     assert silences.look(STALL_THRESHOLD_S + 3.0) == []
     assert check_until(silences, STALL_THRESHOLD_S + 3.0, STALL_THRESHOLD_S + 3.0 + RESPONSE_TIMEOUT_S) == []
