--- a/millethead/control/agent_watch.py
+++ b/millethead/control/agent_watch.py
@@ -22,7 +22,7 @@
 CHECK_INTERVAL_S = 0.1  # between two checks for unresponsive agents
 
 
-class AgentWatch:
+class AgentMonitor:
     """Monitors the agents on behalf of the head.
 
     `end` ends runs, `forget_worker` removes a worker instance from this head, and `now` is the time at which the head
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -11,7 +11,7 @@
 
 import structlog
 
-from millethead.control.agent_watch import AgentWatch
+from millethead.control.agent_watch import AgentMonitor
 from millethead.control.agents import LEASE_S, Agents, AgentSession, RunStop
 from millethead.control.callers import MAX_JOB_BYTES, CallHandler, Reply, StateChangeCallbacks
 from millethead.control.calls import (
@@ -103,7 +103,7 @@
         self.rounds = SchedulingLoop(
             state.jobs, self.gate, self.scheduler, self.agents, self.feeder, clock, self._stop_run
         )
-        self._watch = AgentWatch(
+        self._watch = AgentMonitor(
             state.jobs, self.agents, self.scheduler, self._end_runs, self._forget_worker, clock.now()
         )
         self.configurations = ConfigurationStream(view.epoch, state.configuration, self.gate)
