--- a/millethead/control/agent_watch.py
+++ b/millethead/control/agent_watch.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from millethead.control.agents import Agents, AgentSession
+from millethead.control.agents import AgentRegistry, AgentSession
 from millethead.control.silence import FailureDetector
 from millethead.execution.messages import RunEnd
 from millethead.jobs.commands import EndedRun, TaskRun
@@ -32,7 +32,7 @@
     def __init__(
         self,
         jobs: JobTable,
-        agents: Agents,
+        agents: AgentRegistry,
         scheduler: Scheduler,
         end: Callable[[tuple[EndedRun, ...]], None],
         forget_worker: Callable[[str], None],
@@ -52,7 +52,7 @@
         return True
 
     def gone(self, session: AgentSession) -> None:
-        """Handle a closed agent connection. `Agents.disconnected` must have been called before."""
+        """Handle a closed agent connection. `AgentRegistry.disconnected` must have been called before."""
         if session.node not in self._agents.sessions:
             self._silences.forget(session.node)
             self._mark_unreachable(session)
--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -57,7 +57,7 @@
         return self.hello.node
 
 
-class Agents:
+class AgentRegistry:
     """Registry of the agents and workers that the head knows. `drained` holds the nodes drained by an operator."""
 
     def __init__(self, jobs: JobTable, now: float, drained: Container[str] = ()) -> None:
--- a/millethead/control/drains.py
+++ b/millethead/control/drains.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from millethead.control.agents import Agents
+from millethead.control.agents import AgentRegistry
 from millethead.control.calls import CallAnswer, DrainCall
 from millethead.control.state import ControlState
 from millethead.execution.messages import WorkerInfo
@@ -58,7 +58,7 @@
             yield run
 
 
-def drain_answer(state: ControlState, agents: Agents, call: DrainCall) -> CallAnswer:
+def drain_answer(state: ControlState, agents: AgentRegistry, call: DrainCall) -> CallAnswer:
     """Return the answer to a drain call, to be sent once its command is committed.
 
     A node without a connected agent cannot be drained, because its name may be misspelt. A drained node can always be
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -12,7 +12,7 @@
 import structlog
 
 from millethead.control.agent_watch import AgentMonitor
-from millethead.control.agents import LEASE_S, Agents, AgentSession, RunStop
+from millethead.control.agents import LEASE_S, AgentRegistry, AgentSession, RunStop
 from millethead.control.callers import MAX_JOB_BYTES, CallHandler, Reply, StateChangeCallbacks
 from millethead.control.calls import (
     CallAnswer,
@@ -98,7 +98,7 @@
         self._chain = chain
         self.gate = CommitGate(chain, clock.soon)
         self.scheduler = Scheduler(random, far_times)
-        self.agents = Agents(state.jobs, clock.now(), state.drained)
+        self.agents = AgentRegistry(state.jobs, clock.now(), state.drained)
         self.feeder = SchedulerSync(state.jobs, self.scheduler, self._stop_run)
         self.rounds = SchedulingLoop(
             state.jobs, self.gate, self.scheduler, self.agents, self.feeder, clock, self._stop_run
--- a/millethead/control/inspect.py
+++ b/millethead/control/inspect.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from millethead.control.agents import Agents
+from millethead.control.agents import AgentRegistry
 from millethead.control.commit import CommitGate
 from millethead.control.configuration_stream import ConfigurationStream
 from millethead.control.rounds import HeadClock
@@ -187,7 +187,7 @@
     def configurations(self) -> ConfigurationStream: ...
 
     @property
-    def agents(self) -> Agents: ...
+    def agents(self) -> AgentRegistry: ...
 
     @property
     def scheduler(self) -> Scheduler: ...
--- a/millethead/control/rounds.py
+++ b/millethead/control/rounds.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from millethead.control.agents import Agents, WorkerOrders
+from millethead.control.agents import AgentRegistry, WorkerOrders
 from millethead.control.commit import CommitGate, Committed, split_committed
 from millethead.control.feeder import Clock, SchedulerSync
 from millethead.execution.messages import RunEnd, RunOrder
@@ -46,7 +46,7 @@
         jobs: JobTable,
         gate: CommitGate,
         scheduler: Scheduler,
-        agents: Agents,
+        agents: AgentRegistry,
         feeder: SchedulerSync,
         clock: HeadClock,
         stop: Callable[[TaskRun], None],
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -11,7 +11,7 @@
 import pytest
 import structlog
 
-from millethead.control.agents import LEASE_S, Agents, AgentSession
+from millethead.control.agents import LEASE_S, AgentRegistry, AgentSession
 from millethead.control.calls import (
     CallAnswer,
     CallerHello,
@@ -1180,6 +1180,6 @@
 
 
 def test_lease_without_a_grant_starts_with_the_epoch() -> None:
-    agents = Agents(ControlState().jobs, 100.0)
+    agents = AgentRegistry(ControlState().jobs, 100.0)
     assert not agents.lapsed("n-1", 100.0 + LEASE_S)
     assert agents.lapsed("n-1", 100.0 + LEASES_EXPIRED_S)
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from millethead.control.agents import Agents, AgentSession, WorkerOrders
+from millethead.control.agents import AgentRegistry, AgentSession, WorkerOrders
 from millethead.control.callers import CallHandler
 from millethead.control.commit import CommitGate, Committed
 from millethead.control.feeder import SchedulerSync
@@ -134,19 +134,19 @@
 def gang_in_part(patch: Patch) -> None:
     """One member of a gang is left out."""
 
-    def send(agents: Agents, orders: Committed[WorkerOrders]) -> None:
+    def send(agents: AgentRegistry, orders: Committed[WorkerOrders]) -> None:
         real(agents, orders.derive(lambda value: replace(value, orders=all_but_last(agents, value))))
 
-    def all_but_last(agents: Agents, value: WorkerOrders) -> tuple[RunOrder, ...]:
+    def all_but_last(agents: AgentRegistry, value: WorkerOrders) -> tuple[RunOrder, ...]:
         return tuple(order for order in value.orders if not last_of_gang(agents, order))
 
-    def last_of_gang(agents: Agents, order: Any) -> bool:
+    def last_of_gang(agents: AgentRegistry, order: Any) -> bool:
         job, _, step, index = order.key.task.split(".")
         description = agents._jobs.jobs[job].description.steps[int(step)]
         return description.gang and int(index) == description.count - 1
 
-    real = Agents.send_orders
-    patch.setattr(Agents, "send_orders", send)
+    real = AgentRegistry.send_orders
+    patch.setattr(AgentRegistry, "send_orders", send)
 
 
 def lost_with_session(patch: Patch) -> None:
@@ -166,7 +166,7 @@
 
 def earlier_leases_forgotten(patch: Patch) -> None:
     """A new head does not wait for the leases of earlier heads."""
-    patch.setattr(Agents, "lapsed", lambda agents, node, now: now > agents._lease_ends.get(node, 0.0))
+    patch.setattr(AgentRegistry, "lapsed", lambda agents, node, now: now > agents._lease_ends.get(node, 0.0))
 
 
 def leave_ends_all(patch: Patch) -> None:
@@ -204,11 +204,11 @@
 def drained_gets_starts(patch: Patch) -> None:
     """A draining worker is taken for any other."""
 
-    def state(agents: Agents, session: AgentSession, info: WorkerInfo) -> WorkerState:
+    def state(agents: AgentRegistry, session: AgentSession, info: WorkerInfo) -> WorkerState:
         return real(agents, session, replace(info, draining=False))
 
-    real = Agents.worker_state
-    patch.setattr(Agents, "worker_state", state)
+    real = AgentRegistry.worker_state
+    patch.setattr(AgentRegistry, "worker_state", state)
     patch.setattr(Life, "draining", property(lambda life: life.leaves_at < math.inf))
 
 
@@ -247,7 +247,7 @@
 
 def leases_in_stale_sessions(patch: Patch) -> None:
     """A session outlives the end of its lease."""
-    patch.setattr(Agents, "end_session", lambda agents, node: None)
+    patch.setattr(AgentRegistry, "end_session", lambda agents, node: None)
 
 
 LONG = (14.0, 20.0)  # troubles that last longer than a lease
