--- a/millethead/control/feeder.py
+++ b/millethead/control/feeder.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from millethead.configuration.model import Configuration
-from millethead.control.job_times import JobTimes, LateJob
+from millethead.control.job_times import LateJob, LatencyTracker
 from millethead.execution.messages import RunEnd
 from millethead.jobs.commands import Assignment, EndedRun, TaskRun
 from millethead.jobs.state import Job, JobTable, Outcome, Task
@@ -61,7 +61,7 @@
         self._backoffs: dict[tuple[StepKey, int], _Backoff] = {}
         self._failed_on: dict[tuple[StepKey, int], frozenset[str]] = {}
         self._steps: set[StepKey] = set()
-        self._latency = JobTimes()
+        self._latency = LatencyTracker()
         self._late_jobs: list[LateJob] = []
 
     # ---- start of an epoch -------------------------------------------------------------------------------
--- a/millethead/control/job_times.py
+++ b/millethead/control/job_times.py
@@ -113,7 +113,7 @@
         return self.tasks.setdefault(index, _TaskTimes(self.ready_at))
 
 
-class JobTimes:
+class LatencyTracker:
     """Times of all steps that became ready under this head."""
 
     def __init__(self) -> None:
--- a/tests/test_job_times.py
+++ b/tests/test_job_times.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from millethead.control.job_times import JobTimes, LateJob, TimeSpent
+from millethead.control.job_times import LateJob, LatencyTracker, TimeSpent
 from millethead.execution.messages import Resources, RunEnd
 from millethead.jobs.commands import QueueTerms
 from millethead.jobs.description import JobDescription, StepDescription
@@ -31,7 +31,7 @@
 
 
 def test_breakdown_follows_the_last_task_of_each_step() -> None:
-    times, two = JobTimes(), job(STEP, replace(STEP, dependencies=(0,)))
+    times, two = LatencyTracker(), job(STEP, replace(STEP, dependencies=(0,)))
     times.step_ready(FIRST, 10.0)
     times.run_assigned(FIRST, 0, False, 10.1)
     times.run_assigned(FIRST, 1, False, 10.2)
@@ -56,7 +56,7 @@
 
 
 def test_breakdown_follows_the_dependency_that_finished_last() -> None:
-    times = JobTimes()
+    times = LatencyTracker()
     joined = job(STEP, STEP, replace(STEP, dependencies=(0, 1)))
     for number, end in ((0, 3.0), (1, 2.0)):
         key = StepKey("j", 0, number)
@@ -75,7 +75,7 @@
 
 
 def test_job_in_time_is_not_reported_and_leaves_no_state() -> None:
-    times, one = JobTimes(), job(STEP)
+    times, one = LatencyTracker(), job(STEP)
     times.step_ready(FIRST, 0.0)
     times.run_assigned(FIRST, 0, False, 0.0)
     times.run_ended(FIRST, 0, RunEnd.DONE, 0.5, 0.9)
@@ -85,7 +85,7 @@
 
 
 def test_time_under_an_earlier_head_is_unobserved() -> None:
-    times, one = JobTimes(), job(STEP)
+    times, one = LatencyTracker(), job(STEP)
     times.step_ready(FIRST, 5.0)
     times.run_assigned(FIRST, 0, False, 5.0)
     times.run_ended(FIRST, 0, RunEnd.DONE, 0.5, 5.5)
@@ -95,7 +95,7 @@
 
 
 def test_cancelled_job_leaves_no_state() -> None:
-    times, two = JobTimes(), job(STEP, replace(STEP, dependencies=(0,)))
+    times, two = LatencyTracker(), job(STEP, replace(STEP, dependencies=(0,)))
     times.step_ready(FIRST, 0.0)
     times.run_assigned(FIRST, 0, False, 0.0)
     times.run_ended(FIRST, 0, RunEnd.DONE, 0.5, 0.5)
