--- a/millethead/control/job_times.py
+++ b/millethead/control/job_times.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimeSpent:
+class LatencyBreakdown:
     """Parts of the latency of a job, in seconds.
 
     `waited_s` is the time without a run, `repeated_s` the time in runs that did not succeed, `ran_s` the time of the
@@ -34,8 +34,8 @@
     estimated_s: float = 0.0
     far_s: float = 0.0
 
-    def __add__(self, other: TimeSpent) -> TimeSpent:
-        return TimeSpent(
+    def __add__(self, other: LatencyBreakdown) -> LatencyBreakdown:
+        return LatencyBreakdown(
             self.waited_s + other.waited_s,
             self.repeated_s + other.repeated_s,
             self.ran_s + other.ran_s,
@@ -62,7 +62,7 @@
     queue: str
     total_s: float
     objective_s: float
-    spent: TimeSpent
+    spent: LatencyBreakdown
 
     @property
     def unseen_s(self) -> float:
@@ -106,7 +106,7 @@
 
     ready_at: float
     tasks: dict[int, _TaskTimes] = field(default_factory=dict)
-    last: TimeSpent = TimeSpent()  # breakdown of the task that ended last
+    last: LatencyBreakdown = LatencyBreakdown()  # breakdown of the task that ended last
 
     def task(self, index: int) -> _TaskTimes:
         """Return the times of a task, which starts to wait when the step becomes ready."""
@@ -119,7 +119,7 @@
     def __init__(self) -> None:
         self._steps: dict[StepKey, _StepTimes] = {}
         # (job, time) -> step -> (end, breakdown)
-        self._done: dict[tuple[str, int], dict[int, tuple[float, TimeSpent]]] = {}
+        self._done: dict[tuple[str, int], dict[int, tuple[float, LatencyBreakdown]]] = {}
 
     @property
     def is_empty(self) -> bool:
@@ -157,7 +157,7 @@
             return
         ran_s = elapsed_s if task.ran_s is None else min(elapsed_s, task.ran_s)
         far_s = ran_s if task.far else 0.0
-        step.last = TimeSpent(task.waited_s, task.repeated_s, ran_s, elapsed_s - ran_s, estimate_s, far_s)
+        step.last = LatencyBreakdown(task.waited_s, task.repeated_s, ran_s, elapsed_s - ran_s, estimate_s, far_s)
 
     def step_done(self, job: Job, key: StepKey, now: float) -> None:
         """Record the end of a step: its breakdown is added to that of the dependency that finished last."""
@@ -178,7 +178,7 @@
         objective_s = job.objective_ms / 1000
         if total_s <= objective_s:
             return None
-        spent = max(done.values(), key=lambda entry: entry[0])[1] if done else TimeSpent()
+        spent = max(done.values(), key=lambda entry: entry[0])[1] if done else LatencyBreakdown()
         return LateJob(job.name, time, job.terms.route, total_s, objective_s, spent)
 
     def forget(self, job: str, time: int, steps: int) -> None:
--- a/tests/test_job_times.py
+++ b/tests/test_job_times.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from millethead.control.job_times import LateJob, LatencyTracker, TimeSpent
+from millethead.control.job_times import LateJob, LatencyBreakdown, LatencyTracker
 from millethead.execution.messages import Resources, RunEnd
 from millethead.jobs.commands import QueueTerms
 from millethead.jobs.description import JobDescription, StepDescription
@@ -71,7 +71,7 @@
     times.step_done(joined, last, 4.0)
     late = times.time_over(joined, 0, 4.0)
     assert late is not None
-    assert late.spent == TimeSpent(0.5, 0.0, 3.5, 0.0, 1.0, 0.0)
+    assert late.spent == LatencyBreakdown(0.5, 0.0, 3.5, 0.0, 1.0, 0.0)
 
 
 def test_job_in_time_is_not_reported_and_leaves_no_state() -> None:
