--- a/millethead/control/inspect.py
+++ b/millethead/control/inspect.py
@@ -171,7 +171,7 @@
 # ---- building --------------------------------------------------------------------------------------------
 
 
-class HeadFacts(Protocol):
+class ReportSource(Protocol):
     """The parts of a head that the reports read."""
 
     @property
@@ -196,7 +196,7 @@
     def clock(self) -> HeadClock: ...
 
 
-def inspect(head: HeadFacts, what: str) -> bytes:
+def inspect(head: ReportSource, what: str) -> bytes:
     """Return one report as JSON.
 
     `what` is "status" (StatusReport), "jobs" or "jobs:QUEUE" (a list of JobSummary), or "job:ID" (JobReport, or null
@@ -211,7 +211,7 @@
     return msgspec.json.encode(status_report(head))
 
 
-def status_report(head: HeadFacts) -> StatusReport:
+def status_report(head: ReportSource) -> StatusReport:
     """Return the core as the head sees it at this moment, without confirmation by a barrier."""
     view, state = head.view, head.state
     chain = [place.member for place in view.chain]
@@ -238,7 +238,7 @@
     return VoterReport(voter.address, f"{voter.disk:016x}", chain.index(voter) if voter in chain else None)
 
 
-def _queues(head: HeadFacts) -> tuple[QueueReport, ...]:
+def _queues(head: ReportSource) -> tuple[QueueReport, ...]:
     counts: dict[str, Counter[str]] = {}
     for job in head.state.jobs.jobs.values():
         counts.setdefault(job.terms.route, Counter())[_phase(job)] += 1
@@ -249,7 +249,7 @@
     )
 
 
-def _workers(head: HeadFacts) -> Iterator[WorkerReport]:
+def _workers(head: ReportSource) -> Iterator[WorkerReport]:
     runs = Counter(task.instance for _, task in head.state.jobs.open_runs())
     for worker in head.agents.workers.values():
         scheduled = head.scheduler.worker(worker.instance)
@@ -278,12 +278,12 @@
     return job.phase.name.lower()
 
 
-def _jobs(head: HeadFacts, queue: str) -> list[JobSummary]:
+def _jobs(head: ReportSource, queue: str) -> list[JobSummary]:
     jobs = [job for job in head.state.jobs.jobs.values() if not queue or job.terms.route == queue]
     return [_summary(head, job) for job in jobs[-MAX_JOBS_SHOWN:]]
 
 
-def _summary(head: HeadFacts, job: Job) -> JobSummary:
+def _summary(head: ReportSource, job: Job) -> JobSummary:
     waiting: Counter[str] = Counter()
     done = running = 0
     for step in _steps(head, job):
@@ -293,7 +293,7 @@
     return JobSummary(job.name, job.terms.route, _phase(job), job.submitted_ms, done, running, dict(waiting))
 
 
-def _job(head: HeadFacts, job: Job) -> JobReport:
+def _job(head: ReportSource, job: Job) -> JobReport:
     return JobReport(
         job.name,
         job.terms.route,
@@ -315,13 +315,13 @@
     return job.description.due_ms(next_time)
 
 
-def _steps(head: HeadFacts, job: Job) -> Iterator[StepReport]:
+def _steps(head: ReportSource, job: Job) -> Iterator[StepReport]:
     for time in sorted(job.times)[-MAX_TIMES_SHOWN:]:
         for number, state in enumerate(job.times[time].steps):
             yield _step(head, job, StepKey(job.name, time, number), state)
 
 
-def _step(head: HeadFacts, job: Job, key: StepKey, state: StepState) -> StepReport:
+def _step(head: ReportSource, job: Job, key: StepKey, state: StepState) -> StepReport:
     waiting: Counter[str] = Counter()
     running = []
     for index, task in enumerate(state.tasks):
@@ -340,7 +340,7 @@
     )
 
 
-def _wait_reason(head: HeadFacts, job: Job, key: StepKey, index: int) -> str:
+def _wait_reason(head: ReportSource, job: Job, key: StepKey, index: int) -> str:
     steps = job.times[key.time].steps
     if not all(steps[other].done for other in job.description.steps[key.step].dependencies):
         return Waiting.DEPENDENCIES.value
