--- a/millethead/control/inspect.py
+++ b/millethead/control/inspect.py
@@ -28,7 +28,7 @@
 STATUS, JOBS, JOB = "status", "jobs", "job"  # names of reports; the last two take a colon and a name
 
 
-class Waiting(StrEnum):
+class HeadWaitReason(StrEnum):
     """Reasons why a task waits that the scheduler does not know of."""
 
     DEPENDENCIES = "steps that it depends on"
@@ -343,6 +343,6 @@
 def _wait_reason(head: ReportSource, job: Job, key: StepKey, index: int) -> str:
     steps = job.times[key.time].steps
     if not all(steps[other].done for other in job.description.steps[key.step].dependencies):
-        return Waiting.DEPENDENCIES.value
+        return HeadWaitReason.DEPENDENCIES.value
     reason = head.scheduler.why_waiting(key, index, head.clock.now())
-    return Waiting.PAUSE.value if reason is WaitReason.NOT_WAITING else str(reason.value)
+    return HeadWaitReason.PAUSE.value if reason is WaitReason.NOT_WAITING else str(reason.value)
--- a/tests/test_system_docs.py
+++ b/tests/test_system_docs.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from millethead.__main__ import SYSTEM_COMMANDS
-from millethead.control.inspect import Waiting
+from millethead.control.inspect import HeadWaitReason
 from millethead.programs.command_line import ExitCode
 from millethead.scheduling.model import WaitReason
 
@@ -43,7 +43,7 @@
     rows = [row.split("|")[1] for row in section("Why a task waits").splitlines() if row.startswith("| `")]
     reasons = {reason.value for reason in WaitReason} - {WaitReason.NOT_WAITING.value}
     assert {text for row in rows for text in re.findall(r"`([^`]+)`", row)} == reasons | {
-        reason.value for reason in Waiting
+        reason.value for reason in HeadWaitReason
     }
 
 
