--- a/millethead/control/feeder.py
+++ b/millethead/control/feeder.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Clock:
+class Moment:
     """One moment on both clocks: monotonic time in seconds and time of day in milliseconds."""
 
     now: float
@@ -66,7 +66,7 @@
 
     # ---- start of an epoch -------------------------------------------------------------------------------
 
-    def take_over(self, moment: Clock) -> None:
+    def take_over(self, moment: Moment) -> None:
         """Rebuild the scheduler's state from the replicated state at the start of an epoch."""
         for job in list(self._jobs.jobs.values()):
             self.job_submitted(job, moment)
@@ -86,7 +86,7 @@
 
     # ---- jobs --------------------------------------------------------------------------------------------
 
-    def job_submitted(self, job: Job, moment: Clock) -> None:
+    def job_submitted(self, job: Job, moment: Moment) -> None:
         """Add a job: its ready steps go to the scheduler, and its next time is put on the calendar if it repeats."""
         if job.phase.over:
             return
@@ -105,13 +105,13 @@
         if time < job.time_count():
             heapq.heappush(self._calendar, (job.description.due_ms(time), job.name, time))
 
-    def _add_ready_steps(self, job: Job, time: int, moment: Clock) -> None:
+    def _add_ready_steps(self, job: Job, time: int, moment: Moment) -> None:
         """Add the ready steps of a job at one time to the scheduler."""
         for number, step in enumerate(job.at_time(time).steps):
             if not step.done and job.step_ready(time, number):
                 self._add_step(job, StepKey(job.name, time, number), moment)
 
-    def _add_step(self, job: Job, key: StepKey, moment: Clock) -> None:
+    def _add_step(self, job: Job, key: StepKey, moment: Moment) -> None:
         """Add a step to the scheduler, with its waiting tasks, unless it has been added before."""
         if key in self._steps:
             return
@@ -172,7 +172,7 @@
             gangs[key] = max(task.run for task in step.tasks) + 1
         return gangs[key]
 
-    def runs_opened(self, assignments: tuple[Assignment, ...], moment: Clock) -> None:
+    def runs_opened(self, assignments: tuple[Assignment, ...], moment: Moment) -> None:
         """Tell the scheduler the run numbers of new assignments."""
         for assignment in assignments:
             run = assignment.run
@@ -195,7 +195,7 @@
         self._scheduler.run_lasted(key, run.index, instance, run.run, seconds)
         self._latency.run_lasted(key, run.index, seconds)
 
-    def runs_closed(self, outcome: Outcome, moment: Clock) -> None:
+    def runs_closed(self, outcome: Outcome, moment: Moment) -> None:
         """Apply the outcome of a command: ended runs, finished steps and finished jobs."""
         for closed in outcome.closed:
             self._run_closed(closed.ended, closed.instance, moment)
@@ -208,7 +208,7 @@
         for name in outcome.finished_jobs:
             self.job_over(self._jobs.jobs[name])
 
-    def _run_closed(self, ended: EndedRun, instance: str, moment: Clock) -> None:
+    def _run_closed(self, ended: EndedRun, instance: str, moment: Moment) -> None:
         run = ended.run
         key = StepKey(run.job, run.time, run.step)
         self._scheduler.run_ended(key, run.index, instance, run.run, ended.how, moment.now)
@@ -230,14 +230,14 @@
         else:
             self._queue_task(job, key, run.index, moment)
 
-    def _queue_task(self, job: Job, key: StepKey, index: int, moment: Clock) -> None:
+    def _queue_task(self, job: Job, key: StepKey, index: int, moment: Moment) -> None:
         task = job.at_time(key.time).steps[key.step].tasks[index]
         avoid = self._failed_on.get((key, index), frozenset())
         pending = PendingTask(index, self._checkpoint(job, key, task), moment.now, avoid)
         if key in self._steps:
             self._scheduler.task_waits(key, pending, moment.now)
 
-    def _backoff_s(self, job: Job, key: StepKey, index: int, how: RunEnd, moment: Clock) -> float:
+    def _backoff_s(self, job: Job, key: StepKey, index: int, how: RunEnd, moment: Moment) -> float:
         """Return for how many seconds a task waits before it may be scheduled again; 0 for immediately."""
         long_running = job.description.steps[key.step].long_running
         if how is RunEnd.NEVER:
@@ -262,7 +262,7 @@
         self._backoffs.pop((key, index), None)
         self._failed_on.pop((key, index), None)
 
-    def _time_done(self, job: Job, time: int, moment: Clock) -> None:
+    def _time_done(self, job: Job, time: int, moment: Moment) -> None:
         """All steps of a job are done at one time: if it was late, keep the breakdown of its latency for the log."""
         start_ms = job.description.due_ms(time) or job.submitted_ms
         late = self._latency.time_over(job, time, (moment.wall_ms - start_ms) / 1000)
@@ -274,7 +274,7 @@
         late, self._late_jobs = self._late_jobs, []
         return late
 
-    def _step_finished(self, job: Job, key: StepKey, moment: Clock) -> None:
+    def _step_finished(self, job: Job, key: StepKey, moment: Moment) -> None:
         self._remove(key)
         if not job.phase.over:
             self._add_ready_steps(job, key.time, moment)
@@ -298,7 +298,7 @@
 
     # ---- time --------------------------------------------------------------------------------------------
 
-    def wake(self, moment: Clock) -> bool:
+    def wake(self, moment: Moment) -> bool:
         """Add what has become due, that is times of repeated jobs and tasks after a backoff; return whether there was
         any.
         """
@@ -321,7 +321,7 @@
                 self._queue_task(job, key, index, moment)
         return any_due
 
-    def next_wake(self, moment: Clock) -> float:
+    def next_wake(self, moment: Moment) -> float:
         """Return the monotonic time at which `wake` next has something to add."""
         due = moment.steady(self._calendar[0][0]) if self._calendar else float("inf")
         backoff_end = self._backing_off[0][0] if self._backing_off else float("inf")
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -39,7 +39,7 @@
 )
 from millethead.control.configuration_stream import CallerSession, ConfigurationStream, StoredConfiguration
 from millethead.control.drains import OK, DrainReason, drain_answer, runs_to_evacuate
-from millethead.control.feeder import Clock, SchedulerSync
+from millethead.control.feeder import Moment, SchedulerSync
 from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_INTERVAL_S, purge_command, trim_command
 from millethead.control.inspect import inspect
 from millethead.control.rounds import HeadClock, SchedulingLoop, read_clocks
@@ -116,7 +116,7 @@
         self.feeder.take_over(self._now())
         self.rounds.want()
 
-    def _now(self) -> Clock:
+    def _now(self) -> Moment:
         return read_clocks(self.clock)
 
     def leads_on(self, view: View) -> None:
--- a/millethead/control/rounds.py
+++ b/millethead/control/rounds.py
@@ -11,7 +11,7 @@
 
 from millethead.control.agents import AgentRegistry, WorkerOrders
 from millethead.control.commit import CommitGate, Committed, split_committed
-from millethead.control.feeder import Clock, SchedulerSync
+from millethead.control.feeder import Moment, SchedulerSync
 from millethead.execution.messages import RunEnd, RunOrder
 from millethead.jobs.commands import Assignment, AssignRuns, TaskRun
 from millethead.jobs.state import JobTable
@@ -33,9 +33,9 @@
     def later(self, delay_s: float, call: Callable[[], None]) -> None: ...
 
 
-def read_clocks(clock: HeadClock) -> Clock:
+def read_clocks(clock: HeadClock) -> Moment:
     """Read both clocks."""
-    return Clock(clock.now(), clock.wall_ms())
+    return Moment(clock.now(), clock.wall_ms())
 
 
 class SchedulingLoop:
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -26,7 +26,7 @@
 )
 from millethead.control.commit import CommitGate, Committed
 from millethead.control.configuration_stream import CallerSession
-from millethead.control.feeder import Clock, SchedulerSync
+from millethead.control.feeder import Moment, SchedulerSync
 from millethead.control.head import Head
 from millethead.control.housekeeping import PURGE_INTERVAL_S, RETENTION_MARGIN_S
 from millethead.control.rounds import MIN_PASS_INTERVAL_S
@@ -1163,11 +1163,11 @@
     harness = Bench()
     harness.ask("POST", body=timed(3, 1000, 500))
     feeder = harness.head.feeder
-    clock = Clock(500.0, WALL_MS)
+    clock = Moment(500.0, WALL_MS)
     assert feeder.next_wake(clock) == pytest.approx(501.0)
     assert not feeder.wake(clock)
-    assert feeder.wake(Clock(501.2, WALL_MS + 1200))
-    assert feeder.next_wake(Clock(501.2, WALL_MS + 1200)) == pytest.approx(501.5)
+    assert feeder.wake(Moment(501.2, WALL_MS + 1200))
+    assert feeder.next_wake(Moment(501.2, WALL_MS + 1200)) == pytest.approx(501.5)
 
 
 def test_ended_job_is_removed_from_the_scheduler() -> None:
