--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 from test_command_line import Core, core, run  # noqa: F401
-from test_head import NAME, OTHER, Bench, document, ended, job, task, worker
+from test_head import NAME, OTHER, HeadHarness, document, ended, job, task, worker
 
 from millethead.control.calls import CallAnswer, DrainCall
 from millethead.control.drains import DrainReport
@@ -22,13 +22,13 @@
 from millethead.rpc.codec import encode
 
 
-def drain(harness: Bench, node: str, out: bool = True, number: int = 500) -> CallAnswer | None:
+def drain(harness: HeadHarness, node: str, out: bool = True, number: int = 500) -> CallAnswer | None:
     """Send a drain call; return its answer if there is one immediately."""
     harness.head.call(harness.caller, DrainCall(number, node, out))
     return harness.answers().get(number)
 
 
-def drain_and_settle(harness: Bench, node: str, out: bool = True) -> CallAnswer:
+def drain_and_settle(harness: HeadHarness, node: str, out: bool = True) -> CallAnswer:
     """Send a drain call and return its answer after the commit."""
     drain(harness, node, out)
     harness.settle()
@@ -43,7 +43,7 @@
 
 
 def test_drained_node_gets_no_new_runs_and_finishes_its_open_ones():
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent(info=worker())
     assert harness.ask("POST", NAME, job({"count": 2})) == (200, {})
     harness.settle()
@@ -59,7 +59,7 @@
 
 
 def test_node_gets_tasks_again_after_the_drain_is_undone():
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent(info=worker())
     drain_and_settle(harness, "n-1")
     assert harness.ask("POST", NAME, job()) == (200, {})
@@ -71,7 +71,7 @@
 
 
 def test_long_running_tasks_move_to_another_node():
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent(info=worker())
     harness.ask("POST", NAME, job({"count": 1, "long_running": True}))
     harness.settle()
@@ -85,7 +85,7 @@
 
 
 def test_drain_is_answered_after_its_commit():
-    harness = Bench()
+    harness = HeadHarness()
     harness.agent(info=worker())
     assert drain(harness, "n-1") is None
     harness.settle()
@@ -93,7 +93,7 @@
 
 
 def test_drain_outlives_the_worker_instance_and_the_head():
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent(info=worker())
     drain_and_settle(harness, "n-1")
     agent.send(WorkerUpdate(worker("i-9")))
@@ -102,7 +102,7 @@
     assert agent.orders() == []
     copy = ControlState()
     copy.restore(harness.state.snapshot())
-    later = Bench(copy, epoch=2)
+    later = HeadHarness(copy, epoch=2)
     agent_after_change = later.agent(info=worker("i-9"))
     later.pass_time(2.0)
     assert agent_after_change.orders() == []
@@ -112,7 +112,7 @@
 
 
 def test_only_connected_nodes_are_drained_but_any_drain_can_be_undone():
-    harness = Bench()
+    harness = HeadHarness()
     refused = drain_and_settle(harness, "n-7")
     assert refused.status == 404 and b"n-7" in refused.body
     assert len(harness.state.drained) == 0 and harness.proposed(DrainNode) == []
@@ -124,7 +124,7 @@
 
 
 def test_repeated_drain_proposes_nothing():
-    harness = Bench()
+    harness = HeadHarness()
     harness.agent(info=worker())
     assert report(drain_and_settle(harness, "n-1")) == report(drain_and_settle(harness, "n-1"))
     assert harness.proposed(DrainNode) == [DrainNode("n-1", True)]
@@ -133,7 +133,7 @@
 def test_number_of_drained_nodes_is_limited(monkeypatch):
     monkeypatch.setattr(drained, "MOST_DRAINED", 1)
     monkeypatch.setattr("millethead.control.drains.MOST_DRAINED", 1)
-    harness = Bench()
+    harness = HeadHarness()
     for node in ("n-1", "n-2"):
         harness.agent(node, worker(f"i-{node}"))
     assert drain_and_settle(harness, "n-1").status == 200
@@ -144,7 +144,7 @@
 
 
 def test_snapshot_of_the_first_format_is_restored():
-    harness = Bench()
+    harness = HeadHarness()
     harness.ask("POST", NAME, job())
     first = StateSnapshotV1(harness.state.configuration.encode(), encode_table(harness.state.jobs))
     copy = ControlState()
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -185,7 +185,7 @@
     return WorkerInfo(**fields)
 
 
-class Bench:
+class HeadHarness:
     """A head with a fake chain, a fake clock and the session of one caller."""
 
     def __init__(
@@ -266,7 +266,7 @@
 class Agent:
     """The agent's end of a session."""
 
-    def __init__(self, harness: Bench, node: str) -> None:
+    def __init__(self, harness: HeadHarness, node: str) -> None:
         self.harness, self.link = harness, FakeLink()
         self.session: AgentSession = harness.head.agent_hello(self.link, AgentHello(node, 1, 0, "z", "a:1", "alpha"))
         self._sequence = 0
@@ -392,7 +392,7 @@
 
 
 def test_new_caller_gets_welcome_and_configuration() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     link = FakeLink()
     caller = harness.head.caller_hello(link, CallerHello("d2", 0, 0, NO_PLACE, True))
     assert link.take(CallerWelcome)[0].serving
@@ -404,7 +404,7 @@
 
 
 def test_caller_with_the_current_configuration_gets_no_update() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     link = FakeLink()
     harness.head.caller_hello(link, CallerHello("d2", 0, 1, LogPlace(1, 1), True))
     harness.settle()
@@ -412,7 +412,7 @@
 
 
 def test_new_configuration_is_sent_to_all_connected_callers() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     gone = harness.head.caller_hello(FakeLink(), CallerHello("d2", 0, 1, LogPlace(1, 1), True))
     harness.head.caller_gone(gone)
     harness.link.take(ConfigurationUpdate)
@@ -424,7 +424,7 @@
     """The call may have been delayed in a socket while another head answered it differently. Only calls of the present
     epoch count.
     """
-    harness = Bench(epoch=6)
+    harness = HeadHarness(epoch=6)
     post = JobCall(70, "POST", "jobs.example", f"/slow/{NAME}", job())
     for epoch in (5, 7):
         harness.head.caller_record(harness.caller, HeadCall(epoch, encode_any(post)))
@@ -436,7 +436,7 @@
 
 
 def test_answer_carries_the_epoch_of_the_head() -> None:
-    harness = Bench(epoch=6)
+    harness = HeadHarness(epoch=6)
     sent: list[Record] = []
     harness.caller.link.link.send = sent.append  # type: ignore[attr-defined]
     harness.call("GET")
@@ -446,7 +446,7 @@
 
 def test_new_caller_gets_no_uncommitted_configuration() -> None:
     """The barrier has passed, but the entry of version 2 is only applied and may never be committed."""
-    harness = Bench()
+    harness = HeadHarness()
     harness.head.call(harness.caller, ConfigurationCall(77, "PUT", 1, document(2)))
     link = FakeLink()
     harness.head.caller_hello(link, CallerHello("d2", 0, 0, NO_PLACE, True))
@@ -459,7 +459,7 @@
 
 
 def test_each_of_two_pending_orders_is_published_with_its_own_commit() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     harness.link.take(ConfigurationUpdate)
     first = len(harness.chain.log) + 1
     harness.head.call(harness.caller, ConfigurationCall(77, "PUT", 1, document(2)))
@@ -474,7 +474,7 @@
 
 
 def test_caller_with_an_uncommitted_configuration_has_to_replace_it() -> None:
-    harness = Bench(epoch=3)
+    harness = HeadHarness(epoch=3)
     link = FakeLink()
     with structlog.testing.capture_logs() as lines:
         harness.head.caller_hello(link, CallerHello("d2", 0, 9, LogPlace(2, 50), True))
@@ -485,7 +485,7 @@
 
 
 def test_caller_with_an_older_committed_configuration_gets_a_normal_update() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     before = harness.state.configuration.place
     assert harness.configure(document(2), 1) == 200
     link = FakeLink()
@@ -495,7 +495,7 @@
 
 
 def test_new_agent_session_gets_no_uncommitted_cancel() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
     harness.call("DELETE")
@@ -513,7 +513,7 @@
     """The complete list is built while the stop order waits for its commit. If it still listed the run, the agent would
     start the run again.
     """
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
     harness.call("DELETE")
@@ -523,7 +523,7 @@
 
 
 def test_order_based_on_a_future_version_stays_refused() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     assert harness.configure(document(9), 5) == 412
     assert harness.configure(document(5), 1) == 200
     assert harness.configure(document(9), 5) == 412, "a delayed copy"
@@ -531,7 +531,7 @@
 
 
 def test_configuration_is_published_after_its_commit() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     harness.link.take(ConfigurationUpdate)
     harness.head.call(harness.caller, ConfigurationCall(77, "PUT", 1, document(2)))
     harness.clock.run()
@@ -541,7 +541,7 @@
 
 
 def test_answers_to_configuration_calls() -> None:
-    harness = Bench(configured=False)
+    harness = HeadHarness(configured=False)
     harness.head.call(harness.caller, ConfigurationCall(1, "GET", None, b""))
     harness.settle()
     assert harness.answers()[1].status == 404
@@ -560,7 +560,7 @@
 
 
 def test_job_before_the_first_configuration_is_refused() -> None:
-    harness = Bench(configured=False)
+    harness = HeadHarness(configured=False)
     assert harness.ask("POST", body=job())[0] == 503
     assert not harness.proposed(SubmitJob)
 
@@ -579,18 +579,18 @@
     ],
 )
 def test_refusals(method: str, name: str, path: str, status: int) -> None:
-    harness = Bench()
+    harness = HeadHarness()
     assert harness.ask(method, name, job(), path)[0] == status
     assert not harness.proposed(SubmitJob)
 
 
 def test_invalid_job_is_refused_with_all_findings() -> None:
-    status, answer = Bench().ask("POST", body=job({"count": 0, "cpu": -1}))
+    status, answer = HeadHarness().ask("POST", body=job({"count": 0, "cpu": -1}))
     assert status == 400 and len(answer["findings"]) == 2
 
 
 def test_repeated_job_is_submitted_once_and_acknowledged_after_its_commit() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     first, second = harness.call("POST", body=job()), harness.call("POST", body=job())
     harness.clock.run()
     assert not harness.answers()
@@ -600,7 +600,7 @@
 
 
 def test_job_and_queue_status() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     harness.ask("POST", body=job())
     assert harness.ask("GET") == (200, {"state": "queued"})
     assert harness.ask("GET", "") == (200, {"pending": 1})
@@ -616,7 +616,7 @@
 
 
 def test_cancel_is_acknowledged_after_its_commit() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     harness.ask("POST", body=job())
     number = harness.call("DELETE")
     harness.clock.run()
@@ -628,7 +628,7 @@
 
 def test_full_job_table_refuses_new_jobs_only(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("millethead.control.callers.MAX_JOBS", 1)
-    harness = Bench()
+    harness = HeadHarness()
     assert harness.ask("POST", body=job())[0] == 200
     assert harness.ask("POST", OTHER, job())[0] == 429
     assert harness.ask("POST", body=job())[0] == 200
@@ -636,7 +636,7 @@
 
 
 def test_inspection_is_answered() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     harness.agent()
     harness.head.call(harness.caller, InspectCall(5, "status"))
     harness.settle()
@@ -647,7 +647,7 @@
 
 
 def test_agent_is_welcomed_after_the_head_is_confirmed() -> None:
-    harness = Bench(epoch=6)
+    harness = HeadHarness(epoch=6)
     agent = Agent(harness, "n-1")
     harness.clock.run()
     assert not agent.link.take(AgentWelcome)
@@ -656,7 +656,7 @@
 
 
 def test_run_is_ordered_after_its_assignment_is_committed() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     agent.desired_runs()
     harness.call("POST", body=job({"count": 2}))
@@ -673,7 +673,7 @@
     """A worker's speed is judged from the durations that its agent measured, not from the times at which the reports
     arrive.
     """
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     assert harness.ask("POST", body=job({"count": 3}))[0] == 200
     harness.clock.at += 60.0
@@ -684,7 +684,7 @@
 
 
 def test_change_of_a_workers_standing_is_logged_once() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     harness.agent()
     for number in range(3):
         harness.head.scheduler.health.ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, harness.clock.at)
@@ -696,7 +696,7 @@
 
 def poll_intervals_ms(*steps: dict[str, Any]) -> list[int]:
     """Return the poll interval in ms that each run of a job allows: the least time between two polls of its worker."""
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     agent.desired_runs()
     assert harness.ask("POST", body=job(*steps))[0] == 200
@@ -711,7 +711,7 @@
 
 
 def test_new_session_gets_no_uncommitted_runs() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.call("POST", body=job())
     harness.commit()
@@ -726,7 +726,7 @@
 
 
 def test_next_run_has_a_higher_number_and_the_checkpoint() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job({"checkpoints": True}))
     assert agent.orders() == [f"{task()}#1"]
@@ -738,7 +738,7 @@
 
 
 def test_run_ends_are_acknowledged_after_their_commit() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
     sequence = agent.report(ended(task(), 1, RunEnd.DONE))
@@ -749,7 +749,7 @@
 
 
 def test_repeated_run_end_is_acknowledged_again() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
     for _ in range(2):
@@ -760,7 +760,7 @@
 
 
 def test_ends_of_unknown_runs_instances_and_jobs_change_nothing() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
     agent.report(ended(task(), 7, RunEnd.DONE))
@@ -773,7 +773,7 @@
 
 
 def test_resources_are_released_at_the_reported_end_not_at_the_stop() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job({"cpu": 4000}))
     harness.ask("POST", OTHER, job({"cpu": 4000}))
@@ -788,7 +788,7 @@
 
 
 def test_run_cancelled_before_its_commit_is_stopped_and_not_started() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     agent.desired_runs()
     harness.call("POST", body=job())
@@ -802,7 +802,7 @@
 
 
 def test_steps_wait_for_their_dependencies() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job({"count": 2}, {"deps": [0]}))
     assert sorted(agent.orders()) == [f"{task(0)}#1", f"{task(1)}#1"]
@@ -815,7 +815,7 @@
 
 
 def test_jobs_of_a_removed_queue_still_run() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     harness.ask("POST", body=job())
     assert harness.configure(document(2, fast={}).replace(b'"/slow/"', b'"/other/"'), 1) == 200
     agent = harness.agent()
@@ -827,7 +827,7 @@
 
 
 def test_gang_is_placed_completely_or_not_at_all() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job({"count": 5, "gang": True}))
     assert not agent.orders()
@@ -837,7 +837,7 @@
 
 
 def test_members_of_a_gang_get_the_same_next_run_number() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job({"count": 2, "gang": True}))
     agent.desired_runs()
@@ -847,7 +847,7 @@
 
 
 def test_gang_is_stopped_when_one_run_ends_and_restarts_after_all_ends() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job({"count": 3, "gang": True}))
     agent.desired_runs()
@@ -864,7 +864,7 @@
 
 def test_gang_returns_to_the_only_worker_where_it_fits() -> None:
     """A gang prefers workers on which it has not failed, but does not wait for them forever."""
-    harness = Bench()
+    harness = HeadHarness()
     first = harness.agent()
     second = harness.agent("n-2", worker("i-2"))
     harness.ask("POST", OTHER, job({"cpu": 4000, "long_running": True}))
@@ -886,7 +886,7 @@
 
 
 def test_times_start_when_they_are_due() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=timed(2, 4000, 3000))
     while harness.clock.wall_ms() < WALL_MS + 3500:
@@ -902,7 +902,7 @@
     """Time 0 finds no free worker and time 1 does. A new head knows only the committed run of time 1, but must run
     both.
     """
-    harness = Bench()
+    harness = HeadHarness()
     harness.agent()
     harness.ask("POST", OTHER, job({"cpu": 4000}))
     harness.ask("POST", body=timed(2, 100, 100))
@@ -914,14 +914,14 @@
         del times[time]
     state.jobs.jobs[NAME].at_time(1)  # as on a member that has applied a run of time 1 only
     harness.head.close()
-    successor = Bench(state, harness.clock, epoch=2)
+    successor = HeadHarness(state, harness.clock, epoch=2)
     agent = successor.agent("n-2", worker("i-2"))
     successor.pass_time(1.0)
     assert sorted(agent.orders()) == [f"{task()}#1", f"{task(time=1)}#1"]
 
 
 def test_long_running_task_is_restarted_within_three_seconds() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job({"long_running": True}))
     for number in range(1, 9):
@@ -936,7 +936,7 @@
 
 
 def test_rejected_task_is_retried_after_a_backoff() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
     agent.desired_runs()
@@ -951,7 +951,7 @@
 
 
 def test_lease_is_granted_after_the_head_is_confirmed() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent(leased=False)
     agent.send(LeaseRequest(12_345))
     harness.clock.run()
@@ -962,7 +962,7 @@
 
 
 def test_runs_of_a_lost_session_are_kept_until_the_lease_expires() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
     harness.head.agent_gone(agent.session)
@@ -974,12 +974,12 @@
 
 
 def test_new_head_waits_for_leases_of_earlier_heads() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     harness.agent()
     harness.ask("POST", body=job())
     state = ControlState()
     state.restore(harness.state.snapshot())
-    successor = Bench(state, harness.clock, epoch=2)
+    successor = HeadHarness(state, harness.clock, epoch=2)
     other = successor.agent("n-2", worker("i-2"))
     successor.pass_time(LEASE_S)
     assert not other.orders()
@@ -991,7 +991,7 @@
     """An agent that was stalled for longer than its lease must not start runs that have been assigned elsewhere since,
     even if its connection is still open.
     """
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
     harness.agent("n-2", worker("i-2"))
@@ -1000,7 +1000,7 @@
 
 
 def test_no_lease_is_granted_in_a_closed_session() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     agent.link.take(LeaseGrant)
     agent.send(LeaseRequest(5000))
@@ -1011,7 +1011,7 @@
 
 
 def test_agent_without_a_lease_gets_no_runs() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     harness.pass_time(LEASES_EXPIRED_S)
     agent = harness.agent(leased=False)
     harness.ask("POST", body=job())
@@ -1022,7 +1022,7 @@
 
 
 def test_worker_returns_after_its_lease_expired() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
     harness.pass_time(LEASES_EXPIRED_S + 1.0)
@@ -1033,7 +1033,7 @@
 
 
 def test_runs_of_an_ended_worker_instance_restart_at_once() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
     agent.desired_runs()
@@ -1044,7 +1044,7 @@
 
 
 def test_new_worker_instance_on_a_node_ends_the_previous_one() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
     agent.desired_runs()
@@ -1054,7 +1054,7 @@
 
 
 def test_worker_that_left_gets_no_runs() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     agent.desired_runs()
     agent.send(WorkerUpdate(None))
@@ -1063,7 +1063,7 @@
 
 
 def test_suspected_worker_gets_no_runs_until_it_answers_again() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     agent.desired_runs()
     agent.send(WorkerSuspected("i-1", 900))
@@ -1075,7 +1075,7 @@
 
 
 def test_draining_worker_gets_no_runs_and_long_runs_are_stopped() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job({"estimate_ms": 1000}))
     harness.ask("POST", OTHER, job({"estimate_ms": 60_000}))
@@ -1088,7 +1088,7 @@
 
 
 def test_new_session_gets_the_complete_list_with_pending_stops() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
     harness.ask("POST", OTHER, job())
@@ -1102,7 +1102,7 @@
 
 
 def test_later_session_of_a_node_replaces_the_earlier_one() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     first = harness.agent()
     second = harness.agent()
     assert first.link.closed
@@ -1114,13 +1114,13 @@
 
 
 def test_new_head_continues_with_open_runs() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     harness.agent()
     harness.ask("POST", body=job({"count": 2, "cpu": 2000}, {"deps": [0]}))
     harness.ask("POST", OTHER, job({"cpu": 2000}))
     state = ControlState()
     state.restore(harness.state.snapshot())
-    successor = Bench(state, harness.clock, epoch=2)
+    successor = HeadHarness(state, harness.clock, epoch=2)
     agent = successor.agent()
     assert sorted(set(agent.orders())) == [f"{task(0)}#1", f"{task(1)}#1"], "the worker has no more free resources"
     agent.report(ended(task(0), 1, RunEnd.DONE), ended(task(1), 1, RunEnd.DONE, 2))
@@ -1129,7 +1129,7 @@
 
 
 def test_head_sends_nothing_after_its_epoch() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     agent.desired_runs()
     harness.call("POST", body=job())
@@ -1142,7 +1142,7 @@
 
 
 def test_ended_jobs_are_purged_after_the_retention_period() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
     agent.report(ended(task(), 1, RunEnd.DONE))
@@ -1160,7 +1160,7 @@
 def test_next_time_of_a_repeated_job_is_added_when_due() -> None:
     state = ControlState()
     feeder = SchedulerSync(state.jobs, Scheduler(Random(1)), lambda run: None)
-    harness = Bench()
+    harness = HeadHarness()
     harness.ask("POST", body=timed(3, 1000, 500))
     feeder = harness.head.feeder
     clock = Moment(500.0, WALL_MS)
@@ -1171,7 +1171,7 @@
 
 
 def test_ended_job_is_removed_from_the_scheduler() -> None:
-    harness = Bench()
+    harness = HeadHarness()
     harness.ask("POST", body=job({"count": 3}))
     assert harness.head.scheduler.why_waiting(StepKey(NAME, 0, 0), 0, harness.clock.at).value != "not waiting"
     harness.ask("DELETE")
--- a/tests/test_large_state.py
+++ b/tests/test_large_state.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from random import Random
 
-from test_head import NAME, OTHER, Bench, ended, job, task
+from test_head import NAME, OTHER, HeadHarness, ended, job, task
 from test_replication import HEAD, MIDDLE, TAIL, VIEW, Link, Machine, Ports, Standing
 
 from millethead.control.admission import MB, MIN_JOB_BYTES, max_job_bytes
@@ -117,7 +117,7 @@
 
 
 def test_every_command_that_changes_a_job_has_it_encoded_again():
-    bench = Bench()
+    bench = HeadHarness()
     agent = bench.agent()
     encoder = TableEncoder(bench.state.jobs)
     encoder.prepare()
@@ -361,7 +361,7 @@
 
 
 def test_more_than_the_machine_holds_is_refused_with_a_time_to_come_back():
-    bench = Bench()
+    bench = HeadHarness()
     bench.head._call_handler._max_job_bytes = bench.state.jobs.held_bytes + 20_000
     body = job(spec="x" * 4000)
     assert bench.ask("POST", body=body)[0] == 200
@@ -376,7 +376,7 @@
 
 
 def test_of_a_job_that_has_ended_only_its_end_is_kept():
-    bench = Bench()
+    bench = HeadHarness()
     agent = bench.agent()
     assert bench.ask("POST", body=job(spec="secret" * 100))[0] == 200
     agent.report(ended(task(), 1, RunEnd.DONE))
@@ -394,7 +394,7 @@
 
 
 def test_a_cancelled_job_keeps_what_its_open_runs_need():
-    bench = Bench()
+    bench = HeadHarness()
     bench.agent()
     assert bench.ask("POST", body=job())[0] == 200
     assert bench.ask("DELETE")[0] == 200
--- a/tests/test_leading_on.py
+++ b/tests/test_leading_on.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from test_head import Bench, FakeLink, job, worker
+from test_head import FakeLink, HeadHarness, job, worker
 from test_leaving import Surroundings, replica_of
 from test_replication import Gate
 
@@ -136,7 +136,7 @@
 
 
 def test_agents_and_callers_stay_and_calls_of_either_epoch_are_taken() -> None:
-    bench = Bench(epoch=4)
+    bench = HeadHarness(epoch=4)
     agent = bench.agent("n-1", worker())
     bench.settle()
     agent.link.sent.clear()
@@ -158,7 +158,7 @@
 
 def test_a_caller_that_has_not_acknowledged_the_configuration_gets_it_again() -> None:
     """It may have heard of the next view before, and passed over what came under the one before it."""
-    bench = Bench(epoch=4)
+    bench = HeadHarness(epoch=4)
     bench.link.sent.clear()
     bench.head.leads_on(View(5, (), ()))
     bench.settle()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -12,7 +12,7 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 from test_agent import Desk
-from test_head import NAME, Bench, job, worker
+from test_head import NAME, HeadHarness, job, worker
 from test_system_docs import section
 
 from millethead.control.calls import ConfigurationAck, DrainCall
@@ -71,7 +71,7 @@
 
 
 def test_head_metrics():
-    harness = Bench()
+    harness = HeadHarness()
     harness.agent(info=worker())
     harness.agent("n-2", worker("i-2"))
     harness.ask("POST", NAME, job({"count": 3}))
@@ -88,7 +88,7 @@
 
 
 def test_worker_with_failing_runs_counts_as_avoided():
-    harness = Bench()
+    harness = HeadHarness()
     harness.agent(info=worker())
     for number in range(3):
         harness.head.scheduler.health.ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, 0.0)
@@ -96,7 +96,7 @@
 
 
 def test_worker_without_its_agent_counts_as_agent_away():
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent(info=worker())
     harness.head.agent_gone(agent.session)
     assert read(head_figures(harness.head))["workers", "alpha", "agent_away"] == 1
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from test_head import OTHER, Agent, Bench, ended, job, task, worker
+from test_head import OTHER, Agent, HeadHarness, ended, job, task, worker
 
 from millethead.control.silence import RESPONSE_TIMEOUT_S, STALL_THRESHOLD_S, FailureDetector
 from millethead.execution.messages import LeaseRequest, RunEnd
@@ -20,14 +20,14 @@
     return found
 
 
-def two_agents() -> tuple[Bench, Agent, Agent]:
+def two_agents() -> tuple[HeadHarness, Agent, Agent]:
     """Return a head with two agents, each with a free worker."""
-    harness = Bench()
+    harness = HeadHarness()
     first = harness.agent("n-1", worker("i-1"))
     return harness, first, harness.agent("n-2", worker("i-2"))
 
 
-def run_on_first(harness: Bench, first: Agent, second: Agent, **step: bool) -> tuple[Agent, Agent]:
+def run_on_first(harness: HeadHarness, first: Agent, second: Agent, **step: bool) -> tuple[Agent, Agent]:
     """Run a job; return the agent that got it, then the other one."""
     harness.ask("POST", body=job(step))
     at_first, at_second = first.orders(), second.orders()
@@ -35,7 +35,7 @@
     return (first, second) if at_first else (second, first)
 
 
-def pass_time(harness: Bench, seconds: float, *responsive: Agent) -> None:
+def pass_time(harness: HeadHarness, seconds: float, *responsive: Agent) -> None:
     """Advance the time in small steps; the given agents keep requesting leases."""
     until = harness.clock.at + seconds
     while harness.clock.at < until:
@@ -78,7 +78,7 @@
 
 def test_agent_without_an_order_is_not_expected_to_respond() -> None:
     """The job of the only order is cancelled before its assignment is committed, so the agent is sent no order."""
-    harness = Bench()
+    harness = HeadHarness()
     agent = harness.agent("n-1", worker("i-1"))
     agent.desired_runs()
     harness.call("POST", body=job())
