--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -13,7 +13,7 @@
 
 from millethead.control.agent_watch import AgentMonitor
 from millethead.control.agents import LEASE_S, AgentRegistry, AgentSession, RunStop
-from millethead.control.callers import MAX_JOB_BYTES, CallHandler, Reply, StateChangeCallbacks
+from millethead.control.call_handler import MAX_JOB_BYTES, CallHandler, Reply, StateChangeCallbacks
 from millethead.control.calls import (
     CallAnswer,
     CallerHello,
--- a/millethead/lab/core_machine.py
+++ b/millethead/lab/core_machine.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Protocol
 
-from millethead.control.callers import CallHandler, StateChangeCallbacks
+from millethead.control.call_handler import CallHandler, StateChangeCallbacks
 from millethead.control.calls import CallAnswer, CallerHello, ConfigurationCall, JobCall
 from millethead.control.commit import CommitGate, CommittedLink, HeadLink
 from millethead.control.configuration_stream import CallerSession, ConfigurationStream
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -627,7 +627,7 @@
 
 
 def test_full_job_table_refuses_new_jobs_only(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("millethead.control.callers.MAX_JOBS", 1)
+    monkeypatch.setattr("millethead.control.call_handler.MAX_JOBS", 1)
     harness = HeadHarness()
     assert harness.ask("POST", body=job())[0] == 200
     assert harness.ask("POST", OTHER, job())[0] == 429
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -11,7 +11,7 @@
 import pytest
 
 from millethead.control.agents import AgentRegistry, AgentSession, WorkerOrders
-from millethead.control.callers import CallHandler
+from millethead.control.call_handler import CallHandler
 from millethead.control.commit import CommitGate, Committed
 from millethead.control.feeder import SchedulerSync
 from millethead.control.head import Head
