--- a/millethead/control/rounds.py
+++ b/millethead/control/rounds.py
@@ -11,7 +11,7 @@
 
 from millethead.control.agents import AgentRegistry, WorkerOrders
 from millethead.control.commit import CommitGate, Committed, split_committed
-from millethead.control.feeder import Moment, SchedulerSync
+from millethead.control.scheduler_sync import Moment, SchedulerSync
 from millethead.execution.messages import RunEnd, RunOrder
 from millethead.jobs.commands import Assignment, AssignRuns, TaskRun
 from millethead.jobs.state import JobTable
