--- a/millethead/control/inspect.py
+++ b/millethead/control/inspect.py
@@ -16,7 +16,7 @@
 from millethead.control.agents import AgentRegistry
 from millethead.control.commit import CommitGate
 from millethead.control.configuration_stream import ConfigurationStream
-from millethead.control.rounds import HeadClock
+from millethead.control.scheduling_loop import HeadClock
 from millethead.control.state import ControlState
 from millethead.jobs.state import Job, StepState
 from millethead.replication.view import Member, View
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -28,8 +28,8 @@
 from millethead.control.configuration_stream import CallerSession
 from millethead.control.head import Head
 from millethead.control.housekeeping import PURGE_INTERVAL_S, RETENTION_MARGIN_S
-from millethead.control.rounds import MIN_PASS_INTERVAL_S
 from millethead.control.scheduler_sync import Moment, SchedulerSync
+from millethead.control.scheduling_loop import MIN_PASS_INTERVAL_S
 from millethead.control.state import ControlState
 from millethead.execution.messages import (
     AgentHello,
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -14,8 +14,8 @@
 from millethead.control.call_handler import CallHandler
 from millethead.control.commit import CommitGate, Committed
 from millethead.control.head import Head
-from millethead.control.rounds import SchedulingLoop
 from millethead.control.scheduler_sync import SchedulerSync
+from millethead.control.scheduling_loop import SchedulingLoop
 from millethead.execution.actions import Action
 from millethead.execution.agent import Agent
 from millethead.execution.life import Life
