--- a/millethead/control/agent_watch.py
+++ b/millethead/control/agent_watch.py
@@ -11,7 +11,7 @@
 import structlog
 
 from millethead.control.agents import AgentRegistry, AgentSession
-from millethead.control.silence import FailureDetector
+from millethead.control.failure_detector import FailureDetector
 from millethead.execution.messages import RunEnd
 from millethead.jobs.commands import EndedRun, TaskRun
 from millethead.jobs.state import JobTable, Task
--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from millethead.control.commit import Committed, CommittedLink
-from millethead.control.silence import FailureDetector
+from millethead.control.failure_detector import FailureDetector
 from millethead.execution.messages import AgentHello, DesiredRuns, LeaseGrant, RunKey, RunOrder, WorkerInfo
 from millethead.jobs.commands import TaskRun, task_run
 from millethead.jobs.state import JobTable, Task
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -4,7 +4,7 @@
 
 from test_head import OTHER, Agent, HeadHarness, ended, job, task, worker
 
-from millethead.control.silence import RESPONSE_TIMEOUT_S, STALL_THRESHOLD_S, FailureDetector
+from millethead.control.failure_detector import RESPONSE_TIMEOUT_S, STALL_THRESHOLD_S, FailureDetector
 from millethead.execution.messages import LeaseRequest, RunEnd
 
 STEP_S = 0.1
