--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -39,8 +39,8 @@
 )
 from millethead.control.configuration_stream import CallerSession, ConfigurationStream, StoredConfiguration
 from millethead.control.drains import OK, DrainReason, drain_answer, runs_to_evacuate
-from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_INTERVAL_S, purge_command, trim_command
 from millethead.control.inspect import inspect
+from millethead.control.retention import PURGE_INTERVAL_S, TRIM_INTERVAL_S, purge_command, trim_command
 from millethead.control.scheduler_sync import Moment, SchedulerSync
 from millethead.control.scheduling_loop import HeadClock, SchedulingLoop, read_clocks
 from millethead.control.state import ControlState
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -27,7 +27,7 @@
 from millethead.control.commit import CommitGate, Committed
 from millethead.control.configuration_stream import CallerSession
 from millethead.control.head import Head
-from millethead.control.housekeeping import PURGE_INTERVAL_S, RETENTION_MARGIN_S
+from millethead.control.retention import PURGE_INTERVAL_S, RETENTION_MARGIN_S
 from millethead.control.scheduler_sync import Moment, SchedulerSync
 from millethead.control.scheduling_loop import MIN_PASS_INTERVAL_S
 from millethead.control.state import ControlState
--- a/tests/test_large_state.py
+++ b/tests/test_large_state.py
@@ -11,7 +11,7 @@
 from test_replication import HEAD, MIDDLE, TAIL, VIEW, Link, Machine, Ports, Standing
 
 from millethead.control.admission import MB, MIN_JOB_BYTES, max_job_bytes
-from millethead.control.housekeeping import PURGE_INTERVAL_S, TRIM_INTERVAL_S
+from millethead.control.retention import PURGE_INTERVAL_S, TRIM_INTERVAL_S
 from millethead.control.state import ControlState
 from millethead.execution.messages import RunEnd
 from millethead.jobs import snapshot as snapshots
