--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -11,7 +11,7 @@
 
 import structlog
 
-from millethead.control.agent_watch import AgentMonitor
+from millethead.control.agent_monitor import AgentMonitor
 from millethead.control.agents import LEASE_S, AgentRegistry, AgentSession, RunStop
 from millethead.control.call_handler import MAX_JOB_BYTES, CallHandler, Reply, StateChangeCallbacks
 from millethead.control.calls import (
