--- a/millethead/control/scheduler_sync.py
+++ b/millethead/control/scheduler_sync.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from millethead.configuration.model import Configuration
-from millethead.control.job_times import LateJob, LatencyTracker
+from millethead.control.job_latency import LateJob, LatencyTracker
 from millethead.execution.messages import RunEnd
 from millethead.jobs.commands import Assignment, EndedRun, TaskRun
 from millethead.jobs.state import Job, JobTable, Outcome, Task
--- a/tests/test_job_times.py
+++ b/tests/test_job_times.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from millethead.control.job_times import LateJob, LatencyBreakdown, LatencyTracker
+from millethead.control.job_latency import LateJob, LatencyBreakdown, LatencyTracker
 from millethead.execution.messages import Resources, RunEnd
 from millethead.jobs.commands import QueueTerms
 from millethead.jobs.description import JobDescription, StepDescription
