--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -102,7 +102,7 @@
     def leads_on(self, epoch: int) -> None:
         """Continue as the head in another view.
 
-        CallHandler that learned of the new view first may have ignored updates sent under the previous one. CallHandler that
+        Callers that learned of the new view first may have ignored updates sent under the previous one. Callers that
         have not acknowledged the newest configuration therefore get it again.
         """
         self._epoch = epoch
--- a/millethead/control/scheduling_loop.py
+++ b/millethead/control/scheduling_loop.py
@@ -114,7 +114,7 @@
             self._scheduler.task_waits(placement.key, PendingTask(placement.index, placement.checkpoint, now), now)
 
     def _orders(self, assignments: tuple[Assignment, ...]) -> tuple[WorkerOrders, ...]:
-        """Return the orders for split_committed worker, to be sent once the assignments are committed."""
+        """Return the orders for each worker, to be sent once the assignments are committed."""
         by_worker: dict[tuple[str, str], list[RunOrder]] = {}
         for assignment in assignments:
             task = self._jobs.task(assignment.run)
