--- a/millethead/control/failure_detector.py
+++ b/millethead/control/failure_detector.py
@@ -21,7 +21,7 @@
         self._unresponsive: dict[str, None] = {}
         self._checked_at = now
 
-    def await_word(self, node: str, now: float) -> None:
+    def expect_response(self, node: str, now: float) -> None:
         """Expect a response of a node's agent, because a record was sent to it."""
         if node not in self._unresponsive:
             self._pending_since.setdefault(node, now)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -46,8 +46,8 @@
 
 def test_node_is_unresponsive_after_the_response_timeout() -> None:
     silences = FailureDetector(0.0)
-    silences.await_word("n", 0.0)
-    silences.await_word("n", 0.3)  # the time of the first order counts
+    silences.expect_response("n", 0.0)
+    silences.expect_response("n", 0.3)  # the time of the first order counts
     assert check_until(silences, 0.0, RESPONSE_TIMEOUT_S) == []
     assert silences.look(RESPONSE_TIMEOUT_S + 0.01) == ["n"] and silences.is_silent("n")
     assert silences.look(RESPONSE_TIMEOUT_S + 0.05) == []  # reported once
@@ -56,14 +56,14 @@
 
 def test_response_in_time_clears_the_deadline() -> None:
     silences = FailureDetector(0.0)
-    silences.await_word("n", 0.0)
+    silences.expect_response("n", 0.0)
     assert not silences.heard("n")
     assert check_until(silences, 0.0, 2.0) == []
 
 
 def test_stall_of_the_head_extends_all_deadlines() -> None:
     silences = FailureDetector(0.0)
-    silences.await_word("n", 0.0)
+    silences.expect_response("n", 0.0)
     assert silences.look(STALL_THRESHOLD_S + 3.0) == []
     assert check_until(silences, STALL_THRESHOLD_S + 3.0, STALL_THRESHOLD_S + 3.0 + RESPONSE_TIMEOUT_S) == []
     assert silences.look(STALL_THRESHOLD_S + 3.0 + RESPONSE_TIMEOUT_S + 0.02) == ["n"]
