--- a/millethead/control/agent_monitor.py
+++ b/millethead/control/agent_monitor.py
@@ -45,7 +45,7 @@
 
     def heard(self, session: AgentSession) -> bool:
         """Handle the receipt of any record from an agent; return whether its worker became usable again."""
-        if not self._silences.heard(session.node) or session.info is None:
+        if not self._silences.record_response(session.node) or session.info is None:
             return False
         log.info("agent_heard", node=session.node)
         self._scheduler.put_worker(self._agents.worker_state(session, session.info))
--- a/millethead/control/failure_detector.py
+++ b/millethead/control/failure_detector.py
@@ -26,7 +26,7 @@
         if node not in self._unresponsive:
             self._pending_since.setdefault(node, now)
 
-    def heard(self, node: str) -> bool:
+    def record_response(self, node: str) -> bool:
         """Record a response of a node's agent; return whether the node counted as unresponsive."""
         self._pending_since.pop(node, None)
         was_unresponsive = node in self._unresponsive
@@ -39,7 +39,7 @@
 
     def forget(self, node: str) -> None:
         """Stop to expect a response of a node."""
-        self.heard(node)
+        self.record_response(node)
 
     def look(self, now: float) -> list[str]:
         """Return the nodes that count as unresponsive from now on.
