--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -113,7 +113,7 @@
 
     def _is_reachable(self, session: AgentSession, instance: str) -> bool:
         """Return whether tasks may be assigned to a worker."""
-        responsive = not self.silences.is_silent(session.node)
+        responsive = not self.silences.is_unresponsive(session.node)
         return session.leased and responsive and instance not in self._suspected
 
     def suspect(self, instance: str, now: float) -> WorkerState | None:
--- a/millethead/control/failure_detector.py
+++ b/millethead/control/failure_detector.py
@@ -33,7 +33,7 @@
         self._unresponsive.pop(node, None)
         return was_unresponsive
 
-    def is_silent(self, node: str) -> bool:
+    def is_unresponsive(self, node: str) -> bool:
         """Return whether a node has been found unresponsive and has not responded since."""
         return node in self._unresponsive
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -49,9 +49,9 @@
     silences.expect_response("n", 0.0)
     silences.expect_response("n", 0.3)  # the time of the first order counts
     assert check_until(silences, 0.0, RESPONSE_TIMEOUT_S) == []
-    assert silences.look(RESPONSE_TIMEOUT_S + 0.01) == ["n"] and silences.is_silent("n")
+    assert silences.look(RESPONSE_TIMEOUT_S + 0.01) == ["n"] and silences.is_unresponsive("n")
     assert silences.look(RESPONSE_TIMEOUT_S + 0.05) == []  # reported once
-    assert silences.record_response("n") and not silences.is_silent("n")
+    assert silences.record_response("n") and not silences.is_unresponsive("n")
 
 
 def test_response_in_time_clears_the_deadline() -> None:
