--- a/millethead/control/agent_monitor.py
+++ b/millethead/control/agent_monitor.py
@@ -65,7 +65,7 @@
     def look(self, now: float) -> bool:
         """Check for agents that have stopped responding; return whether there are new ones."""
         self.next_look = now + CHECK_INTERVAL_S
-        unresponsive = self._silences.look(now)
+        unresponsive = self._silences.check(now)
         for node in unresponsive:
             log.info("agent_silent", node=node)
             session = self._agents.sessions.get(node)
--- a/millethead/control/failure_detector.py
+++ b/millethead/control/failure_detector.py
@@ -41,7 +41,7 @@
         """Stop to expect a response of a node."""
         self.record_response(node)
 
-    def look(self, now: float) -> list[str]:
+    def check(self, now: float) -> list[str]:
         """Return the nodes that count as unresponsive from now on.
 
         If the head itself was stalled since the last check, all nodes get more time, because their responses may not
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -15,7 +15,7 @@
     found: list[str] = []
     now = begin
     while now < end:
-        found += silences.look(now)
+        found += silences.check(now)
         now += STEP_S
     return found
 
@@ -49,8 +49,8 @@
     silences.expect_response("n", 0.0)
     silences.expect_response("n", 0.3)  # the time of the first order counts
     assert check_until(silences, 0.0, RESPONSE_TIMEOUT_S) == []
-    assert silences.look(RESPONSE_TIMEOUT_S + 0.01) == ["n"] and silences.is_unresponsive("n")
-    assert silences.look(RESPONSE_TIMEOUT_S + 0.05) == []  # reported once
+    assert silences.check(RESPONSE_TIMEOUT_S + 0.01) == ["n"] and silences.is_unresponsive("n")
+    assert silences.check(RESPONSE_TIMEOUT_S + 0.05) == []  # reported once
     assert silences.record_response("n") and not silences.is_unresponsive("n")
 
 
@@ -64,9 +64,9 @@
 def test_stall_of_the_head_extends_all_deadlines() -> None:
     silences = FailureDetector(0.0)
     silences.expect_response("n", 0.0)
-    assert silences.look(STALL_THRESHOLD_S + 3.0) == []
+    assert silences.check(STALL_THRESHOLD_S + 3.0) == []
     assert check_until(silences, STALL_THRESHOLD_S + 3.0, STALL_THRESHOLD_S + 3.0 + RESPONSE_TIMEOUT_S) == []
-    assert silences.look(STALL_THRESHOLD_S + 3.0 + RESPONSE_TIMEOUT_S + 0.02) == ["n"]
+    assert silences.check(STALL_THRESHOLD_S + 3.0 + RESPONSE_TIMEOUT_S + 0.02) == ["n"]
 
 
 def test_run_of_an_unresponsive_agent_stays_while_its_lease_is_valid() -> None:
