--- a/millethead/control/agent_monitor.py
+++ b/millethead/control/agent_monitor.py
@@ -40,12 +40,12 @@
     ) -> None:
         self._jobs, self._agents, self._scheduler = jobs, agents, scheduler
         self._end, self._forget_worker = end, forget_worker
-        self._silences: FailureDetector = agents.silences
+        self._failure_detector: FailureDetector = agents.failure_detector
         self.next_look = now
 
     def heard(self, session: AgentSession) -> bool:
         """Handle the receipt of any record from an agent; return whether its worker became usable again."""
-        if not self._silences.record_response(session.node) or session.info is None:
+        if not self._failure_detector.record_response(session.node) or session.info is None:
             return False
         log.info("agent_heard", node=session.node)
         self._scheduler.put_worker(self._agents.worker_state(session, session.info))
@@ -54,7 +54,7 @@
     def gone(self, session: AgentSession) -> None:
         """Handle a closed agent connection. `AgentRegistry.disconnected` must have been called before."""
         if session.node not in self._agents.sessions:
-            self._silences.forget(session.node)
+            self._failure_detector.forget(session.node)
             self._mark_unreachable(session)
 
     def _mark_unreachable(self, session: AgentSession) -> None:
@@ -65,7 +65,7 @@
     def look(self, now: float) -> bool:
         """Check for agents that have stopped responding; return whether there are new ones."""
         self.next_look = now + CHECK_INTERVAL_S
-        unresponsive = self._silences.check(now)
+        unresponsive = self._failure_detector.check(now)
         for node in unresponsive:
             log.info("agent_silent", node=node)
             session = self._agents.sessions.get(node)
--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -68,7 +68,7 @@
         self._lease_ends: dict[str, float] = {}
         self.stopping: set[TaskRun] = set()  # the stop order has been sent or waits for its commit
         self._suspected: dict[str, float] = {}  # instance -> time of the last suspicion
-        self.silences = FailureDetector(now)
+        self.failure_detector = FailureDetector(now)
 
     # ---- sessions and worker instances -------------------------------------------------------------------
 
@@ -113,7 +113,7 @@
 
     def _is_reachable(self, session: AgentSession, instance: str) -> bool:
         """Return whether tasks may be assigned to a worker."""
-        responsive = not self.silences.is_unresponsive(session.node)
+        responsive = not self.failure_detector.is_unresponsive(session.node)
         return session.leased and responsive and instance not in self._suspected
 
     def suspect(self, instance: str, now: float) -> WorkerState | None:
--- a/millethead/control/scheduling_loop.py
+++ b/millethead/control/scheduling_loop.py
@@ -126,7 +126,7 @@
     def _send_committed(self, released: Committed[tuple[WorkerOrders, ...]]) -> None:
         for orders in split_committed(released):
             if self._agents.send_orders(orders):
-                self._agents.silences.expect_response(orders.value.node, self._clock.now())
+                self._agents.failure_detector.expect_response(orders.value.node, self._clock.now())
         self._finish_pass()
 
     def _finish_pass(self) -> None:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -10,12 +10,12 @@
 STEP_S = 0.1
 
 
-def check_until(silences: FailureDetector, begin: float, end: float) -> list[str]:
+def check_until(failure_detector: FailureDetector, begin: float, end: float) -> list[str]:
     """Run the check repeatedly, as the head does."""
     found: list[str] = []
     now = begin
     while now < end:
-        found += silences.check(now)
+        found += failure_detector.check(now)
         now += STEP_S
     return found
 
@@ -45,28 +45,28 @@
 
 
 def test_node_is_unresponsive_after_the_response_timeout() -> None:
-    silences = FailureDetector(0.0)
-    silences.expect_response("n", 0.0)
-    silences.expect_response("n", 0.3)  # the time of the first order counts
-    assert check_until(silences, 0.0, RESPONSE_TIMEOUT_S) == []
-    assert silences.check(RESPONSE_TIMEOUT_S + 0.01) == ["n"] and silences.is_unresponsive("n")
-    assert silences.check(RESPONSE_TIMEOUT_S + 0.05) == []  # reported once
-    assert silences.record_response("n") and not silences.is_unresponsive("n")
+    failure_detector = FailureDetector(0.0)
+    failure_detector.expect_response("n", 0.0)
+    failure_detector.expect_response("n", 0.3)  # the time of the first order counts
+    assert check_until(failure_detector, 0.0, RESPONSE_TIMEOUT_S) == []
+    assert failure_detector.check(RESPONSE_TIMEOUT_S + 0.01) == ["n"] and failure_detector.is_unresponsive("n")
+    assert failure_detector.check(RESPONSE_TIMEOUT_S + 0.05) == []  # reported once
+    assert failure_detector.record_response("n") and not failure_detector.is_unresponsive("n")
 
 
 def test_response_in_time_clears_the_deadline() -> None:
-    silences = FailureDetector(0.0)
-    silences.expect_response("n", 0.0)
-    assert not silences.record_response("n")
-    assert check_until(silences, 0.0, 2.0) == []
+    failure_detector = FailureDetector(0.0)
+    failure_detector.expect_response("n", 0.0)
+    assert not failure_detector.record_response("n")
+    assert check_until(failure_detector, 0.0, 2.0) == []
 
 
 def test_stall_of_the_head_extends_all_deadlines() -> None:
-    silences = FailureDetector(0.0)
-    silences.expect_response("n", 0.0)
-    assert silences.check(STALL_THRESHOLD_S + 3.0) == []
-    assert check_until(silences, STALL_THRESHOLD_S + 3.0, STALL_THRESHOLD_S + 3.0 + RESPONSE_TIMEOUT_S) == []
-    assert silences.check(STALL_THRESHOLD_S + 3.0 + RESPONSE_TIMEOUT_S + 0.02) == ["n"]
+    failure_detector = FailureDetector(0.0)
+    failure_detector.expect_response("n", 0.0)
+    assert failure_detector.check(STALL_THRESHOLD_S + 3.0) == []
+    assert check_until(failure_detector, STALL_THRESHOLD_S + 3.0, STALL_THRESHOLD_S + 3.0 + RESPONSE_TIMEOUT_S) == []
+    assert failure_detector.check(STALL_THRESHOLD_S + 3.0 + RESPONSE_TIMEOUT_S + 0.02) == ["n"]
 
 
 def test_run_of_an_unresponsive_agent_stays_while_its_lease_is_valid() -> None:
