--- a/millethead/control/agent_monitor.py
+++ b/millethead/control/agent_monitor.py
@@ -43,7 +43,7 @@
         self._failure_detector: FailureDetector = agents.failure_detector
         self.next_look = now
 
-    def heard(self, session: AgentSession) -> bool:
+    def record_received(self, session: AgentSession) -> bool:
         """Handle the receipt of any record from an agent; return whether its worker became usable again."""
         if not self._failure_detector.record_response(session.node) or session.info is None:
             return False
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -249,7 +249,7 @@
 
     def agent_record(self, session: AgentSession, record: Record) -> None:
         """Handle a record from an agent."""
-        if self._watch.heard(session):
+        if self._watch.record_received(session):
             self.rounds.want()
         match record:
             case LeaseRequest(sent_ms=sent_ms):
