--- a/millethead/control/agent_monitor.py
+++ b/millethead/control/agent_monitor.py
@@ -51,7 +51,7 @@
         self._scheduler.put_worker(self._agents.worker_state(session, session.info))
         return True
 
-    def gone(self, session: AgentSession) -> None:
+    def connection_closed(self, session: AgentSession) -> None:
         """Handle a closed agent connection. `AgentRegistry.disconnected` must have been called before."""
         if session.node not in self._agents.sessions:
             self._failure_detector.forget(session.node)
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -265,7 +265,7 @@
 
     def agent_gone(self, session: AgentSession) -> None:
         self.agents.disconnected(session)
-        self._watch.gone(session)
+        self._watch.connection_closed(session)
 
     def _lease_requested(self, session: AgentSession, sent_ms: int) -> None:
         # The lease starts at the time of the agent's request, before this member is confirmed as the head.
