--- a/millethead/control/agent_monitor.py
+++ b/millethead/control/agent_monitor.py
@@ -62,7 +62,7 @@
         if worker is not None:
             self._scheduler.put_worker(worker)
 
-    def look(self, now: float) -> bool:
+    def check_responses(self, now: float) -> bool:
         """Check for agents that have stopped responding; return whether there are new ones."""
         self.next_look = now + CHECK_INTERVAL_S
         unresponsive = self._failure_detector.check(now)
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -383,7 +383,7 @@
         if self.feeder.wake(moment):
             self.rounds.want()
         self.rounds.look(moment.now)
-        if moment.now >= self._watch.next_look and self._watch.look(moment.now):
+        if moment.now >= self._watch.next_look and self._watch.check_responses(moment.now):
             self.rounds.want()
         if moment.now >= self._next_check:
             self._next_check = moment.now + CHECK_INTERVAL_S
