--- a/millethead/control/agent_monitor.py
+++ b/millethead/control/agent_monitor.py
@@ -41,7 +41,7 @@
         self._jobs, self._agents, self._scheduler = jobs, agents, scheduler
         self._end, self._forget_worker = end, forget_worker
         self._failure_detector: FailureDetector = agents.failure_detector
-        self.next_look = now
+        self.next_check = now
 
     def record_received(self, session: AgentSession) -> bool:
         """Handle the receipt of any record from an agent; return whether its worker became usable again."""
@@ -64,7 +64,7 @@
 
     def check_responses(self, now: float) -> bool:
         """Check for agents that have stopped responding; return whether there are new ones."""
-        self.next_look = now + CHECK_INTERVAL_S
+        self.next_check = now + CHECK_INTERVAL_S
         unresponsive = self._failure_detector.check(now)
         for node in unresponsive:
             log.info("agent_silent", node=node)
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -383,7 +383,7 @@
         if self.feeder.wake(moment):
             self.rounds.want()
         self.rounds.look(moment.now)
-        if moment.now >= self._watch.next_look and self._watch.check_responses(moment.now):
+        if moment.now >= self._watch.next_check and self._watch.check_responses(moment.now):
             self.rounds.want()
         if moment.now >= self._next_check:
             self._next_check = moment.now + CHECK_INTERVAL_S
@@ -406,7 +406,7 @@
         if moment.now >= self._next_trim:
             self._next_trim = moment.now + TRIM_INTERVAL_S
             self._propose_if_any(trim_command(self.state.jobs.jobs.values()))
-        next_periodic = min(self._next_check, self._next_purge, self._next_trim, self._watch.next_look)
+        next_periodic = min(self._next_check, self._next_purge, self._next_trim, self._watch.next_check)
         return min(self.feeder.next_wake(moment), next_periodic, self.rounds.next_look)
 
     def _propose_if_any(self, command: Record | None) -> None:
