--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -103,7 +103,7 @@
         self.rounds = SchedulingLoop(
             state.jobs, self.gate, self.scheduler, self.agents, self.feeder, clock, self._stop_run
         )
-        self._watch = AgentMonitor(
+        self._agent_monitor = AgentMonitor(
             state.jobs, self.agents, self.scheduler, self._end_runs, self._forget_worker, clock.now()
         )
         self.configurations = ConfigurationStream(view.epoch, state.configuration, self.gate)
@@ -249,7 +249,7 @@
 
     def agent_record(self, session: AgentSession, record: Record) -> None:
         """Handle a record from an agent."""
-        if self._watch.record_received(session):
+        if self._agent_monitor.record_received(session):
             self.rounds.want()
         match record:
             case LeaseRequest(sent_ms=sent_ms):
@@ -265,7 +265,7 @@
 
     def agent_gone(self, session: AgentSession) -> None:
         self.agents.disconnected(session)
-        self._watch.connection_closed(session)
+        self._agent_monitor.connection_closed(session)
 
     def _lease_requested(self, session: AgentSession, sent_ms: int) -> None:
         # The lease starts at the time of the agent's request, before this member is confirmed as the head.
@@ -383,11 +383,11 @@
         if self.feeder.wake(moment):
             self.rounds.want()
         self.rounds.look(moment.now)
-        if moment.now >= self._watch.next_check and self._watch.check_responses(moment.now):
+        if moment.now >= self._agent_monitor.next_check and self._agent_monitor.check_responses(moment.now):
             self.rounds.want()
         if moment.now >= self._next_check:
             self._next_check = moment.now + CHECK_INTERVAL_S
-            self._watch.check_leases(moment.now)
+            self._agent_monitor.check_leases(moment.now)
             for worker in self.agents.answering_again(moment.now):
                 self.scheduler.put_worker(worker)
             for change in self.scheduler.health.take_changes():
@@ -406,7 +406,7 @@
         if moment.now >= self._next_trim:
             self._next_trim = moment.now + TRIM_INTERVAL_S
             self._propose_if_any(trim_command(self.state.jobs.jobs.values()))
-        next_periodic = min(self._next_check, self._next_purge, self._next_trim, self._watch.next_check)
+        next_periodic = min(self._next_check, self._next_purge, self._next_trim, self._agent_monitor.next_check)
         return min(self.feeder.next_wake(moment), next_periodic, self.rounds.next_look)
 
     def _propose_if_any(self, command: Record | None) -> None:
