--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -72,7 +72,7 @@
 
     # ---- sessions and worker instances -------------------------------------------------------------------
 
-    def connected(self, session: AgentSession) -> None:
+    def add_session(self, session: AgentSession) -> None:
         """Register the session of an agent and close an earlier connection of the same node."""
         earlier = self.sessions.get(session.node)
         if earlier is not None and earlier.link != session.link:
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -223,7 +223,7 @@
         may have lost that state.
         """
         session = AgentSession(hello, CommittedLink(link, self._chain))
-        self.agents.connected(session)
+        self.agents.add_session(session)
         self.gate.confirm_newest(lambda: self._desired_at(session), lambda desired: self._welcome(session, desired))
         return session
 
