--- a/millethead/control/agent_monitor.py
+++ b/millethead/control/agent_monitor.py
@@ -52,7 +52,7 @@
         return True
 
     def connection_closed(self, session: AgentSession) -> None:
-        """Handle a closed agent connection. `AgentRegistry.disconnected` must have been called before."""
+        """Handle a closed agent connection. `AgentRegistry.remove_session` must have been called before."""
         if session.node not in self._agents.sessions:
             self._failure_detector.forget(session.node)
             self._mark_unreachable(session)
--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -79,7 +79,7 @@
             earlier.link.close()
         self.sessions[session.node] = session
 
-    def disconnected(self, session: AgentSession) -> None:
+    def remove_session(self, session: AgentSession) -> None:
         """Remove the session of an agent, unless a later connection has replaced it."""
         if self.sessions.get(session.node) is session:
             del self.sessions[session.node]
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -264,7 +264,7 @@
                 self._worker_suspected(session, instance)
 
     def agent_gone(self, session: AgentSession) -> None:
-        self.agents.disconnected(session)
+        self.agents.remove_session(session)
         self._agent_monitor.connection_closed(session)
 
     def _lease_requested(self, session: AgentSession, sent_ms: int) -> None:
