--- a/millethead/control/agent_monitor.py
+++ b/millethead/control/agent_monitor.py
@@ -48,7 +48,7 @@
         if not self._failure_detector.record_response(session.node) or session.info is None:
             return False
         log.info("agent_heard", node=session.node)
-        self._scheduler.put_worker(self._agents.worker_state(session, session.info))
+        self._scheduler.put_worker(self._agents.update_worker(session, session.info))
         return True
 
     def connection_closed(self, session: AgentSession) -> None:
--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -93,7 +93,7 @@
         if session is not None:
             session.link.close()
 
-    def worker_state(self, session: AgentSession, info: WorkerInfo) -> WorkerState:
+    def update_worker(self, session: AgentSession, info: WorkerInfo) -> WorkerState:
         """Record a worker's description of itself and return the resulting state for the scheduler."""
         session.instance, session.info = info.instance, info
         rack = next((label for label in info.labels if "-" in label), "")
@@ -169,7 +169,7 @@
         if session.leased:
             return None
         session.leased = True
-        return self.worker_state(session, session.info) if session.info is not None else None
+        return self.update_worker(session, session.info) if session.info is not None else None
 
     def lapsed(self, node: str, now: float) -> bool:
         """Return whether every lease that a node may have held has expired, so that none of its runs is active."""
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -210,7 +210,7 @@
         log.info("node_drained", node=call.node, drained=call.drained)
         session = self.agents.sessions.get(call.node)
         if session is not None and session.info is not None:
-            self.scheduler.put_worker(self.agents.worker_state(session, session.info))
+            self.scheduler.put_worker(self.agents.update_worker(session, session.info))
             self._evacuate(session.node, session.info)
         self.rounds.want()
 
@@ -294,7 +294,7 @@
         for instance in sorted(others):  # a node has one worker, so any other instance has ended
             self._instance_ended(instance)
         is_new = session.instance != info.instance
-        state = self.agents.worker_state(session, info)
+        state = self.agents.update_worker(session, info)
         self.scheduler.put_worker(state)
         if is_new:
             whole = self.agents.whole(info.instance)
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -207,8 +207,8 @@
     def state(agents: AgentRegistry, session: AgentSession, info: WorkerInfo) -> WorkerState:
         return real(agents, session, replace(info, draining=False))
 
-    real = AgentRegistry.worker_state
-    patch.setattr(AgentRegistry, "worker_state", state)
+    real = AgentRegistry.update_worker
+    patch.setattr(AgentRegistry, "update_worker", state)
     patch.setattr(Life, "draining", property(lambda life: life.leaves_at < math.inf))
 
 
