--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -116,7 +116,7 @@
         responsive = not self.failure_detector.is_unresponsive(session.node)
         return session.leased and responsive and instance not in self._suspected
 
-    def suspect(self, instance: str, now: float) -> WorkerState | None:
+    def mark_suspected(self, instance: str, now: float) -> WorkerState | None:
         """Mark a worker that does not answer its agent as suspected; return its new state if it was reachable."""
         self._suspected[instance] = now
         return self.unreachable(instance)
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -304,7 +304,7 @@
 
     def _worker_suspected(self, session: AgentSession, instance: str) -> None:
         """Assign nothing more to a worker that does not answer its agent, until it does."""
-        worker = self.agents.suspect(instance, self.clock.now())
+        worker = self.agents.mark_suspected(instance, self.clock.now())
         if worker is not None:
             log.info("worker_suspected", node=session.node, instance=instance)
             self.scheduler.put_worker(worker)
