--- a/millethead/control/agent_monitor.py
+++ b/millethead/control/agent_monitor.py
@@ -58,7 +58,7 @@
             self._mark_unreachable(session)
 
     def _mark_unreachable(self, session: AgentSession) -> None:
-        worker = self._agents.unreachable(session.instance)
+        worker = self._agents.mark_unreachable(session.instance)
         if worker is not None:
             self._scheduler.put_worker(worker)
 
--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -119,9 +119,9 @@
     def mark_suspected(self, instance: str, now: float) -> WorkerState | None:
         """Mark a worker that does not answer its agent as suspected; return its new state if it was reachable."""
         self._suspected[instance] = now
-        return self.unreachable(instance)
+        return self.mark_unreachable(instance)
 
-    def unreachable(self, instance: str) -> WorkerState | None:
+    def mark_unreachable(self, instance: str) -> WorkerState | None:
         """Mark a worker as unreachable, so that it gets no new tasks; return its new state if it was reachable."""
         worker = self.workers.get(instance)
         if worker is None or not worker.reachable:
