--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -133,7 +133,7 @@
         self.workers[worker.instance] = worker
         return worker
 
-    def answering_again(self, now: float) -> list[WorkerState]:
+    def recovered_workers(self, now: float) -> list[WorkerState]:
         """Return the workers that are reachable again, because their agents stopped repeating their suspicion."""
         recovered = []
         for instance in [instance for instance, at in self._suspected.items() if now - at > SUSPICION_TIMEOUT_S]:
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -388,7 +388,7 @@
         if moment.now >= self._next_check:
             self._next_check = moment.now + CHECK_INTERVAL_S
             self._agent_monitor.check_leases(moment.now)
-            for worker in self.agents.answering_again(moment.now):
+            for worker in self.agents.recovered_workers(moment.now):
                 self.scheduler.put_worker(worker)
             for change in self.scheduler.health.take_changes():
                 log.info(
