--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -146,7 +146,7 @@
                 recovered.append(self._store_worker(replace(worker, reachable=True)))
         return recovered
 
-    def forget(self, instance: str) -> None:
+    def remove_worker(self, instance: str) -> None:
         """Remove a worker instance that has ended."""
         self._suspected.pop(instance, None)
         self.workers.pop(instance, None)
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -318,7 +318,7 @@
 
     def _forget_worker(self, instance: str) -> None:
         self.scheduler.remove_worker(instance)
-        self.agents.forget(instance)
+        self.agents.remove_worker(instance)
 
     def _instance_ended(self, instance: str) -> None:
         lost = tuple(
