--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -156,7 +156,7 @@
 
     # ---- leases ------------------------------------------------------------------------------------------
 
-    def grant(self, session: AgentSession, grant: Committed[LeaseGrant], now: float) -> WorkerState | None:
+    def grant_lease(self, session: AgentSession, grant: Committed[LeaseGrant], now: float) -> WorkerState | None:
         """Renew the lease of an agent, provided that its session is still current.
 
         `now` must be a time at which this member was confirmed as the head. Return the state of the worker if the grant
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -274,7 +274,7 @@
         self.gate.confirm(grant, lambda released: self._grant(session, released))
 
     def _grant(self, session: AgentSession, grant: Committed[LeaseGrant]) -> None:
-        worker = self.agents.grant(session, grant, self.clock.now())
+        worker = self.agents.grant_lease(session, grant, self.clock.now())
         if worker is not None:
             self.scheduler.put_worker(worker)
             self.rounds.want()
