--- a/millethead/control/agent_monitor.py
+++ b/millethead/control/agent_monitor.py
@@ -79,7 +79,7 @@
         for run, task in self._jobs.open_runs():
             runs_at.setdefault(task.node, []).append((run, task))
         for node in sorted(runs_at):
-            if not self._agents.lapsed(node, now):
+            if not self._agents.lease_expired(node, now):
                 continue
             log.warning("lease_lapsed", node=node, runs=len(runs_at[node]))
             for instance in sorted({task.instance for _, task in runs_at[node]}):
--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -171,7 +171,7 @@
         session.leased = True
         return self.update_worker(session, session.info) if session.info is not None else None
 
-    def lapsed(self, node: str, now: float) -> bool:
+    def lease_expired(self, node: str, now: float) -> bool:
         """Return whether every lease that a node may have held has expired, so that none of its runs is active."""
         earlier_leases_end = self._started_at + LEASE_S * (1 + MAX_CLOCK_DRIFT) + LEASE_MARGIN_S
         return now > max(earlier_leases_end, self._lease_ends.get(node, 0.0))
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -1181,5 +1181,5 @@
 
 def test_lease_without_a_grant_starts_with_the_epoch() -> None:
     agents = AgentRegistry(ControlState().jobs, 100.0)
-    assert not agents.lapsed("n-1", 100.0 + LEASE_S)
-    assert agents.lapsed("n-1", 100.0 + LEASES_EXPIRED_S)
+    assert not agents.lease_expired("n-1", 100.0 + LEASE_S)
+    assert agents.lease_expired("n-1", 100.0 + LEASES_EXPIRED_S)
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -166,7 +166,7 @@
 
 def earlier_leases_forgotten(patch: Patch) -> None:
     """A new head does not wait for the leases of earlier heads."""
-    patch.setattr(AgentRegistry, "lapsed", lambda agents, node, now: now > agents._lease_ends.get(node, 0.0))
+    patch.setattr(AgentRegistry, "lease_expired", lambda agents, node, now: now > agents._lease_ends.get(node, 0.0))
 
 
 def leave_ends_all(patch: Patch) -> None:
