--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -178,7 +178,7 @@
 
     # ---- desired runs ------------------------------------------------------------------------------------
 
-    def order(self, run: TaskRun, task: Task) -> RunOrder | None:
+    def run_order(self, run: TaskRun, task: Task) -> RunOrder | None:
         """Return the order for an open run, or None if its job is unknown."""
         job = self._jobs.find(run.job)
         if job is None:
@@ -198,7 +198,7 @@
         for run, task in self._jobs.open_runs():
             if task.instance != instance:
                 continue
-            order = None if run in self.stopping else self.order(run, task)
+            order = None if run in self.stopping else self.run_order(run, task)
             job = self._jobs.find(run.job)
             if order is None or job is None or (job.phase.over and not task.done):
                 stops.append(RunKey(run.task_name, run.run))
--- a/millethead/control/scheduling_loop.py
+++ b/millethead/control/scheduling_loop.py
@@ -118,7 +118,7 @@
         by_worker: dict[tuple[str, str], list[RunOrder]] = {}
         for assignment in assignments:
             task = self._jobs.task(assignment.run)
-            order = self._agents.order(assignment.run, task) if task is not None else None
+            order = self._agents.run_order(assignment.run, task) if task is not None else None
             if order is not None:
                 by_worker.setdefault((assignment.node, assignment.instance), []).append(order)
         return tuple(WorkerOrders(node, instance, tuple(orders)) for (node, instance), orders in by_worker.items())
