--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -188,7 +188,7 @@
         gap_s = LASTING_GAP_S if step.long_running else run_gap(job.spare_ms / 1000, job.description.chain_length())
         return RunOrder(RunKey(run.task_name, run.run), job.description.spec, saved, step.needs, int(gap_s * 1000))
 
-    def whole(self, instance: str) -> DesiredRuns:
+    def complete_runs(self, instance: str) -> DesiredRuns:
         """Return the complete list of desired runs of a worker instance.
 
         It also lists runs that must stop and have not ended yet: an agent process that has just started knows of
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -233,7 +233,7 @@
         # An agent that has reported its worker already discards with the welcome what it was sent before.
         if session.instance:
             instances.add(session.instance)
-        return tuple(self.agents.whole(instance) for instance in sorted(instances))
+        return tuple(self.agents.complete_runs(instance) for instance in sorted(instances))
 
     def _welcome(self, session: AgentSession, desired: Committed[tuple[DesiredRuns, ...]]) -> None:
         """Welcome an agent.
@@ -297,7 +297,7 @@
         state = self.agents.update_worker(session, info)
         self.scheduler.put_worker(state)
         if is_new:
-            whole = self.agents.whole(info.instance)
+            whole = self.agents.complete_runs(info.instance)
             self.gate.after_commit(whole, lambda released: self.agents.send_whole(session, released))
         self._evacuate(session.node, info)
         self.rounds.want()
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -518,7 +518,7 @@
     harness.ask("POST", body=job())
     harness.call("DELETE")
     agent.desired_runs()
-    whole = harness.head.agents.whole("i-1")
+    whole = harness.head.agents.complete_runs("i-1")
     assert not whole.orders and whole.stops == (RunKey(task(), 1),)
 
 
