--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -206,7 +206,7 @@
                 orders.append(order)
         return DesiredRuns(instance, True, tuple(orders), tuple(stops))
 
-    def send_whole(self, session: AgentSession, whole: Committed[DesiredRuns]) -> None:
+    def send_complete_runs(self, session: AgentSession, whole: Committed[DesiredRuns]) -> None:
         """Send the complete list of desired runs of a worker instance to its agent, if the session is still current."""
         if self.sessions.get(session.node) is session:
             session.link.send(whole)
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -245,7 +245,7 @@
             return
         session.link.send(desired.derive(lambda _: AgentWelcome(self.view.epoch)))
         for whole in split_committed(desired):
-            self.agents.send_whole(session, whole)
+            self.agents.send_complete_runs(session, whole)
 
     def agent_record(self, session: AgentSession, record: Record) -> None:
         """Handle a record from an agent."""
@@ -298,7 +298,7 @@
         self.scheduler.put_worker(state)
         if is_new:
             whole = self.agents.complete_runs(info.instance)
-            self.gate.after_commit(whole, lambda released: self.agents.send_whole(session, released))
+            self.gate.after_commit(whole, lambda released: self.agents.send_complete_runs(session, released))
         self._evacuate(session.node, info)
         self.rounds.want()
 
