--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -239,7 +239,7 @@
         if session is not None:
             session.link.send(stop.derive(_stop_message))
 
-    def closed(self, run: TaskRun) -> None:
+    def run_closed(self, run: TaskRun) -> None:
         """Forget the pending stop of a run that has ended."""
         self.stopping.discard(run)
 
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -193,7 +193,7 @@
     def _apply_outcome(self, outcome: Outcome) -> None:
         """Apply the outcome of a command that ended runs or jobs."""
         for closed in outcome.closed:
-            self.agents.closed(closed.ended.run)
+            self.agents.run_closed(closed.ended.run)
         self.feeder.runs_closed(outcome, self._now())
         for late in self.feeder.take_late():
             log.info("job_late", job=late.job, time=late.time, queue=late.queue, **late.in_ms())
