--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -382,7 +382,7 @@
         moment = self._now()
         if self.feeder.wake(moment):
             self.rounds.request_pass()
-        self.rounds.look(moment.now)
+        self.rounds.request_pass_if_due(moment.now)
         if moment.now >= self._agent_monitor.next_check and self._agent_monitor.check_responses(moment.now):
             self.rounds.request_pass()
         if moment.now >= self._next_check:
--- a/millethead/control/scheduling_loop.py
+++ b/millethead/control/scheduling_loop.py
@@ -64,7 +64,7 @@
         self._active, self._requested = True, False
         self._clock.soon(self._run_pass)
 
-    def look(self, now: float) -> None:
+    def request_pass_if_due(self, now: float) -> None:
         """Request a pass if the time has come at which the scheduler asked for one."""
         if now >= self.next_look:
             self.next_look = math.inf
