--- a/millethead/control/scheduling_loop.py
+++ b/millethead/control/scheduling_loop.py
@@ -54,7 +54,7 @@
         self._jobs, self.gate, self._scheduler, self._agents = jobs, gate, scheduler, agents
         self._feeder, self._clock, self._stop = feeder, clock, stop
         self._active = self._requested = False
-        self.next_look = math.inf  # monotonic time at which the scheduler needs a pass without any change
+        self.next_pass = math.inf  # monotonic time at which the scheduler needs a pass without any change
 
     def request_pass(self) -> None:
         """Request a scheduling pass because the input of the scheduler has changed."""
@@ -66,8 +66,8 @@
 
     def request_pass_if_due(self, now: float) -> None:
         """Request a pass if the time has come at which the scheduler asked for one."""
-        if now >= self.next_look:
-            self.next_look = math.inf
+        if now >= self.next_pass:
+            self.next_pass = math.inf
             self.request_pass()
 
     def preempt(self, preemption: Preemption) -> None:
@@ -84,7 +84,7 @@
         if self.gate.closed:
             return
         decision = self._scheduler.schedule(self._clock.now())
-        self.next_look = math.inf if decision.next_look is None else decision.next_look
+        self.next_pass = math.inf if decision.next_look is None else decision.next_look
         for preemption in decision.preemptions:
             self.preempt(preemption)
         placements = self._startable(decision.placements)
