--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -113,7 +113,7 @@
         self._next_purge = clock.now() + PURGE_INTERVAL_S
         self._next_trim = clock.now() + TRIM_INTERVAL_S
         self._set_queues(self.configurations.current)
-        self.feeder.take_over(self._now())
+        self.feeder.rebuild(self._now())
         self.rounds.request_pass()
 
     def _now(self) -> Moment:
--- a/millethead/control/scheduler_sync.py
+++ b/millethead/control/scheduler_sync.py
@@ -66,7 +66,7 @@
 
     # ---- start of an epoch -------------------------------------------------------------------------------
 
-    def take_over(self, moment: Moment) -> None:
+    def rebuild(self, moment: Moment) -> None:
         """Rebuild the scheduler's state from the replicated state at the start of an epoch."""
         for job in list(self._jobs.jobs.values()):
             self.job_submitted(job, moment)
