--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -380,7 +380,7 @@
     def tick(self) -> float:
         """Perform all periodic work that is due; return the monotonic time of the next call."""
         moment = self._now()
-        if self.feeder.wake(moment):
+        if self.feeder.process_due(moment):
             self.rounds.request_pass()
         self.rounds.request_pass_if_due(moment.now)
         if moment.now >= self._agent_monitor.next_check and self._agent_monitor.check_responses(moment.now):
--- a/millethead/control/scheduler_sync.py
+++ b/millethead/control/scheduler_sync.py
@@ -298,7 +298,7 @@
 
     # ---- time --------------------------------------------------------------------------------------------
 
-    def wake(self, moment: Moment) -> bool:
+    def process_due(self, moment: Moment) -> bool:
         """Add what has become due, that is times of repeated jobs and tasks after a backoff; return whether there was
         any.
         """
@@ -322,7 +322,7 @@
         return any_due
 
     def next_wake(self, moment: Moment) -> float:
-        """Return the monotonic time at which `wake` next has something to add."""
+        """Return the monotonic time at which `process_due` next has something to add."""
         due = moment.steady(self._calendar[0][0]) if self._calendar else float("inf")
         backoff_end = self._backing_off[0][0] if self._backing_off else float("inf")
         return min(due, backoff_end)
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -1165,8 +1165,8 @@
     feeder = harness.head.feeder
     clock = Moment(500.0, WALL_MS)
     assert feeder.next_wake(clock) == pytest.approx(501.0)
-    assert not feeder.wake(clock)
-    assert feeder.wake(Moment(501.2, WALL_MS + 1200))
+    assert not feeder.process_due(clock)
+    assert feeder.process_due(Moment(501.2, WALL_MS + 1200))
     assert feeder.next_wake(Moment(501.2, WALL_MS + 1200)) == pytest.approx(501.5)
 
 
