--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -407,7 +407,7 @@
             self._next_trim = moment.now + TRIM_INTERVAL_S
             self._propose_if_any(trim_command(self.state.jobs.jobs.values()))
         next_periodic = min(self._next_check, self._next_purge, self._next_trim, self._agent_monitor.next_check)
-        return min(self.feeder.next_wake(moment), next_periodic, self.rounds.next_pass)
+        return min(self.feeder.next_due(moment), next_periodic, self.rounds.next_pass)
 
     def _propose_if_any(self, command: Record | None) -> None:
         if command is not None:
--- a/millethead/control/scheduler_sync.py
+++ b/millethead/control/scheduler_sync.py
@@ -321,7 +321,7 @@
                 self._queue_task(job, key, index, moment)
         return any_due
 
-    def next_wake(self, moment: Moment) -> float:
+    def next_due(self, moment: Moment) -> float:
         """Return the monotonic time at which `process_due` next has something to add."""
         due = moment.steady(self._calendar[0][0]) if self._calendar else float("inf")
         backoff_end = self._backing_off[0][0] if self._backing_off else float("inf")
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -1164,10 +1164,10 @@
     harness.ask("POST", body=timed(3, 1000, 500))
     feeder = harness.head.feeder
     clock = Moment(500.0, WALL_MS)
-    assert feeder.next_wake(clock) == pytest.approx(501.0)
+    assert feeder.next_due(clock) == pytest.approx(501.0)
     assert not feeder.process_due(clock)
     assert feeder.process_due(Moment(501.2, WALL_MS + 1200))
-    assert feeder.next_wake(Moment(501.2, WALL_MS + 1200)) == pytest.approx(501.5)
+    assert feeder.next_due(Moment(501.2, WALL_MS + 1200)) == pytest.approx(501.5)
 
 
 def test_ended_job_is_removed_from_the_scheduler() -> None:
