--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -195,7 +195,7 @@
         for closed in outcome.closed:
             self.agents.run_closed(closed.ended.run)
         self.feeder.runs_closed(outcome, self._now())
-        for late in self.feeder.take_late():
+        for late in self.feeder.take_late_jobs():
             log.info("job_late", job=late.job, time=late.time, queue=late.queue, **late.in_ms())
         self.rounds.request_pass()
 
--- a/millethead/control/scheduler_sync.py
+++ b/millethead/control/scheduler_sync.py
@@ -269,7 +269,7 @@
         if late is not None:
             self._late_jobs.append(late)
 
-    def take_late(self) -> list[LateJob]:
+    def take_late_jobs(self) -> list[LateJob]:
         """Return the late jobs found since the last call."""
         late, self._late_jobs = self._late_jobs, []
         return late
