--- a/millethead/control/scheduler_sync.py
+++ b/millethead/control/scheduler_sync.py
@@ -206,7 +206,7 @@
                 self._time_done(job, done.time, moment)
             self._step_finished(job, key, moment)
         for name in outcome.finished_jobs:
-            self.job_over(self._jobs.jobs[name])
+            self.job_ended(self._jobs.jobs[name])
 
     def _run_closed(self, ended: EndedRun, instance: str, moment: Moment) -> None:
         run = ended.run
@@ -279,7 +279,7 @@
         if not job.phase.over:
             self._add_ready_steps(job, key.time, moment)
 
-    def job_over(self, job: Job) -> None:
+    def job_ended(self, job: Job) -> None:
         """Remove an ended job from the scheduler and stop its open runs."""
         for time, state in job.times.items():
             self._latency.forget(job.name, time, len(state.steps))
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -242,7 +242,7 @@
 
 def cancel_stops_nothing(patch: Patch) -> None:
     """What runs of a cancelled job runs on."""
-    patch.setattr(SchedulerSync, "job_over", lambda feeder, job: None)
+    patch.setattr(SchedulerSync, "job_ended", lambda feeder, job: None)
 
 
 def leases_in_stale_sessions(patch: Patch) -> None:
