--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -341,7 +341,7 @@
             if run is not None:
                 ends.append(EndedRun(run, entry.how, entry.saved))
                 if entry.ran_ms:
-                    self.feeder.run_lasted(run, report.instance, entry.ran_ms / 1000)
+                    self.feeder.run_measured(run, report.instance, entry.ran_ms / 1000)
         open_ends = tuple(
             end
             for end in ends
--- a/millethead/control/scheduler_sync.py
+++ b/millethead/control/scheduler_sync.py
@@ -189,7 +189,7 @@
         worker = self._scheduler.worker(instance)
         return bool(rack) and worker is not None and worker.rack != rack
 
-    def run_lasted(self, run: TaskRun, instance: str, seconds: float) -> None:
+    def run_measured(self, run: TaskRun, instance: str, seconds: float) -> None:
         """Record the duration of a run as its agent measured it. The end of the run is recorded afterwards."""
         key = StepKey(run.job, run.time, run.step)
         self._scheduler.run_lasted(key, run.index, instance, run.run, seconds)
