--- a/millethead/control/scheduler_sync.py
+++ b/millethead/control/scheduler_sync.py
@@ -38,7 +38,7 @@
     now: float
     wall_ms: int
 
-    def steady(self, wall_ms: float) -> float:
+    def to_monotonic(self, wall_ms: float) -> float:
         """Convert a time of day to monotonic time, using the difference of the clocks at this moment."""
         return self.now + (wall_ms - self.wall_ms) / 1000
 
@@ -135,7 +135,7 @@
             description.idempotent,
             description.long_running,
             description.checkpoints,
-            moment.steady(start_ms + job.objective_ms),
+            moment.to_monotonic(start_ms + job.objective_ms),
             tail_s=job.description.tails_ms()[key.step] / 1000,
             work_left=_work_left(job, key.time),
         )
@@ -323,7 +323,7 @@
 
     def next_due(self, moment: Moment) -> float:
         """Return the monotonic time at which `process_due` next has something to add."""
-        due = moment.steady(self._calendar[0][0]) if self._calendar else float("inf")
+        due = moment.to_monotonic(self._calendar[0][0]) if self._calendar else float("inf")
         backoff_end = self._backing_off[0][0] if self._backing_off else float("inf")
         return min(due, backoff_end)
 
