--- a/millethead/control/job_latency.py
+++ b/millethead/control/job_latency.py
@@ -139,7 +139,7 @@
         task.waited_s += now - task.since
         task.since, task.far, task.ran_s = now, far, None
 
-    def run_lasted(self, key: StepKey, index: int, seconds: float) -> None:
+    def run_measured(self, key: StepKey, index: int, seconds: float) -> None:
         """Record the duration of a run as its agent measured it. The end of the run is recorded afterwards."""
         step = self._steps.get(key)
         if step is not None:
--- a/millethead/control/scheduler_sync.py
+++ b/millethead/control/scheduler_sync.py
@@ -193,7 +193,7 @@
         """Record the duration of a run as its agent measured it. The end of the run is recorded afterwards."""
         key = StepKey(run.job, run.time, run.step)
         self._scheduler.run_lasted(key, run.index, instance, run.run, seconds)
-        self._latency.run_lasted(key, run.index, seconds)
+        self._latency.run_measured(key, run.index, seconds)
 
     def runs_closed(self, outcome: Outcome, moment: Moment) -> None:
         """Apply the outcome of a command: ended runs, finished steps and finished jobs."""
