--- a/millethead/control/job_latency.py
+++ b/millethead/control/job_latency.py
@@ -169,7 +169,7 @@
         spent = step.last + max(dependencies, key=lambda entry: entry[0])[1] if dependencies else step.last
         done[key.step] = now, spent
 
-    def time_over(self, job: Job, time: int, total_s: float) -> LateJob | None:
+    def time_done(self, job: Job, time: int, total_s: float) -> LateJob | None:
         """Record that all steps of a job are done at one time, `total_s` seconds after it was submitted or due.
 
         Return its breakdown, or None if the job met its objective, which is derived from its estimates.
--- a/millethead/control/scheduler_sync.py
+++ b/millethead/control/scheduler_sync.py
@@ -265,7 +265,7 @@
     def _time_done(self, job: Job, time: int, moment: Moment) -> None:
         """All steps of a job are done at one time: if it was late, keep the breakdown of its latency for the log."""
         start_ms = job.description.due_ms(time) or job.submitted_ms
-        late = self._latency.time_over(job, time, (moment.wall_ms - start_ms) / 1000)
+        late = self._latency.time_done(job, time, (moment.wall_ms - start_ms) / 1000)
         if late is not None:
             self._late_jobs.append(late)
 
--- a/tests/test_job_times.py
+++ b/tests/test_job_times.py
@@ -47,7 +47,7 @@
         times.run_measured(SECOND, index, 0.5)
         times.run_ended(SECOND, index, RunEnd.DONE, 0.5, 11.8)
     times.step_done(two, SECOND, 11.8)
-    late = times.time_over(two, 0, 1.9)
+    late = times.time_done(two, 0, 1.9)
     assert late is not None
     # Task 1 waited 0.2 s and 0.1 s before its two runs, and 0.1 s in the second step; its first run lost 0.3 s.
     assert seconds(late) == (0.4, 0.3, 0.9, 0.2, 1.0, 0.4)
@@ -69,7 +69,7 @@
     times.run_assigned(last, 0, False, 3.0)
     times.run_ended(last, 0, RunEnd.DONE, 0.5, 4.0)
     times.step_done(joined, last, 4.0)
-    late = times.time_over(joined, 0, 4.0)
+    late = times.time_done(joined, 0, 4.0)
     assert late is not None
     assert late.spent == LatencyBreakdown(0.5, 0.0, 3.5, 0.0, 1.0, 0.0)
 
@@ -80,7 +80,7 @@
     times.run_assigned(FIRST, 0, False, 0.0)
     times.run_ended(FIRST, 0, RunEnd.DONE, 0.5, 0.9)
     times.step_done(one, FIRST, 0.9)
-    assert times.time_over(one, 0, 0.9) is None
+    assert times.time_done(one, 0, 0.9) is None
     assert times.is_empty
 
 
@@ -90,7 +90,7 @@
     times.run_assigned(FIRST, 0, False, 5.0)
     times.run_ended(FIRST, 0, RunEnd.DONE, 0.5, 5.5)
     times.step_done(one, FIRST, 5.5)
-    late = times.time_over(one, 0, 2.5)
+    late = times.time_done(one, 0, 2.5)
     assert late is not None and late.unseen_s == pytest.approx(2.0)
 
 
