--- a/millethead/control/job_latency.py
+++ b/millethead/control/job_latency.py
@@ -89,7 +89,7 @@
 class _TaskTimes:
     """Times of a task since its step became ready.
 
-    `since` is the start of the present wait or run. `ran_s` is the duration of the last run as measured by its agent,
+    `since` is the start of the present wait or run. `last_run_s` is the duration of the last run as measured by its agent,
     None if unknown.
     """
 
@@ -97,7 +97,7 @@
     waited_s: float = 0.0
     repeated_s: float = 0.0
     far: bool = False
-    ran_s: float | None = None
+    last_run_s: float | None = None
 
 
 @dataclass(slots=True)
@@ -137,13 +137,13 @@
             return
         task = step.task(index)
         task.waited_s += now - task.since
-        task.since, task.far, task.ran_s = now, far, None
+        task.since, task.far, task.last_run_s = now, far, None
 
     def run_measured(self, key: StepKey, index: int, seconds: float) -> None:
         """Record the duration of a run as its agent measured it. The end of the run is recorded afterwards."""
         step = self._steps.get(key)
         if step is not None:
-            step.task(index).ran_s = seconds
+            step.task(index).last_run_s = seconds
 
     def run_ended(self, key: StepKey, index: int, how: RunEnd, estimate_s: float, now: float) -> None:
         """Record the end of a run."""
@@ -155,7 +155,7 @@
         if how is not RunEnd.DONE:
             task.repeated_s += elapsed_s
             return
-        ran_s = elapsed_s if task.ran_s is None else min(elapsed_s, task.ran_s)
+        ran_s = elapsed_s if task.last_run_s is None else min(elapsed_s, task.last_run_s)
         far_s = ran_s if task.far else 0.0
         step.last = LatencyBreakdown(task.waited_s, task.repeated_s, ran_s, elapsed_s - ran_s, estimate_s, far_s)
 
