--- a/millethead/control/job_latency.py
+++ b/millethead/control/job_latency.py
@@ -22,13 +22,13 @@
 class LatencyBreakdown:
     """Parts of the latency of a job, in seconds.
 
-    `waited_s` is the time without a run, `repeated_s` the time in runs that did not succeed, `ran_s` the time of the
+    `waited_s` is the time without a run, `unsuccessful_s` the time in runs that did not succeed, `ran_s` the time of the
     successful runs on their workers, and `turnover_s` the overhead around those. `estimated_s` is the estimated
     duration of the successful runs, `far_s` the part of `ran_s` spent in another rack than that of the data.
     """
 
     waited_s: float = 0.0
-    repeated_s: float = 0.0
+    unsuccessful_s: float = 0.0
     ran_s: float = 0.0
     turnover_s: float = 0.0
     estimated_s: float = 0.0
@@ -37,7 +37,7 @@
     def __add__(self, other: LatencyBreakdown) -> LatencyBreakdown:
         return LatencyBreakdown(
             self.waited_s + other.waited_s,
-            self.repeated_s + other.repeated_s,
+            self.unsuccessful_s + other.unsuccessful_s,
             self.ran_s + other.ran_s,
             self.turnover_s + other.turnover_s,
             self.estimated_s + other.estimated_s,
@@ -47,7 +47,7 @@
     @property
     def seen_s(self) -> float:
         """The part of the latency that this head has observed."""
-        return self.waited_s + self.repeated_s + self.ran_s + self.turnover_s
+        return self.waited_s + self.unsuccessful_s + self.ran_s + self.turnover_s
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
             "objective_ms": self.objective_s,
             "unseen_ms": self.unseen_s,
             "waited_ms": spent.waited_s,
-            "repeated_ms": spent.repeated_s,
+            "repeated_ms": spent.unsuccessful_s,
             "ran_ms": spent.ran_s,
             "turnover_ms": spent.turnover_s,
             "estimated_ms": spent.estimated_s,
@@ -95,7 +95,7 @@
 
     since: float
     waited_s: float = 0.0
-    repeated_s: float = 0.0
+    unsuccessful_s: float = 0.0
     far: bool = False
     last_run_s: float | None = None
 
@@ -153,11 +153,11 @@
         task = step.task(index)
         elapsed_s, task.since = now - task.since, now
         if how is not RunEnd.DONE:
-            task.repeated_s += elapsed_s
+            task.unsuccessful_s += elapsed_s
             return
         ran_s = elapsed_s if task.last_run_s is None else min(elapsed_s, task.last_run_s)
         far_s = ran_s if task.far else 0.0
-        step.last = LatencyBreakdown(task.waited_s, task.repeated_s, ran_s, elapsed_s - ran_s, estimate_s, far_s)
+        step.last = LatencyBreakdown(task.waited_s, task.unsuccessful_s, ran_s, elapsed_s - ran_s, estimate_s, far_s)
 
     def step_done(self, job: Job, key: StepKey, now: float) -> None:
         """Record the end of a step: its breakdown is added to that of the dependency that finished last."""
