--- a/millethead/control/job_latency.py
+++ b/millethead/control/job_latency.py
@@ -23,14 +23,14 @@
     """Parts of the latency of a job, in seconds.
 
     `waited_s` is the time without a run, `unsuccessful_s` the time in runs that did not succeed, `successful_s` the time of the
-    successful runs on their workers, and `turnover_s` the overhead around those. `estimated_s` is the estimated
+    successful runs on their workers, and `overhead_s` the overhead around those. `estimated_s` is the estimated
     duration of the successful runs, `far_s` the part of `successful_s` spent in another rack than that of the data.
     """
 
     waited_s: float = 0.0
     unsuccessful_s: float = 0.0
     successful_s: float = 0.0
-    turnover_s: float = 0.0
+    overhead_s: float = 0.0
     estimated_s: float = 0.0
     far_s: float = 0.0
 
@@ -39,7 +39,7 @@
             self.waited_s + other.waited_s,
             self.unsuccessful_s + other.unsuccessful_s,
             self.successful_s + other.successful_s,
-            self.turnover_s + other.turnover_s,
+            self.overhead_s + other.overhead_s,
             self.estimated_s + other.estimated_s,
             self.far_s + other.far_s,
         )
@@ -47,7 +47,7 @@
     @property
     def seen_s(self) -> float:
         """The part of the latency that this head has observed."""
-        return self.waited_s + self.unsuccessful_s + self.successful_s + self.turnover_s
+        return self.waited_s + self.unsuccessful_s + self.successful_s + self.overhead_s
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
             "waited_ms": spent.waited_s,
             "repeated_ms": spent.unsuccessful_s,
             "ran_ms": spent.successful_s,
-            "turnover_ms": spent.turnover_s,
+            "turnover_ms": spent.overhead_s,
             "estimated_ms": spent.estimated_s,
             "far_ms": spent.far_s,
         }
