--- a/millethead/control/job_latency.py
+++ b/millethead/control/job_latency.py
@@ -24,7 +24,7 @@
 
     `waited_s` is the time without a run, `unsuccessful_s` the time in runs that did not succeed, `successful_s` the time of the
     successful runs on their workers, and `overhead_s` the overhead around those. `estimated_s` is the estimated
-    duration of the successful runs, `far_s` the part of `successful_s` spent in another rack than that of the data.
+    duration of the successful runs, `remote_s` the part of `successful_s` spent in another rack than that of the data.
     """
 
     waited_s: float = 0.0
@@ -32,7 +32,7 @@
     successful_s: float = 0.0
     overhead_s: float = 0.0
     estimated_s: float = 0.0
-    far_s: float = 0.0
+    remote_s: float = 0.0
 
     def __add__(self, other: LatencyBreakdown) -> LatencyBreakdown:
         return LatencyBreakdown(
@@ -41,7 +41,7 @@
             self.successful_s + other.successful_s,
             self.overhead_s + other.overhead_s,
             self.estimated_s + other.estimated_s,
-            self.far_s + other.far_s,
+            self.remote_s + other.remote_s,
         )
 
     @property
@@ -80,7 +80,7 @@
             "ran_ms": spent.successful_s,
             "turnover_ms": spent.overhead_s,
             "estimated_ms": spent.estimated_s,
-            "far_ms": spent.far_s,
+            "far_ms": spent.remote_s,
         }
         return {name: round(1000 * value) for name, value in seconds.items()}
 
@@ -156,9 +156,9 @@
             task.unsuccessful_s += elapsed_s
             return
         successful_s = elapsed_s if task.last_run_s is None else min(elapsed_s, task.last_run_s)
-        far_s = successful_s if task.far else 0.0
+        remote_s = successful_s if task.far else 0.0
         step.last = LatencyBreakdown(
-            task.waited_s, task.unsuccessful_s, successful_s, elapsed_s - successful_s, estimate_s, far_s
+            task.waited_s, task.unsuccessful_s, successful_s, elapsed_s - successful_s, estimate_s, remote_s
         )
 
     def step_done(self, job: Job, key: StepKey, now: float) -> None:
--- a/tests/test_job_times.py
+++ b/tests/test_job_times.py
@@ -26,7 +26,14 @@
 def seconds(late: LateJob) -> tuple[float, ...]:
     """Return the parts of the breakdown, rounded."""
     spent = late.spent
-    parts = (spent.waited_s, spent.unsuccessful_s, spent.successful_s, spent.overhead_s, spent.estimated_s, spent.far_s)
+    parts = (
+        spent.waited_s,
+        spent.unsuccessful_s,
+        spent.successful_s,
+        spent.overhead_s,
+        spent.estimated_s,
+        spent.remote_s,
+    )
     return tuple(round(part, 6) for part in parts)
 
 
