--- a/millethead/control/job_latency.py
+++ b/millethead/control/job_latency.py
@@ -45,7 +45,7 @@
         )
 
     @property
-    def seen_s(self) -> float:
+    def observed_s(self) -> float:
         """The part of the latency that this head has observed."""
         return self.waited_s + self.unsuccessful_s + self.successful_s + self.overhead_s
 
@@ -66,7 +66,7 @@
 
     @property
     def unseen_s(self) -> float:
-        return max(0.0, self.total_s - self.spent.seen_s)
+        return max(0.0, self.total_s - self.spent.observed_s)
 
     def in_ms(self) -> dict[str, int]:
         """Return the breakdown in whole milliseconds by log keyword."""
--- a/tests/test_job_times.py
+++ b/tests/test_job_times.py
@@ -59,7 +59,7 @@
     # Task 1 waited 0.2 s and 0.1 s before its two runs, and 0.1 s in the second step; its first run lost 0.3 s.
     assert seconds(late) == (0.4, 0.3, 0.9, 0.2, 1.0, 0.4)
     assert late.unseen_s == pytest.approx(0.1)
-    assert late.spent.seen_s + late.unseen_s == pytest.approx(late.total_s)
+    assert late.spent.observed_s + late.unseen_s == pytest.approx(late.total_s)
 
 
 def test_breakdown_follows_the_dependency_that_finished_last() -> None:
