--- a/millethead/control/job_latency.py
+++ b/millethead/control/job_latency.py
@@ -4,7 +4,7 @@
 duration of the successful run on its worker, and the overhead around that run (the commit of its assignment, the way to
 the worker, and the time until its end was known and committed). The task that ended last determines the breakdown of
 its step. The step that ended last, together with the chain of dependencies for which it waited, determines that of the
-job. Time before this head started to lead is unknown (`unseen_s`).
+job. Time before this head started to lead is unknown (`unobserved_s`).
 
 All times are seconds of the monotonic clock. Memory use is bounded by the number of steps that wait or run.
 """
@@ -54,7 +54,7 @@
 class LateJob:
     """A job, or one time of a repeated job, that took longer than its objective.
 
-    `unseen_s` is the part of `total_s` that passed under earlier heads or before the job was known.
+    `unobserved_s` is the part of `total_s` that passed under earlier heads or before the job was known.
     """
 
     job: str
@@ -65,7 +65,7 @@
     spent: LatencyBreakdown
 
     @property
-    def unseen_s(self) -> float:
+    def unobserved_s(self) -> float:
         return max(0.0, self.total_s - self.spent.observed_s)
 
     def in_ms(self) -> dict[str, int]:
@@ -74,7 +74,7 @@
         seconds = {
             "total_ms": self.total_s,
             "objective_ms": self.objective_s,
-            "unseen_ms": self.unseen_s,
+            "unseen_ms": self.unobserved_s,
             "waited_ms": spent.waited_s,
             "repeated_ms": spent.unsuccessful_s,
             "ran_ms": spent.successful_s,
--- a/tests/test_job_times.py
+++ b/tests/test_job_times.py
@@ -58,8 +58,8 @@
     assert late is not None
     # Task 1 waited 0.2 s and 0.1 s before its two runs, and 0.1 s in the second step; its first run lost 0.3 s.
     assert seconds(late) == (0.4, 0.3, 0.9, 0.2, 1.0, 0.4)
-    assert late.unseen_s == pytest.approx(0.1)
-    assert late.spent.observed_s + late.unseen_s == pytest.approx(late.total_s)
+    assert late.unobserved_s == pytest.approx(0.1)
+    assert late.spent.observed_s + late.unobserved_s == pytest.approx(late.total_s)
 
 
 def test_breakdown_follows_the_dependency_that_finished_last() -> None:
@@ -98,7 +98,7 @@
     times.run_ended(FIRST, 0, RunEnd.DONE, 0.5, 5.5)
     times.step_done(one, FIRST, 5.5)
     late = times.time_done(one, 0, 2.5)
-    assert late is not None and late.unseen_s == pytest.approx(2.0)
+    assert late is not None and late.unobserved_s == pytest.approx(2.0)
 
 
 def test_cancelled_job_leaves_no_state() -> None:
