--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -196,7 +196,7 @@
             self.agents.run_closed(closed.ended.run)
         self.feeder.runs_closed(outcome, self._now())
         for late in self.feeder.take_late_jobs():
-            log.info("job_late", job=late.job, time=late.time, queue=late.queue, **late.in_ms())
+            log.info("job_late", job=late.job, time=late.time, queue=late.queue, **late.log_fields())
         self.rounds.request_pass()
 
     def _drain(self, call: DrainCall, reply: Reply) -> None:
--- a/millethead/control/job_latency.py
+++ b/millethead/control/job_latency.py
@@ -68,7 +68,7 @@
     def unobserved_s(self) -> float:
         return max(0.0, self.total_s - self.spent.observed_s)
 
-    def in_ms(self) -> dict[str, int]:
+    def log_fields(self) -> dict[str, int]:
         """Return the breakdown in whole milliseconds by log keyword."""
         spent = self.spent
         seconds = {
