--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -100,7 +100,7 @@
         self.scheduler = Scheduler(random, far_times)
         self.agents = AgentRegistry(state.jobs, clock.now(), state.drained)
         self.feeder = SchedulerSync(state.jobs, self.scheduler, self._stop_run)
-        self.rounds = SchedulingLoop(
+        self.scheduling = SchedulingLoop(
             state.jobs, self.gate, self.scheduler, self.agents, self.feeder, clock, self._stop_run
         )
         self._agent_monitor = AgentMonitor(
@@ -114,7 +114,7 @@
         self._next_trim = clock.now() + TRIM_INTERVAL_S
         self._set_queues(self.configurations.current)
         self.feeder.rebuild(self._now())
-        self.rounds.request_pass()
+        self.scheduling.request_pass()
 
     def _now(self) -> Moment:
         return read_clocks(self.clock)
@@ -180,7 +180,7 @@
         """Apply and publish a newly committed configuration."""
         self._set_queues(configuration.value)
         self.configurations.publish(configuration)
-        self.rounds.request_pass()
+        self.scheduling.request_pass()
 
     def _set_queues(self, stored: StoredConfiguration) -> None:
         if stored.configuration is not None:
@@ -188,7 +188,7 @@
 
     def _job_submitted(self, job: Job) -> None:
         self.feeder.job_submitted(job, self._now())
-        self.rounds.request_pass()
+        self.scheduling.request_pass()
 
     def _apply_outcome(self, outcome: Outcome) -> None:
         """Apply the outcome of a command that ended runs or jobs."""
@@ -197,7 +197,7 @@
         self.feeder.runs_closed(outcome, self._now())
         for late in self.feeder.take_late_jobs():
             log.info("job_late", job=late.job, time=late.time, queue=late.queue, **late.log_fields())
-        self.rounds.request_pass()
+        self.scheduling.request_pass()
 
     def _drain(self, call: DrainCall, reply: Reply) -> None:
         """Handle an operator's call to drain a node or to undo that."""
@@ -212,7 +212,7 @@
         if session is not None and session.info is not None:
             self.scheduler.put_worker(self.agents.update_worker(session, session.info))
             self._evacuate(session.node, session.info)
-        self.rounds.request_pass()
+        self.scheduling.request_pass()
 
     # ---- agents ------------------------------------------------------------------------------------------
 
@@ -250,7 +250,7 @@
     def agent_record(self, session: AgentSession, record: Record) -> None:
         """Handle a record from an agent."""
         if self._agent_monitor.record_received(session):
-            self.rounds.request_pass()
+            self.scheduling.request_pass()
         match record:
             case LeaseRequest(sent_ms=sent_ms):
                 self._lease_requested(session, sent_ms)
@@ -277,7 +277,7 @@
         worker = self.agents.grant_lease(session, grant, self.clock.now())
         if worker is not None:
             self.scheduler.put_worker(worker)
-            self.rounds.request_pass()
+            self.scheduling.request_pass()
 
     def _worker_updated(self, session: AgentSession, info: WorkerInfo | None) -> None:
         if info is None:
@@ -300,7 +300,7 @@
             whole = self.agents.complete_runs(info.instance)
             self.gate.after_commit(whole, lambda released: self.agents.send_complete_runs(session, released))
         self._evacuate(session.node, info)
-        self.rounds.request_pass()
+        self.scheduling.request_pass()
 
     def _worker_suspected(self, session: AgentSession, instance: str) -> None:
         """Assign nothing more to a worker that does not answer its agent, until it does."""
@@ -381,10 +381,10 @@
         """Perform all periodic work that is due; return the monotonic time of the next call."""
         moment = self._now()
         if self.feeder.process_due(moment):
-            self.rounds.request_pass()
-        self.rounds.request_pass_if_due(moment.now)
+            self.scheduling.request_pass()
+        self.scheduling.request_pass_if_due(moment.now)
         if moment.now >= self._agent_monitor.next_check and self._agent_monitor.check_responses(moment.now):
-            self.rounds.request_pass()
+            self.scheduling.request_pass()
         if moment.now >= self._next_check:
             self._next_check = moment.now + CHECK_INTERVAL_S
             self._agent_monitor.check_leases(moment.now)
@@ -398,8 +398,8 @@
                     cause=change.cause.value,
                 )
             for preemption in self.scheduler.stalled(moment.now):
-                self.rounds.preempt(preemption)
-            self.rounds.request_pass()
+                self.scheduling.preempt(preemption)
+            self.scheduling.request_pass()
         if moment.now >= self._next_purge:
             self._next_purge = moment.now + PURGE_INTERVAL_S
             self._propose_if_any(purge_command(self.state.jobs.jobs.values(), moment.wall_ms, self._status_s))
@@ -407,7 +407,7 @@
             self._next_trim = moment.now + TRIM_INTERVAL_S
             self._propose_if_any(trim_command(self.state.jobs.jobs.values()))
         next_periodic = min(self._next_check, self._next_purge, self._next_trim, self._agent_monitor.next_check)
-        return min(self.feeder.next_due(moment), next_periodic, self.rounds.next_pass)
+        return min(self.feeder.next_due(moment), next_periodic, self.scheduling.next_pass)
 
     def _propose_if_any(self, command: Record | None) -> None:
         if command is not None:
