--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -99,9 +99,9 @@
         self.gate = CommitGate(chain, clock.soon)
         self.scheduler = Scheduler(random, far_times)
         self.agents = AgentRegistry(state.jobs, clock.now(), state.drained)
-        self.feeder = SchedulerSync(state.jobs, self.scheduler, self._stop_run)
+        self.scheduler_sync = SchedulerSync(state.jobs, self.scheduler, self._stop_run)
         self.scheduling = SchedulingLoop(
-            state.jobs, self.gate, self.scheduler, self.agents, self.feeder, clock, self._stop_run
+            state.jobs, self.gate, self.scheduler, self.agents, self.scheduler_sync, clock, self._stop_run
         )
         self._agent_monitor = AgentMonitor(
             state.jobs, self.agents, self.scheduler, self._end_runs, self._forget_worker, clock.now()
@@ -113,7 +113,7 @@
         self._next_purge = clock.now() + PURGE_INTERVAL_S
         self._next_trim = clock.now() + TRIM_INTERVAL_S
         self._set_queues(self.configurations.current)
-        self.feeder.rebuild(self._now())
+        self.scheduler_sync.rebuild(self._now())
         self.scheduling.request_pass()
 
     def _now(self) -> Moment:
@@ -184,18 +184,18 @@
 
     def _set_queues(self, stored: StoredConfiguration) -> None:
         if stored.configuration is not None:
-            self.feeder.set_queues(stored.configuration)
+            self.scheduler_sync.set_queues(stored.configuration)
 
     def _job_submitted(self, job: Job) -> None:
-        self.feeder.job_submitted(job, self._now())
+        self.scheduler_sync.job_submitted(job, self._now())
         self.scheduling.request_pass()
 
     def _apply_outcome(self, outcome: Outcome) -> None:
         """Apply the outcome of a command that ended runs or jobs."""
         for closed in outcome.closed:
             self.agents.run_closed(closed.ended.run)
-        self.feeder.runs_closed(outcome, self._now())
-        for late in self.feeder.take_late_jobs():
+        self.scheduler_sync.runs_closed(outcome, self._now())
+        for late in self.scheduler_sync.take_late_jobs():
             log.info("job_late", job=late.job, time=late.time, queue=late.queue, **late.log_fields())
         self.scheduling.request_pass()
 
@@ -341,7 +341,7 @@
             if run is not None:
                 ends.append(EndedRun(run, entry.how, entry.saved))
                 if entry.ran_ms:
-                    self.feeder.run_measured(run, report.instance, entry.ran_ms / 1000)
+                    self.scheduler_sync.run_measured(run, report.instance, entry.ran_ms / 1000)
         open_ends = tuple(
             end
             for end in ends
@@ -380,7 +380,7 @@
     def tick(self) -> float:
         """Perform all periodic work that is due; return the monotonic time of the next call."""
         moment = self._now()
-        if self.feeder.process_due(moment):
+        if self.scheduler_sync.process_due(moment):
             self.scheduling.request_pass()
         self.scheduling.request_pass_if_due(moment.now)
         if moment.now >= self._agent_monitor.next_check and self._agent_monitor.check_responses(moment.now):
@@ -407,7 +407,7 @@
             self._next_trim = moment.now + TRIM_INTERVAL_S
             self._propose_if_any(trim_command(self.state.jobs.jobs.values()))
         next_periodic = min(self._next_check, self._next_purge, self._next_trim, self._agent_monitor.next_check)
-        return min(self.feeder.next_due(moment), next_periodic, self.scheduling.next_pass)
+        return min(self.scheduler_sync.next_due(moment), next_periodic, self.scheduling.next_pass)
 
     def _propose_if_any(self, command: Record | None) -> None:
         if command is not None:
--- a/millethead/control/scheduling_loop.py
+++ b/millethead/control/scheduling_loop.py
@@ -47,12 +47,12 @@
         gate: CommitGate,
         scheduler: Scheduler,
         agents: AgentRegistry,
-        feeder: SchedulerSync,
+        scheduler_sync: SchedulerSync,
         clock: HeadClock,
         stop: Callable[[TaskRun], None],
     ) -> None:
         self._jobs, self.gate, self._scheduler, self._agents = jobs, gate, scheduler, agents
-        self._feeder, self._clock, self._stop = feeder, clock, stop
+        self._scheduler_sync, self._clock, self._stop = scheduler_sync, clock, stop
         self._active = self._requested = False
         self.next_pass = math.inf  # monotonic time at which the scheduler needs a pass without any change
 
@@ -91,9 +91,9 @@
         if not placements:
             self._clock.later(MIN_PASS_INTERVAL_S, self._finish_pass)
             return
-        assignments = self._feeder.assignments(placements, self._agents.workers)
+        assignments = self._scheduler_sync.assignments(placements, self._agents.workers)
         self.gate.propose(AssignRuns(assignments, self._clock.wall_ms()))
-        self._feeder.runs_opened(assignments, read_clocks(self._clock))
+        self._scheduler_sync.runs_opened(assignments, read_clocks(self._clock))
         self.gate.after_commit(self._orders(assignments), self._send_committed)
 
     def _startable(self, placements: Sequence[Placement]) -> list[Placement]:
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -140,7 +140,7 @@
     def end(self, name, index, how):
         run = self.state.jobs.open[name, 0, 0, index]
         outcome = self.head.gate.propose(EndRuns((EndedRun(run, how, ""),), WALL_MS))
-        self.head.feeder.runs_closed(outcome, self.head._now())
+        self.head.scheduler_sync.runs_closed(outcome, self.head._now())
         self.clock.run()
 
 
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -1159,15 +1159,15 @@
 
 def test_next_time_of_a_repeated_job_is_added_when_due() -> None:
     state = ControlState()
-    feeder = SchedulerSync(state.jobs, Scheduler(Random(1)), lambda run: None)
+    scheduler_sync = SchedulerSync(state.jobs, Scheduler(Random(1)), lambda run: None)
     harness = HeadHarness()
     harness.ask("POST", body=timed(3, 1000, 500))
-    feeder = harness.head.feeder
+    scheduler_sync = harness.head.scheduler_sync
     clock = Moment(500.0, WALL_MS)
-    assert feeder.next_due(clock) == pytest.approx(501.0)
-    assert not feeder.process_due(clock)
-    assert feeder.process_due(Moment(501.2, WALL_MS + 1200))
-    assert feeder.next_due(Moment(501.2, WALL_MS + 1200)) == pytest.approx(501.5)
+    assert scheduler_sync.next_due(clock) == pytest.approx(501.0)
+    assert not scheduler_sync.process_due(clock)
+    assert scheduler_sync.process_due(Moment(501.2, WALL_MS + 1200))
+    assert scheduler_sync.next_due(Moment(501.2, WALL_MS + 1200)) == pytest.approx(501.5)
 
 
 def test_ended_job_is_removed_from_the_scheduler() -> None:
@@ -1176,7 +1176,7 @@
     assert harness.head.scheduler.why_waiting(StepKey(NAME, 0, 0), 0, harness.clock.at).value != "not waiting"
     harness.ask("DELETE")
     assert harness.head.scheduler.why_waiting(StepKey(NAME, 0, 0), 0, harness.clock.at).value == "not waiting"
-    assert not harness.head.feeder._steps
+    assert not harness.head.scheduler_sync._steps
 
 
 def test_lease_without_a_grant_starts_with_the_epoch() -> None:
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -77,9 +77,9 @@
 def run_number_reused(patch: Patch) -> None:
     """A task's next run has the number of its last one."""
 
-    def number(feeder: SchedulerSync, placement: Any, gangs: Any) -> int:
+    def number(scheduler_sync: SchedulerSync, placement: Any, gangs: Any) -> int:
         key = placement.key
-        step = feeder._jobs.jobs[key.job].at_time(key.time).steps[key.step]
+        step = scheduler_sync._jobs.jobs[key.job].at_time(key.time).steps[key.step]
         return max(1, step.tasks[placement.index].run)
 
     def assign(table: JobTable, command: AssignRuns) -> Outcome:
@@ -242,7 +242,7 @@
 
 def cancel_stops_nothing(patch: Patch) -> None:
     """What runs of a cancelled job runs on."""
-    patch.setattr(SchedulerSync, "job_ended", lambda feeder, job: None)
+    patch.setattr(SchedulerSync, "job_ended", lambda scheduler_sync, job: None)
 
 
 def leases_in_stale_sessions(patch: Patch) -> None:
