--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -173,7 +173,7 @@
             case _:
                 raise CodecError(f"{type(record).__name__} is no call")
 
-    def caller_gone(self, caller: CallerSession) -> None:
+    def caller_disconnected(self, caller: CallerSession) -> None:
         self.configurations.leave(caller)
 
     def _configuration_committed(self, configuration: Committed[StoredConfiguration]) -> None:
--- a/millethead/lab/system_core.py
+++ b/millethead/lab/system_core.py
@@ -229,7 +229,7 @@
     def _gone(self, end: WireEnd) -> None:
         session = self._sessions.pop(end, None)
         if isinstance(session, CallerSession):
-            self.head.caller_gone(session)
+            self.head.caller_disconnected(session)
         elif isinstance(session, AgentSession):
             self.head.agent_gone(session)
 
--- a/millethead/programs/core_sessions.py
+++ b/millethead/programs/core_sessions.py
@@ -128,6 +128,6 @@
         if self._head is None:
             return
         if isinstance(session, CallerSession):
-            self._head.caller_gone(session)
+            self._head.caller_disconnected(session)
         elif isinstance(session, AgentSession):
             self._head.agent_gone(session)
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -414,7 +414,7 @@
 def test_new_configuration_is_sent_to_all_connected_callers() -> None:
     harness = HeadHarness()
     gone = harness.head.caller_hello(FakeLink(), CallerHello("d2", 0, 1, LogPlace(1, 1), True))
-    harness.head.caller_gone(gone)
+    harness.head.caller_disconnected(gone)
     harness.link.take(ConfigurationUpdate)
     assert harness.configure(document(4), 1) == 200
     assert [update.version for update in harness.link.take(ConfigurationUpdate)] == [4]
