--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -263,7 +263,7 @@
             case WorkerSuspected(instance=instance):
                 self._worker_suspected(session, instance)
 
-    def agent_gone(self, session: AgentSession) -> None:
+    def agent_disconnected(self, session: AgentSession) -> None:
         self.agents.remove_session(session)
         self._agent_monitor.connection_closed(session)
 
--- a/millethead/lab/system_core.py
+++ b/millethead/lab/system_core.py
@@ -231,7 +231,7 @@
         if isinstance(session, CallerSession):
             self.head.caller_disconnected(session)
         elif isinstance(session, AgentSession):
-            self.head.agent_gone(session)
+            self.head.agent_disconnected(session)
 
     # ---- ends --------------------------------------------------------------------------------------------
 
--- a/millethead/programs/core_sessions.py
+++ b/millethead/programs/core_sessions.py
@@ -130,4 +130,4 @@
         if isinstance(session, CallerSession):
             self._head.caller_disconnected(session)
         elif isinstance(session, AgentSession):
-            self._head.agent_gone(session)
+            self._head.agent_disconnected(session)
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -118,7 +118,7 @@
     assert len(harness.state.drained) == 0 and harness.proposed(DrainNode) == []
     agent = harness.agent("n-7", worker())
     drain_and_settle(harness, "n-7")
-    harness.head.agent_gone(agent.session)
+    harness.head.agent_disconnected(agent.session)
     assert report(drain_and_settle(harness, "n-7", False)) == DrainReport("n-7", False, "", 0)
     assert len(harness.state.drained) == 0
 
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -499,7 +499,7 @@
     agent = harness.agent()
     harness.ask("POST", body=job())
     harness.call("DELETE")
-    harness.head.agent_gone(agent.session)
+    harness.head.agent_disconnected(agent.session)
     again = Agent(harness, "n-1")
     harness.clock.run()
     harness.head.gate.barrier_passed(harness.chain.barrier)
@@ -965,7 +965,7 @@
     harness = HeadHarness()
     agent = harness.agent()
     harness.ask("POST", body=job())
-    harness.head.agent_gone(agent.session)
+    harness.head.agent_disconnected(agent.session)
     other = harness.agent("n-2", worker("i-2"))
     harness.pass_time(LEASE_S)
     assert not other.orders()
@@ -1026,7 +1026,7 @@
     agent = harness.agent()
     harness.ask("POST", body=job())
     harness.pass_time(LEASES_EXPIRED_S + 1.0)
-    harness.head.agent_gone(agent.session)
+    harness.head.agent_disconnected(agent.session)
     again = harness.agent()
     harness.pass_time(1.0)
     assert again.orders() == [f"{task()}#2"]
@@ -1093,7 +1093,7 @@
     harness.ask("POST", body=job())
     harness.ask("POST", OTHER, job())
     harness.ask("DELETE", OTHER)
-    harness.head.agent_gone(agent.session)
+    harness.head.agent_disconnected(agent.session)
     again = harness.agent()
     whole = [desired for desired in again.desired_runs() if desired.whole]
     assert whole and all(desired.instance == "i-1" for desired in whole)
@@ -1106,7 +1106,7 @@
     first = harness.agent()
     second = harness.agent()
     assert first.link.closed
-    harness.head.agent_gone(first.session)
+    harness.head.agent_disconnected(first.session)
     assert harness.head.agents.sessions["n-1"] is second.session
 
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -98,7 +98,7 @@
 def test_worker_without_its_agent_counts_as_agent_away():
     harness = HeadHarness()
     agent = harness.agent(info=worker())
-    harness.head.agent_gone(agent.session)
+    harness.head.agent_disconnected(agent.session)
     assert read(head_figures(harness.head))["workers", "alpha", "agent_away"] == 1
 
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -96,7 +96,7 @@
 
 def test_disconnected_agent_gets_no_new_runs() -> None:
     harness, first, second = two_agents()
-    harness.head.agent_gone(first.session)
+    harness.head.agent_disconnected(first.session)
     harness.ask("POST", OTHER, job({"count": 4}))
     assert len(second.orders()) == 4
     harness.ask("POST", "a" * 16, job())
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -160,8 +160,8 @@
             )
         )
 
-    real = Head.agent_gone
-    patch.setattr(Head, "agent_gone", gone)
+    real = Head.agent_disconnected
+    patch.setattr(Head, "agent_disconnected", gone)
 
 
 def earlier_leases_forgotten(patch: Patch) -> None:
