--- a/millethead/control/commit.py
+++ b/millethead/control/commit.py
@@ -173,7 +173,7 @@
             self._barrier_scheduled = True
             self._soon(self._send_barrier)
 
-    def leads_on(self) -> None:
+    def continue_in_view(self) -> None:
         """Continue as the head in another view.
 
         A pending barrier was lost with the links of the previous view, so the reads that waited for it wait for a new
--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -99,7 +99,7 @@
         self.callers: list[CallerSession] = []
         self.current: StoredConfiguration = stored_configuration(state)
 
-    def leads_on(self, epoch: int) -> None:
+    def continue_in_view(self, epoch: int) -> None:
         """Continue as the head in another view.
 
         Callers that learned of the new view first may have ignored updates sent under the previous one. Callers that
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -119,11 +119,11 @@
     def _now(self) -> Moment:
         return read_clocks(self.clock)
 
-    def leads_on(self, view: View) -> None:
+    def continue_in_view(self, view: View) -> None:
         """Continue as the head in the next view, keeping sessions, leases, call numbers and pending callbacks."""
         self.view = view
-        self.gate.leads_on()
-        self.configurations.leads_on(view.epoch)
+        self.gate.continue_in_view()
+        self.configurations.continue_in_view(view.epoch)
         for caller in self.configurations.callers:  # a caller may know the view already and have sent calls in it
             caller.link.send(from_view(CallerWelcome(view, True)))
 
--- a/millethead/lab/core_machine.py
+++ b/millethead/lab/core_machine.py
@@ -428,8 +428,8 @@
 
     def leads_on(self, view: View) -> None:
         assert self.gate is not None and self.stream is not None
-        self.gate.leads_on()
-        self.stream.leads_on(view.epoch)
+        self.gate.continue_in_view()
+        self.stream.continue_in_view(view.epoch)
 
     def deposed(self) -> None:
         if self.gate is not None:
--- a/millethead/lab/core_mutants.py
+++ b/millethead/lab/core_mutants.py
@@ -300,12 +300,12 @@
 def read_over_a_change_of_view() -> Iterator[None]:
     """Reads that waited for a barrier of the view before are answered when the next view comes."""
 
-    def leads_on(self: CommitGate) -> None:
+    def continue_in_view(self: CommitGate) -> None:
         ready, self._awaiting_barrier = self._awaiting_barrier, []
         for _, release in ready:
             release()
 
-    with mock.patch.object(CommitGate, "leads_on", leads_on):
+    with mock.patch.object(CommitGate, "continue_in_view", continue_in_view):
         yield
 
 
--- a/millethead/lab/system_core.py
+++ b/millethead/lab/system_core.py
@@ -367,7 +367,7 @@
         if self.epoch % MISSED != 0:
             self.epoch += 1
             process.chain.renew(self.epoch)
-            process.head.leads_on(View(self.epoch, (), ()))
+            process.head.continue_in_view(View(self.epoch, (), ()))
             return
         chain = process.chain
         chain.broken = True
--- a/millethead/programs/control.py
+++ b/millethead/programs/control.py
@@ -308,7 +308,7 @@
     def leads_on(self, view: View) -> None:
         assert self._head is not None
         log.info("head_leads_on", epoch=view.epoch)
-        self._head.leads_on(view)
+        self._head.continue_in_view(view)
 
     def deposed(self) -> None:
         head, self._head = self._head, None
--- a/tests/test_leading_on.py
+++ b/tests/test_leading_on.py
@@ -112,7 +112,7 @@
     gate.turn()
     gate.read("behind")
     gate.chain.barrier = 0  # the chain of the next view counts anew
-    gate.gate.leads_on()
+    gate.gate.continue_in_view()
     assert gate.released == []
     gate.turn()
     gate.gate.barrier_passed(gate.chain.barrier)
@@ -122,7 +122,7 @@
 def test_entries_under_way_are_answered_once_they_are_committed() -> None:
     gate = Gate()
     gate.propose("order")
-    gate.gate.leads_on()
+    gate.gate.continue_in_view()
     assert gate.released == []
     gate.commit(1)
     assert gate.released == ["order"]
@@ -142,7 +142,7 @@
     agent.link.sent.clear()
     link = RawLink()
     caller = bench.head.caller_hello(link, CallerHello("d2", 0, 0, NO_PLACE, False))
-    bench.head.leads_on(View(5, (), ()))
+    bench.head.continue_in_view(View(5, (), ()))
     assert [record.view.epoch for record in link.sent if isinstance(record, CallerWelcome)] == [4, 5]
     for number, epoch in ((70, 4), (71, 5), (72, 3), (73, 6)):
         call = encode_any(JobCall(number, "POST", "jobs.example", f"/slow/{number:016x}", job()))
@@ -160,12 +160,12 @@
     """It may have heard of the next view before, and passed over what came under the one before it."""
     bench = HeadHarness(epoch=4)
     bench.link.sent.clear()
-    bench.head.leads_on(View(5, (), ()))
+    bench.head.continue_in_view(View(5, (), ()))
     bench.settle()
     updates = [record for record in bench.link.sent if isinstance(record, ConfigurationUpdate)]
     assert [update.epoch for update in updates] == [5]
     bench.caller.place = updates[0].place
     bench.link.sent.clear()
-    bench.head.leads_on(View(6, (), ()))
+    bench.head.continue_in_view(View(6, (), ()))
     bench.settle()
     assert not [record for record in bench.link.sent if isinstance(record, ConfigurationUpdate)]
