--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -111,7 +111,7 @@
                 caller.sent = NO_PLACE
                 self._send_newest(caller)
 
-    def join(self, link: CommittedLink, hello: CallerHello) -> CallerSession:
+    def add_caller(self, link: CommittedLink, hello: CallerHello) -> CallerSession:
         """Open the session of a caller and send it the newest configuration, unless that is in force there already."""
         caller = CallerSession(hello.node, link, hello.wants_configuration, hello.configuration, hello.place)
         self.callers.append(caller)
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -137,7 +137,7 @@
         """Open the session of a caller, a program that sends the calls of clients or of the operator."""
         committed_link = CommittedLink(link, self._chain)
         committed_link.send(from_view(CallerWelcome(self.view, True)))
-        return self.configurations.join(committed_link, hello)
+        return self.configurations.add_caller(committed_link, hello)
 
     def caller_record(self, caller: CallerSession, record: Record) -> None:
         """Handle a record from a caller."""
--- a/millethead/lab/core_machine.py
+++ b/millethead/lab/core_machine.py
@@ -479,4 +479,4 @@
         """A follower of the configuration has connected; None where this process does not serve."""
         if self.stream is None:
             return None
-        return self.stream.join(CommittedLink(link, self._running().chain), hello)
+        return self.stream.add_caller(CommittedLink(link, self._running().chain), hello)
