--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -125,7 +125,7 @@
     def _newest(self) -> StoredConfiguration:
         return stored_configuration(self._state)
 
-    def leave(self, caller: CallerSession) -> None:
+    def remove_caller(self, caller: CallerSession) -> None:
         """Remove the session of a caller."""
         if caller in self.callers:
             self.callers.remove(caller)
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -174,7 +174,7 @@
                 raise CodecError(f"{type(record).__name__} is no call")
 
     def caller_disconnected(self, caller: CallerSession) -> None:
-        self.configurations.leave(caller)
+        self.configurations.remove_caller(caller)
 
     def _configuration_committed(self, configuration: Committed[StoredConfiguration]) -> None:
         """Apply and publish a newly committed configuration."""
--- a/millethead/lab/core_clients.py
+++ b/millethead/lab/core_clients.py
@@ -310,4 +310,4 @@
         link.close()
         caller, stream = link.caller, link.process.stream
         if caller is not None and stream is not None:
-            link.process.post(lambda: stream.leave(caller), self)
+            link.process.post(lambda: stream.remove_caller(caller), self)
