--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -130,7 +130,7 @@
         if caller in self.callers:
             self.callers.remove(caller)
 
-    def acknowledged(self, caller: CallerSession, record: ConfigurationAck) -> None:
+    def record_ack(self, caller: CallerSession, record: ConfigurationAck) -> None:
         """Record which configuration a caller has put into force."""
         caller.configuration, caller.place = record.version, record.place
 
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -146,7 +146,7 @@
                 if self._first_epoch <= epoch <= self.view.epoch:
                     self.call(caller, decode_any(data), epoch)
             case ConfigurationAck():
-                self.configurations.acknowledged(caller, record)
+                self.configurations.record_ack(caller, record)
             case CallerPing(epoch=epoch, serving=serving):
                 current = epoch == self.view.epoch and serving
                 caller.link.send(from_view(CallerPong() if current else CallerWelcome(self.view, True)))
--- a/millethead/lab/core_clients.py
+++ b/millethead/lab/core_clients.py
@@ -296,7 +296,7 @@
         if link.caller is not None:
             caller, stream = link.caller, link.process.stream
             if stream is not None:
-                link.process.post(lambda: stream.acknowledged(caller, self.held.ack()), self)
+                link.process.post(lambda: stream.record_ack(caller, self.held.ack()), self)
 
     def _part(self, link: _FollowerLink) -> None:
         """Connections end by chance; in a calm time only where the process does not serve any more."""
