--- a/millethead/control/client.py
+++ b/millethead/control/client.py
@@ -280,7 +280,7 @@
         if self._configured is None:
             return
         before = self._active.version
-        if self._active.take(update, self.view.epoch):
+        if self._active.accept(update, self.view.epoch):
             if update.discard and before:
                 log.warning("configuration_discarded", version=before, instead=update.version)
             self._configured(update.version, update.document)
--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -47,7 +47,7 @@
     version: int = 0
     place: LogPlace = NO_PLACE
 
-    def take(self, update: ConfigurationUpdate, epoch: int) -> bool:
+    def accept(self, update: ConfigurationUpdate, epoch: int) -> bool:
         """Accept or reject an update; return whether it has to be put into force.
 
         `epoch` is the newest epoch known to the follower. Updates of earlier heads, which may still have been in the
--- a/millethead/lab/core_clients.py
+++ b/millethead/lab/core_clients.py
@@ -292,7 +292,7 @@
         if not link.open or link is not self._link:
             return
         self._epoch = max(self._epoch, update.epoch)
-        self.held.take(update, self._epoch)
+        self.held.accept(update, self._epoch)
         if link.caller is not None:
             caller, stream = link.caller, link.process.stream
             if stream is not None:
--- a/millethead/lab/system_clients.py
+++ b/millethead/lab/system_clients.py
@@ -135,7 +135,7 @@
                 self._answered(epoch, answer)
             case ConfigurationUpdate():
                 self._told(record)
-                self.held.take(record, self._epoch)
+                self.held.accept(record, self._epoch)
                 wire.near.send(self.held.ack())
 
 
--- a/tests/test_committed.py
+++ b/tests/test_committed.py
@@ -127,24 +127,24 @@
 
 def test_follower_orders_updates_by_log_position_not_version() -> None:
     held = ActiveConfiguration()
-    assert held.take(update(2, LogPlace(2, 7), 5), 2)
-    assert not held.take(update(2, LogPlace(2, 7), 5), 2), "the same update again"
-    assert held.take(update(3, LogPlace(3, 9), 5), 3), "another order under the same number"
-    assert not held.take(update(3, LogPlace(2, 8), 6), 3), "an earlier entry, whatever its version"
+    assert held.accept(update(2, LogPlace(2, 7), 5), 2)
+    assert not held.accept(update(2, LogPlace(2, 7), 5), 2), "the same update again"
+    assert held.accept(update(3, LogPlace(3, 9), 5), 3), "another order under the same number"
+    assert not held.accept(update(3, LogPlace(2, 8), 6), 3), "an earlier entry, whatever its version"
     assert held.ack().place == LogPlace(3, 9)
 
 
 def test_follower_ignores_updates_of_earlier_heads() -> None:
     held = ActiveConfiguration()
-    assert held.take(update(4, LogPlace(4, 9), 6), 4)
-    assert not held.take(update(3, LogPlace(3, 20), 7), 4)
-    assert not held.take(update(3, LogPlace(3, 8), 5, discard=True), 4)
+    assert held.accept(update(4, LogPlace(4, 9), 6), 4)
+    assert not held.accept(update(3, LogPlace(3, 20), 7), 4)
+    assert not held.accept(update(3, LogPlace(3, 8), 5, discard=True), 4)
     assert held.version == 6
 
 
 def test_follower_replaces_an_uncommitted_configuration() -> None:
     held = ActiveConfiguration(9, LogPlace(3, 50))
-    assert held.take(update(4, LogPlace(2, 7), 5, discard=True), 4)
+    assert held.accept(update(4, LogPlace(2, 7), 5, discard=True), 4)
     assert (held.version, held.place) == (5, LogPlace(2, 7))
 
 
