--- a/millethead/control/calls.py
+++ b/millethead/control/calls.py
@@ -61,7 +61,7 @@
 class ConfigurationUpdate(Record):
     """A complete committed configuration, sent by the head of `epoch`.
 
-    `place` is the log position of the entry that introduced it. `discard` is true if the configuration in force at the
+    `place` is the log position of the entry that introduced it. `force` is true if the configuration in force at the
     caller is not in the committed log; the caller then replaces it whatever its log position is.
     """
 
@@ -69,7 +69,7 @@
     place: LogPlace
     version: U64
     document: bytes
-    discard: bool
+    force: bool
 
 
 @tagged(123)
--- a/millethead/control/client.py
+++ b/millethead/control/client.py
@@ -281,7 +281,7 @@
             return
         before = self._active.version
         if self._active.accept(update, self.view.epoch):
-            if update.discard and before:
+            if update.force and before:
                 log.warning("configuration_discarded", version=before, instead=update.version)
             self._configured(update.version, update.document)
         if member.connection is not None:
--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -56,7 +56,7 @@
         """
         if update.epoch < epoch or update.place == self.place:
             return False
-        if update.place < self.place and not update.discard:
+        if update.place < self.place and not update.force:
             return False
         self.version, self.place = update.version, update.place
         return True
@@ -141,8 +141,8 @@
             self._send(caller, configuration, False)
 
     def _start(self, caller: CallerSession, newest: Committed[StoredConfiguration]) -> None:
-        discard = not self._state.knows(caller.place)
-        if discard:
+        force = not self._state.knows(caller.place)
+        if force:
             log.warning(
                 "caller_configuration_not_committed",
                 node=caller.node,
@@ -150,16 +150,16 @@
                 epoch=caller.place.epoch,
                 entry=caller.place.sequence,
             )
-        self._send(caller, newest, discard)
+        self._send(caller, newest, force)
 
-    def _send(self, caller: CallerSession, configuration: Committed[StoredConfiguration], discard: bool) -> None:
+    def _send(self, caller: CallerSession, configuration: Committed[StoredConfiguration], force: bool) -> None:
         place = configuration.value.place
         if caller.wants_configuration and configuration.value.document and place != caller.sent:
             caller.sent = place
-            caller.link.send(configuration.derive(self._update(discard)))
+            caller.link.send(configuration.derive(self._update(force)))
 
-    def _update(self, discard: bool) -> Callable[[StoredConfiguration], ConfigurationUpdate]:
+    def _update(self, force: bool) -> Callable[[StoredConfiguration], ConfigurationUpdate]:
         def build(newest: StoredConfiguration) -> ConfigurationUpdate:
-            return ConfigurationUpdate(self._epoch, newest.place, newest.version, newest.document, discard)
+            return ConfigurationUpdate(self._epoch, newest.place, newest.version, newest.document, force)
 
         return build
--- a/millethead/lab/streamed.py
+++ b/millethead/lab/streamed.py
@@ -31,5 +31,5 @@
             raise UncommittedConfiguration(f"version {update.version} is told, and {update.place} is not committed")
         if document != update.document:
             raise UncommittedConfiguration(f"version {update.version} at {update.place} is told with other contents")
-        if update.discard:
+        if update.force:
             raise UncommittedConfiguration(f"a follower is told that what it holds before {update.place} never was")
--- a/tests/test_committed.py
+++ b/tests/test_committed.py
@@ -102,8 +102,8 @@
     assert raw_link_uses("def hello(self, link: HeadLink): return CommittedLink(link, self._chain)") == []
 
 
-def update(epoch: int, place: LogPlace, version: int, discard: bool = False) -> ConfigurationUpdate:
-    return ConfigurationUpdate(epoch, place, version, b"{}", discard)
+def update(epoch: int, place: LogPlace, version: int, force: bool = False) -> ConfigurationUpdate:
+    return ConfigurationUpdate(epoch, place, version, b"{}", force)
 
 
 def test_link_rejects_uncommitted_records() -> None:
@@ -138,13 +138,13 @@
     held = ActiveConfiguration()
     assert held.accept(update(4, LogPlace(4, 9), 6), 4)
     assert not held.accept(update(3, LogPlace(3, 20), 7), 4)
-    assert not held.accept(update(3, LogPlace(3, 8), 5, discard=True), 4)
+    assert not held.accept(update(3, LogPlace(3, 8), 5, force=True), 4)
     assert held.version == 6
 
 
 def test_follower_replaces_an_uncommitted_configuration() -> None:
     held = ActiveConfiguration(9, LogPlace(3, 50))
-    assert held.accept(update(4, LogPlace(2, 7), 5, discard=True), 4)
+    assert held.accept(update(4, LogPlace(2, 7), 5, force=True), 4)
     assert (held.version, held.place) == (5, LogPlace(2, 7))
 
 
@@ -160,7 +160,7 @@
     for invalid in (
         update(1, LogPlace(1, 3), 2),
         ConfigurationUpdate(1, LogPlace(1, 2), 1, b"other", False),
-        update(1, LogPlace(1, 2), 1, discard=True),
+        update(1, LogPlace(1, 2), 1, force=True),
     ):
         with pytest.raises(UncommittedConfiguration):
             streamed.told(invalid)
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -455,7 +455,7 @@
     assert not link.take(ConfigurationUpdate)
     harness.commit()
     (update,) = link.take(ConfigurationUpdate)
-    assert (update.version, update.place, update.discard) == (2, LogPlace(1, len(harness.chain.log)), False)
+    assert (update.version, update.place, update.force) == (2, LogPlace(1, len(harness.chain.log)), False)
 
 
 def test_each_of_two_pending_orders_is_published_with_its_own_commit() -> None:
@@ -480,7 +480,7 @@
         harness.head.caller_hello(link, CallerHello("d2", 0, 9, LogPlace(2, 50), True))
         harness.settle()
     (update,) = link.take(ConfigurationUpdate)
-    assert update.discard and (update.epoch, update.version) == (3, 1)
+    assert update.force and (update.epoch, update.version) == (3, 1)
     assert [line["event"] for line in lines if line.get("node") == "d2"] == ["caller_configuration_not_committed"]
 
 
@@ -491,7 +491,7 @@
     link = FakeLink()
     harness.head.caller_hello(link, CallerHello("d2", 0, 1, before, True))
     harness.settle()
-    assert [(update.version, update.discard) for update in link.take(ConfigurationUpdate)] == [(2, False)]
+    assert [(update.version, update.force) for update in link.take(ConfigurationUpdate)] == [(2, False)]
 
 
 def test_new_agent_session_gets_no_uncommitted_cancel() -> None:
