--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -35,7 +35,7 @@
     place: LogPlace
     sent: LogPlace = NO_PLACE
 
-    def hello(self) -> CallerHello:
+    def to_hello(self) -> CallerHello:
         """Return the hello that represents this session for the head of another epoch."""
         return CallerHello(self.node, 0, self.configuration, self.place, self.wants_configuration)
 
--- a/millethead/lab/system_core.py
+++ b/millethead/lab/system_core.py
@@ -241,7 +241,7 @@
         self.head = self._make_head(epoch)
         for end, session in list(self._sessions.items()):
             if isinstance(session, CallerSession):
-                self._sessions[end] = self.head.caller_hello(end, session.hello())
+                self._sessions[end] = self.head.caller_hello(end, session.to_hello())
             elif isinstance(session, AgentSession):
                 self._sessions[end] = self.head.agent_hello(end, session.hello)
 
--- a/millethead/programs/core_sessions.py
+++ b/millethead/programs/core_sessions.py
@@ -51,7 +51,7 @@
         self._head = None
         for connection, session in list(self._sessions.items()):
             if isinstance(session, CallerSession):
-                self._sessions[connection] = session.hello()
+                self._sessions[connection] = session.to_hello()
             elif isinstance(session, AgentSession):
                 self._sessions[connection] = session.hello
 
