--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -24,7 +24,7 @@
 class CallerSession:
     """Session of a caller, a program that sends the calls of clients or of the operator.
 
-    `configuration` and `place` are the version and the log position of the configuration in force at the caller. `sent`
+    `configuration` and `place` are the version and the log position of the configuration in force at the caller. `sent_place`
     is the log position of the configuration that was sent to it last.
     """
 
@@ -33,7 +33,7 @@
     wants_configuration: bool
     configuration: int
     place: LogPlace
-    sent: LogPlace = NO_PLACE
+    sent_place: LogPlace = NO_PLACE
 
     def to_hello(self) -> CallerHello:
         """Return the hello that represents this session for the head of another epoch."""
@@ -108,7 +108,7 @@
         self._epoch = epoch
         for caller in self.callers:
             if caller.wants_configuration and caller.place != self._state.place:
-                caller.sent = NO_PLACE
+                caller.sent_place = NO_PLACE
                 self._send_newest(caller)
 
     def add_caller(self, link: CommittedLink, hello: CallerHello) -> CallerSession:
@@ -154,8 +154,8 @@
 
     def _send(self, caller: CallerSession, configuration: Committed[StoredConfiguration], force: bool) -> None:
         place = configuration.value.place
-        if caller.wants_configuration and configuration.value.document and place != caller.sent:
-            caller.sent = place
+        if caller.wants_configuration and configuration.value.document and place != caller.sent_place:
+            caller.sent_place = place
             caller.link.send(configuration.derive(self._update(force)))
 
     def _update(self, force: bool) -> Callable[[StoredConfiguration], ConfigurationUpdate]:
