--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -106,13 +106,13 @@
         self._agent_monitor = AgentMonitor(
             state.jobs, self.agents, self.scheduler, self._end_runs, self._forget_worker, clock.now()
         )
-        self.configurations = ConfigurationStream(view.epoch, state.configuration, self.gate)
+        self.configuration_stream = ConfigurationStream(view.epoch, state.configuration, self.gate)
         events = StateChangeCallbacks(self._job_submitted, self._apply_outcome, self._configuration_committed)
         self._call_handler = CallHandler(state, self.gate, events, clock.wall_ms, max_job_bytes)
         self._next_check = clock.now() + CHECK_INTERVAL_S
         self._next_purge = clock.now() + PURGE_INTERVAL_S
         self._next_trim = clock.now() + TRIM_INTERVAL_S
-        self._set_queues(self.configurations.current)
+        self._set_queues(self.configuration_stream.current)
         self.scheduler_sync.rebuild(self._now())
         self.scheduling.request_pass()
 
@@ -123,8 +123,8 @@
         """Continue as the head in the next view, keeping sessions, leases, call numbers and pending callbacks."""
         self.view = view
         self.gate.continue_in_view()
-        self.configurations.continue_in_view(view.epoch)
-        for caller in self.configurations.callers:  # a caller may know the view already and have sent calls in it
+        self.configuration_stream.continue_in_view(view.epoch)
+        for caller in self.configuration_stream.callers:  # a caller may know the view already and have sent calls in it
             caller.link.send(from_view(CallerWelcome(view, True)))
 
     def close(self) -> None:
@@ -137,7 +137,7 @@
         """Open the session of a caller, a program that sends the calls of clients or of the operator."""
         committed_link = CommittedLink(link, self._chain)
         committed_link.send(from_view(CallerWelcome(self.view, True)))
-        return self.configurations.add_caller(committed_link, hello)
+        return self.configuration_stream.add_caller(committed_link, hello)
 
     def caller_record(self, caller: CallerSession, record: Record) -> None:
         """Handle a record from a caller."""
@@ -146,7 +146,7 @@
                 if self._first_epoch <= epoch <= self.view.epoch:
                     self.call(caller, decode_any(data), epoch)
             case ConfigurationAck():
-                self.configurations.record_ack(caller, record)
+                self.configuration_stream.record_ack(caller, record)
             case CallerPing(epoch=epoch, serving=serving):
                 current = epoch == self.view.epoch and serving
                 caller.link.send(from_view(CallerPong() if current else CallerWelcome(self.view, True)))
@@ -174,12 +174,12 @@
                 raise CodecError(f"{type(record).__name__} is no call")
 
     def caller_disconnected(self, caller: CallerSession) -> None:
-        self.configurations.remove_caller(caller)
+        self.configuration_stream.remove_caller(caller)
 
     def _configuration_committed(self, configuration: Committed[StoredConfiguration]) -> None:
         """Apply and publish a newly committed configuration."""
         self._set_queues(configuration.value)
-        self.configurations.publish(configuration)
+        self.configuration_stream.publish(configuration)
         self.scheduling.request_pass()
 
     def _set_queues(self, stored: StoredConfiguration) -> None:
--- a/millethead/control/inspect.py
+++ b/millethead/control/inspect.py
@@ -184,7 +184,7 @@
     def gate(self) -> CommitGate: ...
 
     @property
-    def configurations(self) -> ConfigurationStream: ...
+    def configuration_stream(self) -> ConfigurationStream: ...
 
     @property
     def agents(self) -> AgentRegistry: ...
@@ -224,7 +224,7 @@
         state.configuration.version,
         tuple(
             CallerReport(caller.node, caller.configuration)
-            for caller in head.configurations.callers
+            for caller in head.configuration_stream.callers
             if caller.wants_configuration
         ),
         _queues(head),
--- a/millethead/programs/control_figures.py
+++ b/millethead/programs/control_figures.py
@@ -38,8 +38,8 @@
     if head is None:
         return
     status = status_report(head)
-    configuration = head.configurations.current  # the status may tell of one that is not committed yet
-    followers = [caller for caller in head.configurations.callers if caller.wants_configuration]
+    configuration = head.configuration_stream.current  # the status may tell of one that is not committed yet
+    followers = [caller for caller in head.configuration_stream.callers if caller.wants_configuration]
     behind = sum(caller.place < configuration.place for caller in followers)
     yield gauge("uncommitted_entries", "Entries that the chain has not all synced yet.", status.uncommitted)
     yield gauge("configuration_version", "Version of the committed configuration.", configuration.version)
