--- a/millethead/control/client.py
+++ b/millethead/control/client.py
@@ -107,7 +107,7 @@
         """Whether there is a connection to the head."""
         return self._head is not None
 
-    def away_s(self) -> float:
+    def disconnected_s(self) -> float:
         """Return for how many seconds the head has been unreachable; 0 before it was first reached."""
         if self._head is not None or self.lost_head_at is None:
             return 0.0
--- a/millethead/programs/dispatcher.py
+++ b/millethead/programs/dispatcher.py
@@ -120,7 +120,7 @@
         if self._caller.connected:
             return True
         lost = self._caller.lost_head_at is not None
-        return lost and self._caller.away_s() < READY_SLACK_S
+        return lost and self._caller.disconnected_s() < READY_SLACK_S
 
     # ---- requests ----------------------------------------------------------------------------------------
 
@@ -151,7 +151,7 @@
 
     async def _answer(self, make_call: Callable[[int], JobCall], deadline_s: float, into: Deferred) -> None:
         most = max(0.05, deadline_s - MARGIN_S)
-        away_s = self._caller.away_s()
+        away_s = self._caller.disconnected_s()
         if away_s > REACH_S:
             into.complete(self._count(_unreached(LONG_RETRY_AFTER_S)))
             return
