--- a/millethead/control/client.py
+++ b/millethead/control/client.py
@@ -92,7 +92,7 @@
         self._head: _MemberConnection | None = None
         self._calls: dict[int, _PendingCall] = {}
         self._last_number = 0
-        self.lost_head_at: float | None = None
+        self.disconnected_at: float | None = None
         self._ping_task: asyncio.Task[None] | None = None
 
     @property
@@ -109,9 +109,9 @@
 
     def disconnected_s(self) -> float:
         """Return for how many seconds the head has been unreachable; 0 before it was first reached."""
-        if self._head is not None or self.lost_head_at is None:
+        if self._head is not None or self.disconnected_at is None:
             return 0.0
-        return asyncio.get_running_loop().time() - self.lost_head_at
+        return asyncio.get_running_loop().time() - self.disconnected_at
 
     async def call(self, make: Callable[[int], Record], reach_s: float, answer_s: float) -> CallAnswer:
         """Make a call and return its answer. `make` builds the record from the number of the call.
@@ -268,10 +268,10 @@
         """Set or clear the connection to the head; all pending calls are sent again to a new head."""
         if member is None:
             if self._head is not None:
-                self.lost_head_at = asyncio.get_running_loop().time()
+                self.disconnected_at = asyncio.get_running_loop().time()
             self._head = None
             return
-        self._head, self.lost_head_at = member, None
+        self._head, self.disconnected_at = member, None
         for call in list(self._calls.values()):
             if not call.answer.done():
                 self._send(call)
--- a/millethead/programs/dispatcher.py
+++ b/millethead/programs/dispatcher.py
@@ -119,7 +119,7 @@
             return False
         if self._caller.connected:
             return True
-        lost = self._caller.lost_head_at is not None
+        lost = self._caller.disconnected_at is not None
         return lost and self._caller.disconnected_s() < READY_SLACK_S
 
     # ---- requests ----------------------------------------------------------------------------------------
