--- a/millethead/control/client.py
+++ b/millethead/control/client.py
@@ -113,11 +113,13 @@
             return 0.0
         return asyncio.get_running_loop().time() - self.disconnected_at
 
-    async def call(self, make: Callable[[int], Record], connect_timeout_s: float, answer_s: float) -> CallAnswer:
+    async def call(
+        self, make: Callable[[int], Record], connect_timeout_s: float, answer_timeout_s: float
+    ) -> CallAnswer:
         """Make a call and return its answer. `make` builds the record from the number of the call.
 
         Raises CallFailed if the head is not reached within `connect_timeout_s` seconds, or if its answer does not arrive within
-        `answer_s` seconds.
+        `answer_timeout_s` seconds.
         """
         if len(self._calls) >= MAX_PENDING_CALLS:
             raise CallFailed(sent=False)
@@ -130,7 +132,7 @@
         try:
             await asyncio.wait((call.answer,), timeout=connect_timeout_s)
             if not call.answer.done() and call.sent:
-                await asyncio.wait((call.answer,), timeout=max(0.0, started + answer_s - loop.time()))
+                await asyncio.wait((call.answer,), timeout=max(0.0, started + answer_timeout_s - loop.time()))
             if not call.answer.done():
                 raise CallFailed(call.sent)
             return call.answer.result()
