--- a/millethead/control/client.py
+++ b/millethead/control/client.py
@@ -73,7 +73,7 @@
 class HeadClient:
     """Sends calls to the head and follows the stream of configurations.
 
-    `configured` is called with the version and the document of each newer configuration, never with an older one.
+    `on_configuration` is called with the version and the document of each newer configuration, never with an older one.
     Configurations are ordered by their log position and not by version, because two configurations may have the same
     version, of which only one was committed.
     """
@@ -83,9 +83,9 @@
         node: str,
         seeds: Callable[[], tuple[str, ...]],
         random: Random,
-        configured: Callable[[int, bytes], None] | None = None,
+        on_configuration: Callable[[int, bytes], None] | None = None,
     ) -> None:
-        self._node, self._seeds, self._random, self._configured = node, seeds, random, configured
+        self._node, self._seeds, self._random, self._on_configuration = node, seeds, random, on_configuration
         self.view: View = NO_VIEW
         self._active = ActiveConfiguration()
         self._members: dict[str, _MemberConnection] = {}
@@ -216,7 +216,11 @@
             member.last_received_at = asyncio.get_running_loop().time()
             member.connection.send(
                 CallerHello(
-                    self._node, self.view.epoch, self._active.version, self._active.place, self._configured is not None
+                    self._node,
+                    self.view.epoch,
+                    self._active.version,
+                    self._active.place,
+                    self._on_configuration is not None,
                 )
             )
             await member.lost.wait()
@@ -279,12 +283,12 @@
                 self._send(call)
 
     def _update(self, member: _MemberConnection, update: ConfigurationUpdate) -> None:
-        if self._configured is None:
+        if self._on_configuration is None:
             return
         before = self._active.version
         if self._active.accept(update, self.view.epoch):
             if update.force and before:
                 log.warning("configuration_discarded", version=before, instead=update.version)
-            self._configured(update.version, update.document)
+            self._on_configuration(update.version, update.document)
         if member.connection is not None:
             member.connection.send(self._active.ack())
