--- a/millethead/control/call_handler.py
+++ b/millethead/control/call_handler.py
@@ -33,11 +33,11 @@
 class StateChangeCallbacks:
     """Callbacks for state changes that result from a call.
 
-    `submitted` and `configured` are called after the commit. `ended` is called immediately, so that no further task of
+    `on_job_submitted` and `configured` are called after the commit. `ended` is called immediately, so that no further task of
     an ended job is placed; the stop orders that it triggers wait for the commit themselves.
     """
 
-    submitted: Callable[[Job], None]
+    on_job_submitted: Callable[[Job], None]
     ended: Callable[[Outcome], None]
     configured: Callable[[Committed[StoredConfiguration]], None]
 
@@ -144,7 +144,7 @@
 
         def committed(released: Committed[CallAnswer]) -> None:
             reply(released)
-            self._events.submitted(job)
+            self._callbacks.on_job_submitted(job)
 
         self._gate.after_commit(answer, committed)
 
