--- a/millethead/control/call_handler.py
+++ b/millethead/control/call_handler.py
@@ -33,12 +33,12 @@
 class StateChangeCallbacks:
     """Callbacks for state changes that result from a call.
 
-    `on_job_submitted` and `configured` are called after the commit. `ended` is called immediately, so that no further task of
+    `on_job_submitted` and `configured` are called after the commit. `on_outcome` is called immediately, so that no further task of
     an ended job is placed; the stop orders that it triggers wait for the commit themselves.
     """
 
     on_job_submitted: Callable[[Job], None]
-    ended: Callable[[Outcome], None]
+    on_outcome: Callable[[Outcome], None]
     configured: Callable[[Committed[StoredConfiguration]], None]
 
 
@@ -158,7 +158,7 @@
             return
         outcome = self._gate.propose(CancelJob(name, self._wall_ms()))
         assert isinstance(outcome, Outcome)
-        self._events.ended(outcome)
+        self._callbacks.on_outcome(outcome)
         self._gate.after_commit(_answer(call.number, 200, {"state": "cancelled"}), reply)
 
     def _job_status(self, call: JobCall, name: str, reply: Reply) -> None:
