--- a/millethead/control/call_handler.py
+++ b/millethead/control/call_handler.py
@@ -33,13 +33,13 @@
 class StateChangeCallbacks:
     """Callbacks for state changes that result from a call.
 
-    `on_job_submitted` and `configured` are called after the commit. `on_outcome` is called immediately, so that no further task of
+    `on_job_submitted` and `on_configuration` are called after the commit. `on_outcome` is called immediately, so that no further task of
     an ended job is placed; the stop orders that it triggers wait for the commit themselves.
     """
 
     on_job_submitted: Callable[[Job], None]
     on_outcome: Callable[[Outcome], None]
-    configured: Callable[[Committed[StoredConfiguration]], None]
+    on_configuration: Callable[[Committed[StoredConfiguration]], None]
 
 
 def _answer(number: int, status: int, value: object, retry_after_s: int = 0) -> CallAnswer:
@@ -202,7 +202,7 @@
 
         def committed(released: Committed[StoredConfiguration]) -> None:
             reply(released.derive(lambda accepted: _answer(number, 200, {"version": accepted.version})))
-            self._events.configured(released)
+            self._callbacks.on_configuration(released)
 
         self._gate.after_commit(stored_configuration(self._state.configuration), committed)
 
