--- a/millethead/control/call_handler.py
+++ b/millethead/control/call_handler.py
@@ -61,11 +61,11 @@
         self,
         state: ControlState,
         gate: CommitGate,
-        events: StateChangeCallbacks,
+        callbacks: StateChangeCallbacks,
         wall_ms: Callable[[], int],
         max_job_bytes: int = MAX_JOB_BYTES,
     ) -> None:
-        self._state, self._gate, self._events, self._wall_ms = state, gate, events, wall_ms
+        self._state, self._gate, self._callbacks, self._wall_ms = state, gate, callbacks, wall_ms
         self._max_job_bytes = max_job_bytes
         self._route_table: RouteTable | None = None
         self._route_table_source: object = None
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -107,8 +107,8 @@
             state.jobs, self.agents, self.scheduler, self._end_runs, self._forget_worker, clock.now()
         )
         self.configuration_stream = ConfigurationStream(view.epoch, state.configuration, self.gate)
-        events = StateChangeCallbacks(self._job_submitted, self._apply_outcome, self._configuration_committed)
-        self._call_handler = CallHandler(state, self.gate, events, clock.wall_ms, max_job_bytes)
+        callbacks = StateChangeCallbacks(self._job_submitted, self._apply_outcome, self._configuration_committed)
+        self._call_handler = CallHandler(state, self.gate, callbacks, clock.wall_ms, max_job_bytes)
         self._next_check = clock.now() + CHECK_INTERVAL_S
         self._next_purge = clock.now() + PURGE_INTERVAL_S
         self._next_trim = clock.now() + TRIM_INTERVAL_S
