--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -58,7 +58,7 @@
 
 
 class AgentRegistry:
-    """Registry of the agents and workers that the head knows. `drained` holds the nodes drained by an operator."""
+    """Registry of the connected agents and their workers. `drained` holds the nodes drained by an operator."""
 
     def __init__(self, jobs: JobTable, now: float, drained: Container[str] = ()) -> None:
         self._jobs, self._drained = jobs, drained
@@ -191,8 +191,7 @@
     def complete_runs(self, instance: str) -> DesiredRuns:
         """Return the complete list of desired runs of a worker instance.
 
-        It also lists runs that must stop and have not ended yet: an agent process that has just started knows of
-        neither.
+        It also lists runs that must stop and have not ended yet: a restarted agent process has no record of either.
         """
         orders, stops = [], []
         for run, task in self._jobs.open_runs():
--- a/millethead/control/call_handler.py
+++ b/millethead/control/call_handler.py
@@ -21,7 +21,7 @@
 from millethead.jobs.description import InvalidJob, read_job
 from millethead.jobs.state import Job, Outcome, job_bytes
 
-JOB_NAME = re.compile(r"[0-9a-f]{16}")
+JOB_NAME_PATTERN = re.compile(r"[0-9a-f]{16}")
 MAX_JOBS = 50_000  # in the job table; further jobs are refused until some have been purged
 MAX_JOB_BYTES = 64 << 20  # accounted size of all jobs, unless derived from the machine (`control.admission`)
 OVERLOAD_RETRY_AFTER_S = 2
@@ -33,8 +33,8 @@
 class StateChangeCallbacks:
     """Callbacks for state changes that result from a call.
 
-    `on_job_submitted` and `on_configuration` are called after the commit. `on_outcome` is called immediately, so that no further task of
-    an ended job is placed; the stop orders that it triggers wait for the commit themselves.
+    `on_job_submitted` and `on_configuration` are called after the commit. `on_outcome` is called immediately, so that
+    no further task of an ended job is placed; the stop orders that it triggers wait for the commit themselves.
     """
 
     on_job_submitted: Callable[[Job], None]
@@ -76,17 +76,17 @@
         """Handle a client's call on a job or a queue."""
         table = self._routes()
         if table is None:
-            self._confirmed(reply, _error(call.number, 503, "no configuration yet", 1))
+            self._reply_when_confirmed(reply, _error(call.number, 503, "no configuration yet", 1))
             return
         route = table.find(call.host, call.path)
         if route is None:
-            self._confirmed(reply, self._queue_not_found(call))
+            self._reply_when_confirmed(reply, self._queue_not_found(call))
             return
         job_name = call.path[len(route.path_prefix) :]
         if not job_name:
             self._queue_status(call, route, reply)
-        elif JOB_NAME.fullmatch(job_name) is None:
-            self._confirmed(reply, _error(call.number, 404, "a job's name is 16 hexadecimal digits"))
+        elif JOB_NAME_PATTERN.fullmatch(job_name) is None:
+            self._reply_when_confirmed(reply, _error(call.number, 404, "a job's name is 16 hexadecimal digits"))
         elif call.method == "POST":
             self._submit(call, route, job_name, reply)
         elif call.method == "DELETE":
@@ -94,7 +94,7 @@
         elif call.method == "GET":
             self._job_status(call, job_name, reply)
         else:
-            self._confirmed(reply, _error(call.number, 405, "POST, GET or DELETE"))
+            self._reply_when_confirmed(reply, _error(call.number, 405, "POST, GET or DELETE"))
 
     def _queue_not_found(self, call: JobCall) -> CallAnswer:
         """Answer a call for an unknown queue: 404, or 504 if the submitted job exists.
@@ -113,28 +113,30 @@
             self._route_table, self._route_table_source = RouteTable(configuration), configuration
         return self._route_table
 
-    def _confirmed(self, reply: Reply, answer: CallAnswer) -> None:
+    def _reply_when_confirmed(self, reply: Reply, answer: CallAnswer) -> None:
         self._gate.confirm(answer, reply)
 
     def _queue_status(self, call: JobCall, route: Route, reply: Reply) -> None:
         if call.method != "GET":
-            self._confirmed(reply, _error(call.number, 405, "GET"))
+            self._reply_when_confirmed(reply, _error(call.number, 405, "GET"))
             return
-        self._confirmed(reply, _answer(call.number, 200, {"pending": self._state.jobs.pending(route.name)}))
+        self._reply_when_confirmed(reply, _answer(call.number, 200, {"pending": self._state.jobs.pending(route.name)}))
 
     def _submit(self, call: JobCall, route: Route, name: str, reply: Reply) -> None:
         answer = _answer(call.number, 200, {})
         if self._state.jobs.find(name) is not None:
-            self._confirmed(reply, answer)  # repeated submission of the same job
+            self._reply_when_confirmed(reply, answer)  # repeated submission of the same job
             return
         try:
             description = read_job(call.body)
         except InvalidJob as error:
-            self._confirmed(reply, _answer(call.number, 400, {"error": "invalid job", "findings": error.findings}))
+            self._reply_when_confirmed(
+                reply, _answer(call.number, 400, {"error": "invalid job", "findings": error.findings})
+            )
             return
         job_bytes_after = self._state.jobs.held_bytes + job_bytes(description, call.body)
         if len(self._state.jobs.jobs) >= MAX_JOBS or job_bytes_after > self._max_job_bytes:
-            self._confirmed(reply, _error(call.number, 429, "too many jobs", OVERLOAD_RETRY_AFTER_S))
+            self._reply_when_confirmed(reply, _error(call.number, 429, "too many jobs", OVERLOAD_RETRY_AFTER_S))
             return
         terms = QueueTerms(
             route.name, route.service, route.prio, route.retries, int(route.target_ms), int(route.skew * 1000)
@@ -151,10 +153,10 @@
     def _cancel(self, call: JobCall, name: str, reply: Reply) -> None:
         job = self._state.jobs.find(name)
         if job is None:
-            self._confirmed(reply, _error(call.number, 410, "no such job"))
+            self._reply_when_confirmed(reply, _error(call.number, 410, "no such job"))
             return
         if job.phase.over:
-            self._confirmed(reply, _answer(call.number, 200, {"state": job.phase.name.lower()}))
+            self._reply_when_confirmed(reply, _answer(call.number, 200, {"state": job.phase.name.lower()}))
             return
         outcome = self._gate.propose(CancelJob(name, self._wall_ms()))
         assert isinstance(outcome, Outcome)
@@ -164,9 +166,9 @@
     def _job_status(self, call: JobCall, name: str, reply: Reply) -> None:
         job = self._state.jobs.find(name)
         if job is None:
-            self._confirmed(reply, _error(call.number, 410, "no such job"))
+            self._reply_when_confirmed(reply, _error(call.number, 410, "no such job"))
         else:
-            self._confirmed(reply, _answer(call.number, 200, {"state": job.phase.name.lower()}))
+            self._reply_when_confirmed(reply, _answer(call.number, 200, {"state": job.phase.name.lower()}))
 
     # ---- configuration -----------------------------------------------------------------------------------
 
@@ -181,17 +183,19 @@
         version = self._state.configuration.version
         match decision.verdict:
             case Verdict.REPEATED:
-                self._confirmed(reply, _answer(call.number, 200, {"version": version}))
+                self._reply_when_confirmed(reply, _answer(call.number, 200, {"version": version}))
             case Verdict.CONFLICT:
-                self._confirmed(reply, _conflict(call.number, version))
+                self._reply_when_confirmed(reply, _conflict(call.number, version))
             case Verdict.FORGOTTEN:
-                self._confirmed(reply, _error(call.number, 504, "too old an order to know whether it was accepted"))
+                self._reply_when_confirmed(
+                    reply, _error(call.number, 504, "too old an order to know whether it was accepted")
+                )
             case Verdict.AHEAD:  # a delayed copy of the order must not be accepted after this answer
                 self._gate.propose(RefuseOrder(order.digest()))
                 self._gate.after_commit(_conflict(call.number, version), reply)
             case Verdict.INVALID:
                 findings = [{"place": finding.place, "problem": finding.problem} for finding in decision.findings]
-                self._confirmed(
+                self._reply_when_confirmed(
                     reply, _answer(call.number, 400, {"error": "invalid configuration", "findings": findings})
                 )
             case Verdict.ACCEPTED:
@@ -209,6 +213,6 @@
     def _configuration_document(self, call: ConfigurationCall, reply: Reply) -> None:
         document = self._state.configuration.document
         if document:
-            self._confirmed(reply, CallAnswer(call.number, 200, document, 0))
+            self._reply_when_confirmed(reply, CallAnswer(call.number, 200, document, 0))
         else:
-            self._confirmed(reply, _error(call.number, 404, "no configuration yet"))
+            self._reply_when_confirmed(reply, _error(call.number, 404, "no configuration yet"))
--- a/millethead/control/calls.py
+++ b/millethead/control/calls.py
@@ -41,7 +41,7 @@
 @tagged(124)
 @dataclass(frozen=True, slots=True)
 class CallerPing(Record):
-    """Checks that the member is alive and that the view of `epoch` is still the newest one it knows.
+    """Checks that the member is alive and that the view of `epoch` is still the newest view of the member.
 
     The member answers with CallerPong, or with CallerWelcome if its view or its role has changed.
     """
--- a/millethead/control/client.py
+++ b/millethead/control/client.py
@@ -48,8 +48,9 @@
 
 @dataclass(slots=True)
 class _PendingCall:
-    """A call without an answer yet. `epoch` is that of the head to which it was sent last; other epochs' answers are
-    ignored.
+    """A call without an answer yet.
+
+    `epoch` is that of the head to which the call was sent last. Answers from other epochs are ignored.
     """
 
     data: bytes
@@ -114,19 +115,19 @@
         return asyncio.get_running_loop().time() - self.disconnected_at
 
     async def call(
-        self, make: Callable[[int], Record], connect_timeout_s: float, answer_timeout_s: float
+        self, build_record: Callable[[int], Record], connect_timeout_s: float, answer_timeout_s: float
     ) -> CallAnswer:
-        """Make a call and return its answer. `make` builds the record from the number of the call.
+        """Make a call and return its answer. `build_record` builds the record from the number of the call.
 
-        Raises CallFailed if the head is not reached within `connect_timeout_s` seconds, or if its answer does not arrive within
-        `answer_timeout_s` seconds.
+        Raises CallFailed if the head is not reached within `connect_timeout_s` seconds, or if its answer does not
+        arrive within `answer_timeout_s` seconds.
         """
         if len(self._calls) >= MAX_PENDING_CALLS:
             raise CallFailed(sent=False)
         self._last_number += 1
         number = self._last_number
         loop = asyncio.get_running_loop()
-        call = self._calls[number] = _PendingCall(encode_any(make(number)), loop.create_future())
+        call = self._calls[number] = _PendingCall(encode_any(build_record(number)), loop.create_future())
         self._send(call)
         started = loop.time()
         try:
--- a/millethead/control/commit.py
+++ b/millethead/control/commit.py
@@ -120,29 +120,29 @@
         """Number of log entries that are not committed yet."""
         return max(0, self._last_sequence - self._chain.committed)
 
-    def after_commit(self, value: T, then: Callable[[Committed[T]], None]) -> None:
-        """Call `then` with the present value once everything applied so far is committed.
+    def after_commit(self, value: T, callback: Callable[[Committed[T]], None]) -> None:
+        """Call `callback` with the present value once everything applied so far is committed.
 
         The call is immediate if that is the case already.
         """
         released = Committed(value, self._last_sequence)
-        self._after_commit_of(released.sequence, lambda: then(released))
+        self._after_commit_of(released.sequence, lambda: callback(released))
 
-    def _after_commit_of(self, sequence: int, then: Release) -> None:
+    def _after_commit_of(self, sequence: int, callback: Release) -> None:
         if sequence <= self._chain.committed:
-            then()
+            callback()
         else:
-            insort(self._awaiting_commit, (sequence, then), key=lambda pending: pending[0])
+            insort(self._awaiting_commit, (sequence, callback), key=lambda pending: pending[0])
 
-    def confirm(self, value: T, then: Callable[[Committed[T]], None]) -> None:
-        """Call `then` with the present value once it is committed and was certainly up to date at this call."""
+    def confirm(self, value: T, callback: Callable[[Committed[T]], None]) -> None:
+        """Call `callback` with the present value once it is committed and was certainly up to date at this call."""
         released = Committed(value, self._last_sequence)
-        self._awaiting_next_barrier.append((released.sequence, lambda: then(released)))
+        self._awaiting_next_barrier.append((released.sequence, lambda: callback(released)))
         if not self._awaiting_barrier and not self._barrier_scheduled:
             self._barrier_scheduled = True
             self._soon(self._send_barrier)
 
-    def confirm_newest(self, capture: Callable[[], T], then: Callable[[Committed[T]], None]) -> None:
+    def confirm_newest(self, capture: Callable[[], T], callback: Callable[[Committed[T]], None]) -> None:
         """Like `confirm`, for the first value of a stream.
 
         `capture` is called once this member is confirmed as the head, and its result is released once everything
@@ -151,7 +151,7 @@
         """
 
         def confirmed(_: Committed[None]) -> None:
-            self.after_commit(capture(), then)
+            self.after_commit(capture(), callback)
 
         self.confirm(None, confirmed)
 
@@ -167,8 +167,8 @@
         if self.closed or not self._awaiting_barrier or number < self._pending_barrier:
             return
         ready, self._awaiting_barrier = self._awaiting_barrier, []
-        for sequence, then in ready:
-            self._after_commit_of(sequence, then)
+        for sequence, callback in ready:
+            self._after_commit_of(sequence, callback)
         if self._awaiting_next_barrier and not self._barrier_scheduled:
             self._barrier_scheduled = True
             self._soon(self._send_barrier)
--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -24,8 +24,8 @@
 class CallerSession:
     """Session of a caller, a program that sends the calls of clients or of the operator.
 
-    `configuration` and `place` are the version and the log position of the configuration in force at the caller. `sent_place`
-    is the log position of the configuration that was sent to it last.
+    `configuration` and `place` are the version and the log position of the configuration in force at the caller.
+    `sent_place` is the log position of the configuration that was sent to it last.
     """
 
     node: str
--- a/millethead/control/drains.py
+++ b/millethead/control/drains.py
@@ -1,7 +1,7 @@
 """Draining: workers that get no new tasks, because they shut down or because an operator has drained their node.
 
-Drained nodes are part of the replicated state, so every later head knows them. Open runs finish on a drained node,
-except for runs of long-running tasks, which would never end.
+Drained nodes are part of the replicated state, so they stay drained under every later head. Open runs finish on a
+drained node, except for runs of long-running tasks, which would never end.
 """
 
 from __future__ import annotations
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -89,11 +89,11 @@
         chain: ChainHead,
         clock: HeadClock,
         random: Random,
-        status_s: float,
+        job_retention_s: float,
         far_times: float = FAR_TIMES,
         max_job_bytes: int = MAX_JOB_BYTES,
     ) -> None:
-        self.view, self.state, self.clock, self._status_s = view, state, clock, status_s
+        self.view, self.state, self.clock, self._job_retention_s = view, state, clock, job_retention_s
         self._first_epoch = view.epoch  # this head leads in all epochs from here to that of `view`
         self._chain = chain
         self.gate = CommitGate(chain, clock.soon)
@@ -402,7 +402,7 @@
             self.scheduling.request_pass()
         if moment.now >= self._next_purge:
             self._next_purge = moment.now + PURGE_INTERVAL_S
-            self._propose_if_any(purge_command(self.state.jobs.jobs.values(), moment.wall_ms, self._status_s))
+            self._propose_if_any(purge_command(self.state.jobs.jobs.values(), moment.wall_ms, self._job_retention_s))
         if moment.now >= self._next_trim:
             self._next_trim = moment.now + TRIM_INTERVAL_S
             self._propose_if_any(trim_command(self.state.jobs.jobs.values()))
--- a/millethead/control/job_latency.py
+++ b/millethead/control/job_latency.py
@@ -22,9 +22,10 @@
 class LatencyBreakdown:
     """Parts of the latency of a job, in seconds.
 
-    `waited_s` is the time without a run, `unsuccessful_s` the time in runs that did not succeed, `successful_s` the time of the
-    successful runs on their workers, and `overhead_s` the overhead around those. `estimated_s` is the estimated
-    duration of the successful runs, `remote_s` the part of `successful_s` spent in another rack than that of the data.
+    `waited_s` is the time without a run, `unsuccessful_s` the time in runs that did not succeed, `successful_s` the
+    time of the successful runs on their workers, and `overhead_s` the overhead around those. `estimated_s` is the
+    estimated duration of the successful runs, `remote_s` the part of `successful_s` spent in another rack than that of
+    the data.
     """
 
     waited_s: float = 0.0
@@ -89,14 +90,14 @@
 class _TaskTimes:
     """Times of a task since its step became ready.
 
-    `since` is the start of the present wait or run. `last_run_s` is the duration of the last run as measured by its agent,
-    None if unknown.
+    `since` is the start of the present wait or run. `last_run_s` is the duration of the last run as measured by its
+    agent, None if unknown. `remote` means that the run is not in the rack of its data.
     """
 
     since: float
     waited_s: float = 0.0
     unsuccessful_s: float = 0.0
-    far: bool = False
+    remote: bool = False
     last_run_s: float | None = None
 
 
@@ -106,7 +107,7 @@
 
     ready_at: float
     tasks: dict[int, _TaskTimes] = field(default_factory=dict)
-    last: LatencyBreakdown = LatencyBreakdown()  # breakdown of the task that ended last
+    last_breakdown: LatencyBreakdown = LatencyBreakdown()  # of the task that ended last
 
     def task(self, index: int) -> _TaskTimes:
         """Return the times of a task, which starts to wait when the step becomes ready."""
@@ -130,14 +131,14 @@
         """Start to measure a step whose tasks wait or run."""
         self._steps.setdefault(key, _StepTimes(now))
 
-    def run_assigned(self, key: StepKey, index: int, far: bool, now: float) -> None:
-        """Record the start of a run. `far` means that it is not in the rack of its data."""
+    def run_assigned(self, key: StepKey, index: int, remote: bool, now: float) -> None:
+        """Record the start of a run. `remote` means that it is not in the rack of its data."""
         step = self._steps.get(key)
         if step is None:
             return
         task = step.task(index)
         task.waited_s += now - task.since
-        task.since, task.far, task.last_run_s = now, far, None
+        task.since, task.remote, task.last_run_s = now, remote, None
 
     def run_measured(self, key: StepKey, index: int, seconds: float) -> None:
         """Record the duration of a run as its agent measured it. The end of the run is recorded afterwards."""
@@ -156,8 +157,8 @@
             task.unsuccessful_s += elapsed_s
             return
         successful_s = elapsed_s if task.last_run_s is None else min(elapsed_s, task.last_run_s)
-        remote_s = successful_s if task.far else 0.0
-        step.last = LatencyBreakdown(
+        remote_s = successful_s if task.remote else 0.0
+        step.last_breakdown = LatencyBreakdown(
             task.waited_s, task.unsuccessful_s, successful_s, elapsed_s - successful_s, estimate_s, remote_s
         )
 
@@ -168,7 +169,11 @@
             return
         done = self._done.setdefault((key.job, key.time), {})
         dependencies = [done[number] for number in job.description.steps[key.step].dependencies if number in done]
-        spent = step.last + max(dependencies, key=lambda entry: entry[0])[1] if dependencies else step.last
+        spent = (
+            step.last_breakdown + max(dependencies, key=lambda entry: entry[0])[1]
+            if dependencies
+            else step.last_breakdown
+        )
         done[key.step] = now, spent
 
     def time_done(self, job: Job, time: int, total_s: float) -> LateJob | None:
--- a/millethead/control/retention.py
+++ b/millethead/control/retention.py
@@ -14,9 +14,9 @@
 MAX_JOBS_PER_COMMAND = 1000
 
 
-def purge_command(jobs: Iterable[Job], wall_ms: int, status_s: float) -> PurgeJobs | None:
+def purge_command(jobs: Iterable[Job], wall_ms: int, job_retention_s: float) -> PurgeJobs | None:
     """Return the command that purges jobs whose retention period is over; None if there are none."""
-    ended_before_ms = wall_ms - int((status_s + RETENTION_MARGIN_S) * 1000)
+    ended_before_ms = wall_ms - int((job_retention_s + RETENTION_MARGIN_S) * 1000)
     names = (job.name for job in jobs if _has_ended(job) and job.ended_ms < ended_before_ms)
     found = tuple(islice(names, MAX_JOBS_PER_COMMAND))
     return PurgeJobs(found) if found else None
--- a/millethead/control/scheduler_sync.py
+++ b/millethead/control/scheduler_sync.py
@@ -52,10 +52,10 @@
 
 
 class SchedulerSync:
-    """Translates between `JobTable` and `Scheduler`. `stop` is called for each run that has to be stopped."""
+    """Translates between `JobTable` and `Scheduler`. `stop_run` is called for each run that has to be stopped."""
 
-    def __init__(self, jobs: JobTable, scheduler: Scheduler, stop: Callable[[TaskRun], None]) -> None:
-        self._jobs, self._scheduler, self._stop = jobs, scheduler, stop
+    def __init__(self, jobs: JobTable, scheduler: Scheduler, stop_run: Callable[[TaskRun], None]) -> None:
+        self._jobs, self._scheduler, self._stop_run = jobs, scheduler, stop_run
         self._calendar: list[tuple[int, str, int]] = []  # (due in ms since 1970, job, time K)
         self._backing_off: list[tuple[float, StepKey, int]] = []  # (monotonic time, step, task)
         self._backoffs: dict[tuple[StepKey, int], _Backoff] = {}
@@ -178,12 +178,12 @@
             run = assignment.run
             key = StepKey(run.job, run.time, run.step)
             self._scheduler.run_started(key, run.index, assignment.instance, run.run, moment.now)
-            self._latency.run_assigned(key, run.index, self._is_far(key, assignment.instance), moment.now)
+            self._latency.run_assigned(key, run.index, self._is_remote(key, assignment.instance), moment.now)
             backoff = self._backoffs.get((key, run.index))
             if backoff is not None:
                 backoff.started = moment.now
 
-    def _is_far(self, key: StepKey, instance: str) -> bool:
+    def _is_remote(self, key: StepKey, instance: str) -> bool:
         """Return whether a worker is in another rack than the data of a step."""
         rack = self._jobs.jobs[key.job].description.steps[key.step].affinity
         worker = self._scheduler.worker(instance)
@@ -256,7 +256,7 @@
     def _stop_gang(self, job: Job, key: StepKey) -> None:
         for index, task in enumerate(job.at_time(key.time).steps[key.step].tasks):
             if task.open:
-                self._stop(TaskRun(key.job, key.time, key.step, index, task.run))
+                self._stop_run(TaskRun(key.job, key.time, key.step, index, task.run))
 
     def _forget_task(self, key: StepKey, index: int) -> None:
         self._backoffs.pop((key, index), None)
@@ -289,7 +289,7 @@
                 for index, task in enumerate(step.tasks):
                     self._forget_task(key, index)
                     if task.open and not task.done:
-                        self._stop(TaskRun(key.job, key.time, key.step, index, task.run))
+                        self._stop_run(TaskRun(key.job, key.time, key.step, index, task.run))
 
     def _remove(self, key: StepKey) -> None:
         if key in self._steps:
--- a/millethead/control/scheduling_loop.py
+++ b/millethead/control/scheduling_loop.py
@@ -39,7 +39,7 @@
 
 
 class SchedulingLoop:
-    """Runs the scheduler whenever its input has changed. `stop` stops an open run once its assignment is committed."""
+    """Runs the scheduler whenever its input has changed. `stop_run` stops an open run once its assignment is committed."""
 
     def __init__(
         self,
@@ -49,10 +49,10 @@
         agents: AgentRegistry,
         scheduler_sync: SchedulerSync,
         clock: HeadClock,
-        stop: Callable[[TaskRun], None],
+        stop_run: Callable[[TaskRun], None],
     ) -> None:
         self._jobs, self.gate, self._scheduler, self._agents = jobs, gate, scheduler, agents
-        self._scheduler_sync, self._clock, self._stop = scheduler_sync, clock, stop
+        self._scheduler_sync, self._clock, self._stop_run = scheduler_sync, clock, stop_run
         self._active = self._requested = False
         self.next_pass = math.inf  # monotonic time at which the scheduler needs a pass without any change
 
@@ -78,7 +78,7 @@
             return
         task = job.at_time(key.time).steps[key.step].tasks[preemption.index]
         if task.open and task.instance == preemption.instance:
-            self._stop(TaskRun(key.job, key.time, key.step, preemption.index, task.run))
+            self._stop_run(TaskRun(key.job, key.time, key.step, preemption.index, task.run))
 
     def _run_pass(self) -> None:
         if self.gate.closed:
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Tests of drained nodes: they get no new tasks, every later head knows them, and the drain can be undone."""
+"""Tests of drained nodes: they get no new tasks, stay drained under every later head, and can be put back into use."""
 
 from __future__ import annotations
 
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -899,7 +899,7 @@
 
 
 def test_new_head_runs_due_times_without_an_earlier_run() -> None:
-    """Time 0 finds no free worker and time 1 does. A new head knows only the committed run of time 1, but must run
+    """Time 0 finds no free worker and time 1 does. A new head has only the committed run of time 1, but must run
     both.
     """
     harness = HeadHarness()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -214,7 +214,7 @@
         self.chain = Chain(me, 10, ReplicatedLog(Machine(), Recovered(None, kept)), self.ports)
         self.chain.enter(VIEW)
         if self.chain.role is Role.WAITING:
-            self.to_hello()
+            self.hello()
             self.chain.from_above(self.up, ChainTruncate(4, entries))
         self.join_below()
 
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -214,7 +214,7 @@
 
 def shown_before_commit(patch: Patch) -> None:
     """States are shown before they are committed."""
-    patch.setattr(CallHandler, "_confirmed", lambda callers, reply, answer: reply(Committed(answer, 0)))
+    patch.setattr(CallHandler, "_reply_when_confirmed", lambda callers, reply, answer: reply(Committed(answer, 0)))
 
 
 def taken_before_commit(patch: Patch) -> None:
