--- a/millethead/control/commit.py
+++ b/millethead/control/commit.py
@@ -62,9 +62,11 @@
 
     committed: int
 
-    def propose(self, payload: bytes) -> tuple[int, object]: ...
+    def propose(self, payload: bytes) -> tuple[int, object]:
+        """Append an entry and apply it; return its sequence number and the result."""
 
-    def send_barrier(self) -> int: ...
+    def send_barrier(self) -> int:
+        """Send a barrier along the chain; return its number."""
 
 
 class UncommittedRelease(AssertionError):
@@ -83,6 +85,7 @@
     chain: ChainHead
 
     def send(self, record: Committed[R]) -> None:
+        """Send a record, provided that everything it depends on is committed."""
         if record.sequence > self.chain.committed:
             raise UncommittedRelease(
                 f"record depends on entry {record.sequence}, but only {self.chain.committed} is committed"
--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -79,6 +79,7 @@
 
     @property
     def version(self) -> int:
+        """Version of the configuration; 0 before the first."""
         return self.configuration.version if self.configuration is not None else 0
 
 
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -174,6 +174,7 @@
                 raise CodecError(f"{type(record).__name__} is no call")
 
     def caller_disconnected(self, caller: CallerSession) -> None:
+        """End the session of a caller."""
         self.configuration_stream.remove_caller(caller)
 
     def _configuration_committed(self, configuration: Committed[StoredConfiguration]) -> None:
@@ -264,11 +265,13 @@
                 self._worker_suspected(session, instance)
 
     def agent_disconnected(self, session: AgentSession) -> None:
+        """End the session of an agent. Its runs are kept until its lease expires."""
         self.agents.remove_session(session)
         self._agent_monitor.connection_closed(session)
 
     def _lease_requested(self, session: AgentSession, sent_ms: int) -> None:
         # The lease starts at the time of the agent's request, before this member is confirmed as the head.
+        """Grant a lease as soon as this member is confirmed as the head."""
         look_gap_ms = int(self.scheduler.look_gap(session.instance) * 1000)
         grant = LeaseGrant(sent_ms, int(LEASE_S * 1000), look_gap_ms)
         self.gate.confirm(grant, lambda released: self._grant(session, released))
@@ -280,6 +283,7 @@
             self.scheduling.request_pass()
 
     def _worker_updated(self, session: AgentSession, info: WorkerInfo | None) -> None:
+        """Handle a worker's description of itself, or None if the agent has no worker any more."""
         if info is None:
             if session.instance:
                 self._forget_worker(session.instance)
@@ -321,6 +325,7 @@
         self.agents.remove_worker(instance)
 
     def _instance_ended(self, instance: str) -> None:
+        """End the runs of a worker instance that has ended."""
         lost = tuple(
             EndedRun(run, RunEnd.LOST, "") for run, task in self.state.jobs.open_runs() if task.instance == instance
         )
@@ -334,6 +339,7 @@
             self._apply_outcome(outcome)
 
     def _runs_reported(self, session: AgentSession, report: RunReport) -> None:
+        """Apply an agent's report on its runs, and acknowledge the reported ends once they are committed."""
         self._save_progress(session, report)
         ends = []
         for entry in report.ends:
@@ -356,6 +362,7 @@
             self.gate.confirm(noted, session.link.send)
 
     def _save_progress(self, session: AgentSession, report: RunReport) -> None:
+        """Pass the reported progress to the scheduler and save new checkpoints."""
         saved = []
         for entry in report.progress:
             run = task_run(entry.key.task, entry.key.run)
@@ -369,6 +376,7 @@
             self.gate.propose(SaveProgress(tuple(saved)))
 
     def _stop_run(self, run: TaskRun) -> None:
+        """Stop a run, unless it has ended or is being stopped already; the order is sent after the commit."""
         task = self.state.jobs.task(run)
         if task is None or not task.open or task.run != run.run or run in self.agents.stopping:
             return
--- a/millethead/control/job_latency.py
+++ b/millethead/control/job_latency.py
@@ -67,6 +67,7 @@
 
     @property
     def unobserved_s(self) -> float:
+        """The part of the latency that this head has not observed."""
         return max(0.0, self.total_s - self.spent.observed_s)
 
     def log_fields(self) -> dict[str, int]:
--- a/millethead/control/scheduler_sync.py
+++ b/millethead/control/scheduler_sync.py
@@ -299,8 +299,9 @@
     # ---- time --------------------------------------------------------------------------------------------
 
     def process_due(self, moment: Moment) -> bool:
-        """Add what has become due, that is times of repeated jobs and tasks after a backoff; return whether there was
-        any.
+        """Add to the scheduler what has become due; return whether there was anything.
+
+        This covers times of repeated jobs and tasks whose backoff has ended.
         """
         any_due = False
         while self._calendar and self._calendar[0][0] <= moment.wall_ms:
--- a/millethead/control/scheduling_loop.py
+++ b/millethead/control/scheduling_loop.py
@@ -24,13 +24,17 @@
 class HeadClock(Protocol):
     """Monotonic clock, time of day, and timers."""
 
-    def now(self) -> float: ...
+    def now(self) -> float:
+        """Return the monotonic time in seconds."""
 
-    def wall_ms(self) -> int: ...
+    def wall_ms(self) -> int:
+        """Return the time of day in ms since 1970."""
 
-    def soon(self, call: Callable[[], None]) -> None: ...
+    def soon(self, call: Callable[[], None]) -> None:
+        """Call a function in one of the next turns of the event loop."""
 
-    def later(self, delay_s: float, call: Callable[[], None]) -> None: ...
+    def later(self, delay_s: float, call: Callable[[], None]) -> None:
+        """Call a function after a delay."""
 
 
 def read_clocks(clock: HeadClock) -> Moment:
@@ -39,7 +43,7 @@
 
 
 class SchedulingLoop:
-    """Runs the scheduler whenever its input has changed. `stop_run` stops an open run once its assignment is committed."""
+    """Runs the scheduler when its input has changed. `stop_run` stops an open run once its assignment is committed."""
 
     def __init__(
         self,
--- a/millethead/control/state.py
+++ b/millethead/control/state.py
@@ -112,6 +112,7 @@
         return self._encoder.prepare()
 
     def snapshot(self) -> bytes:
+        """Return the encoded state."""
         return encode(StateSnapshot(self.configuration.encode(), self._encoder.encode(), self.drained.names()))
 
     def restore(self, payload: bytes) -> None:
--- a/tests/test_committed.py
+++ b/tests/test_committed.py
@@ -19,6 +19,7 @@
 
 
 def count_calls(path: Path, name: str) -> int:
+    """Count the calls of a function in a module."""
     tree = ast.parse(path.read_text())
     return sum(
         isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == name
@@ -76,8 +77,9 @@
 
 @pytest.mark.parametrize("path", sorted((PACKAGE / "control").glob("*.py")), ids=lambda path: path.stem)
 def test_links_of_the_head_are_wrapped_immediately(path: Path) -> None:
-    """Code with a raw link could send uncommitted values. `commit.py` defines the wrapper; `client.py` is the other
-    end.
+    """Code with a raw link could send uncommitted values.
+
+    `commit.py` defines the wrapper, and `client.py` is the other end of the connection.
     """
     if path.name not in ("commit.py", "client.py"):
         assert raw_link_uses(path.read_text()) == []
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -421,8 +421,9 @@
 
 
 def test_call_addressed_to_another_epoch_is_ignored() -> None:
-    """The call may have been delayed in a socket while another head answered it differently. Only calls of the present
-    epoch count.
+    """Calls of other epochs are ignored.
+
+    Such a call may have been delayed in a socket while another head answered it differently.
     """
     harness = HeadHarness(epoch=6)
     post = JobCall(70, "POST", "jobs.example", f"/slow/{NAME}", job())
@@ -510,8 +511,10 @@
 
 
 def test_complete_list_contains_a_stop_that_waits_for_its_commit() -> None:
-    """The complete list is built while the stop order waits for its commit. If it still listed the run, the agent would
-    start the run again.
+    """A run that is about to be stopped is listed as stopped and not as desired.
+
+    The complete list may be built while the stop order waits for its commit. If it still listed the run as desired, the
+    agent would start the run again.
     """
     harness = HeadHarness()
     agent = harness.agent()
@@ -670,8 +673,9 @@
 
 
 def test_scheduler_gets_the_run_duration_measured_by_the_agent() -> None:
-    """A worker's speed is judged from the durations that its agent measured, not from the times at which the reports
-    arrive.
+    """The speed of a worker is judged from the durations measured by its agent.
+
+    The times at which the reports arrive do not count.
     """
     harness = HeadHarness()
     agent = harness.agent()
@@ -899,8 +903,9 @@
 
 
 def test_new_head_runs_due_times_without_an_earlier_run() -> None:
-    """Time 0 finds no free worker and time 1 does. A new head has only the committed run of time 1, but must run
-    both.
+    """A new head also runs earlier times that had no run yet.
+
+    Time 0 finds no free worker and time 1 does, so the committed state contains only time 1.
     """
     harness = HeadHarness()
     harness.agent()
@@ -988,7 +993,9 @@
 
 
 def test_lease_expiry_closes_the_session_of_the_agent() -> None:
-    """An agent that was stalled for longer than its lease must not start runs that have been assigned elsewhere since,
+    """Orders of a session become void when the lease expires.
+
+    An agent that was stalled for longer than its lease must not start runs that have been assigned elsewhere since,
     even if its connection is still open.
     """
     harness = HeadHarness()
--- a/tests/test_head_caller.py
+++ b/tests/test_head_caller.py
@@ -93,8 +93,9 @@
 
 
 async def test_answer_of_an_earlier_head_to_a_resent_call_is_ignored() -> None:
-    """The refusal of the previous head arrives while the new head accepts the job. The client must return the answer of
-    the new head.
+    """The client returns the answer of the new head.
+
+    The refusal of the previous head arrives while the new head accepts the job.
     """
     member, client = await joined()
     call = asyncio.create_task(client.call(post, TIMEOUT_S, TIMEOUT_S))
