--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -303,7 +303,7 @@
 # ---- commit gate -----------------------------------------------------------------------------------------
 
 
-class Gate:
+class GateHarness:
     """A commit gate on top of a fake chain."""
 
     def __init__(self) -> None:
@@ -332,60 +332,60 @@
 
 
 def test_command_is_answered_after_its_commit() -> None:
-    gate = Gate()
-    gate.propose("one")
-    gate.propose("two")
-    assert gate.gate.uncommitted == 2 and gate.called == []
-    gate.commit(1)
-    assert gate.called == ["one"]
-    gate.commit(2)
-    assert gate.called == ["one", "two"] and gate.gate.uncommitted == 0
+    harness = GateHarness()
+    harness.propose("one")
+    harness.propose("two")
+    assert harness.gate.uncommitted == 2 and harness.called == []
+    harness.commit(1)
+    assert harness.called == ["one"]
+    harness.commit(2)
+    assert harness.called == ["one", "two"] and harness.gate.uncommitted == 0
 
 
 def test_read_waits_for_a_barrier_sent_after_its_arrival() -> None:
-    gate = Gate()
-    gate.read("first")
-    gate.clock.run()
-    assert gate.chain.barrier == 1
-    gate.read("second")
-    gate.gate.barrier_passed(1)
-    assert gate.called == ["first"]
-    gate.clock.run()
-    gate.gate.barrier_passed(1)
-    assert gate.called == ["first"], "the barrier was sent before the second read came"
-    gate.gate.barrier_passed(2)
-    assert gate.called == ["first", "second"]
+    harness = GateHarness()
+    harness.read("first")
+    harness.clock.run()
+    assert harness.chain.barrier == 1
+    harness.read("second")
+    harness.gate.barrier_passed(1)
+    assert harness.called == ["first"]
+    harness.clock.run()
+    harness.gate.barrier_passed(1)
+    assert harness.called == ["first"], "the barrier was sent before the second read came"
+    harness.gate.barrier_passed(2)
+    assert harness.called == ["first", "second"]
 
 
 def test_read_waits_for_the_commit_of_what_it_may_have_seen() -> None:
-    gate = Gate()
-    gate.gate.propose(command())
-    gate.read("read")
-    gate.clock.run()
-    gate.gate.barrier_passed(gate.chain.barrier)
-    assert gate.called == []
-    gate.commit(1)
-    assert gate.called == ["read"]
+    harness = GateHarness()
+    harness.gate.propose(command())
+    harness.read("read")
+    harness.clock.run()
+    harness.gate.barrier_passed(harness.chain.barrier)
+    assert harness.called == []
+    harness.commit(1)
+    assert harness.called == ["read"]
 
 
 def test_commit_alone_does_not_confirm_a_read() -> None:
-    gate = Gate()
-    gate.gate.propose(command())
-    gate.read("read")
-    gate.commit(1)
-    assert gate.called == [], "the acknowledgements may be older than the read"
+    harness = GateHarness()
+    harness.gate.propose(command())
+    harness.read("read")
+    harness.commit(1)
+    assert harness.called == [], "the acknowledgements may be older than the read"
 
 
 def test_nothing_is_released_once_the_epoch_is_over() -> None:
-    gate = Gate()
-    gate.propose("command")
-    gate.read("read")
-    gate.clock.run()
-    gate.gate.close()
-    gate.commit(1)
-    gate.gate.barrier_passed(9)
-    gate.clock.run()
-    assert gate.called == []
+    harness = GateHarness()
+    harness.propose("command")
+    harness.read("read")
+    harness.clock.run()
+    harness.gate.close()
+    harness.commit(1)
+    harness.gate.barrier_passed(9)
+    harness.clock.run()
+    assert harness.called == []
 
 
 # ---- callers ---------------------------------------------------------------------------------------------
