--- a/millethead/lab/core_clients.py
+++ b/millethead/lab/core_clients.py
@@ -11,8 +11,8 @@
 from typing import Protocol
 
 from millethead.control.calls import CallAnswer, CallerHello, ConfigurationCall, ConfigurationUpdate, JobCall
-from millethead.control.configuration_stream import Caller, HeldConfiguration
-from millethead.control.state import order_of
+from millethead.control.configuration_stream import ActiveConfiguration, CallerSession
+from millethead.control.state import configuration_order
 from millethead.jobs.commands import ChangeConfiguration
 from millethead.lab.core_calls import DELAY_S, Call, CallContext, Judge
 from millethead.lab.core_machine import CoreProcess
@@ -106,7 +106,7 @@
 
     def _judge(self, command: ChangeConfiguration) -> Judge:
         oracle = self._context.oracle
-        before = order_of(command).digest() in oracle.acknowledged_orders
+        before = configuration_order(command).digest() in oracle.acknowledged_orders
         return lambda answer: oracle.order_answered(command, answer.status, before)
 
     def order(self, command: ChangeConfiguration) -> None:
@@ -225,7 +225,7 @@
 
     def __init__(self, follower: Follower, process: CoreProcess) -> None:
         self._follower, self.process = follower, process
-        self.caller: Caller | None = None
+        self.caller: CallerSession | None = None
         self.open = True
         self.last_at = 0.0
 
@@ -245,7 +245,7 @@
 
     def __init__(self, context: CallContext, number: int) -> None:
         self._context, self._name = context, f"d{number}"
-        self.held = HeldConfiguration()
+        self.held = ActiveConfiguration()
         self._epoch = 0
         self._link: _FollowerLink | None = None
         self.until = 0.0
@@ -292,11 +292,11 @@
         if not link.open or link is not self._link:
             return
         self._epoch = max(self._epoch, update.epoch)
-        self.held.take(update, self._epoch)
+        self.held.accept(update, self._epoch)
         if link.caller is not None:
             caller, stream = link.caller, link.process.stream
             if stream is not None:
-                link.process.post(lambda: stream.acknowledged(caller, self.held.ack()), self)
+                link.process.post(lambda: stream.record_ack(caller, self.held.ack()), self)
 
     def _part(self, link: _FollowerLink) -> None:
         """Connections end by chance; in a calm time only where the process does not serve any more."""
@@ -310,4 +310,4 @@
         link.close()
         caller, stream = link.caller, link.process.stream
         if caller is not None and stream is not None:
-            link.process.post(lambda: stream.leave(caller), self)
+            link.process.post(lambda: stream.remove_caller(caller), self)
--- a/millethead/lab/core_machine.py
+++ b/millethead/lab/core_machine.py
@@ -10,10 +10,10 @@
 from random import Random
 from typing import Protocol
 
-from millethead.control.callers import CallerEvents, Callers
+from millethead.control.call_handler import CallHandler, StateChangeCallbacks
 from millethead.control.calls import CallAnswer, CallerHello, ConfigurationCall, JobCall
 from millethead.control.commit import CommitGate, CommittedLink, HeadLink
-from millethead.control.configuration_stream import Caller, ConfigurationStream
+from millethead.control.configuration_stream import CallerSession, ConfigurationStream
 from millethead.control.state import ControlState
 from millethead.lab.core_network import LinkEnd, Network
 from millethead.lab.core_processor import Processor
@@ -152,7 +152,7 @@
         self.state = ControlState()
         self.replica: Replica | None = None
         self.gate: CommitGate | None = None
-        self.callers: Callers | None = None
+        self.callers: CallHandler | None = None
         self.stream: ConfigurationStream | None = None
         self._links: dict[LinkEnd, None] = {}
         self._maintenance: DiskMaintenance | None = None
@@ -408,8 +408,8 @@
     def serving(self, epoch: int) -> None:
         self.gate = CommitGate(self._running().chain, self.soon)
         self.stream = ConfigurationStream(epoch, self.state.configuration, self.gate)
-        events = CallerEvents(lambda job: None, lambda outcome: None, self.stream.publish)
-        self.callers = Callers(self.state, self.gate, events, self.wall_ms)
+        events = StateChangeCallbacks(lambda job: None, lambda outcome: None, self.stream.publish)
+        self.callers = CallHandler(self.state, self.gate, events, self.wall_ms)
         self._around.watcher.head_began(self)
         self._welcome_agents()
 
@@ -428,8 +428,8 @@
 
     def leads_on(self, view: View) -> None:
         assert self.gate is not None and self.stream is not None
-        self.gate.leads_on()
-        self.stream.leads_on(view.epoch)
+        self.gate.continue_in_view()
+        self.stream.continue_in_view(view.epoch)
 
     def deposed(self) -> None:
         if self.gate is not None:
@@ -475,8 +475,8 @@
             self.callers.configuration(record, lambda answer: reply(answer.value))
         return None
 
-    def follow(self, link: HeadLink, hello: CallerHello) -> Caller | None:
+    def follow(self, link: HeadLink, hello: CallerHello) -> CallerSession | None:
         """A follower of the configuration has connected; None where this process does not serve."""
         if self.stream is None:
             return None
-        return self.stream.join(CommittedLink(link, self._running().chain), hello)
+        return self.stream.add_caller(CommittedLink(link, self._running().chain), hello)
--- a/millethead/programs/control.py
+++ b/millethead/programs/control.py
@@ -13,8 +13,8 @@
 import structlog
 
 from millethead.configuration.settings import InvalidSettings, ProcessSettings, load_settings
-from millethead.control.admission import MB, most_job_bytes
-from millethead.control.client import HeadCaller
+from millethead.control.admission import MB, max_job_bytes
+from millethead.control.client import HeadClient
 from millethead.control.head import Head
 from millethead.control.state import ControlState
 from millethead.programs.addresses import internal_address, seed_addresses, split_address
@@ -72,7 +72,7 @@
         self._links = ChainLinks(lambda: self._replica)
         self._sessions = CoreSessions(lambda: self._replica, self._links)
         self._input = InputBudget(int(INPUT_SHARE * settings.limits.memory_mb * MB))
-        self._caller = HeadCaller(settings.node, self._caller_seeds, self._random)
+        self._caller = HeadClient(settings.node, self._caller_seeds, self._random)
         self._http = HttpServer(
             operator_app(self._caller, self._figures), HttpLimits(max_body_bytes=OPERATOR_BODY_BYTES)
         )
@@ -300,7 +300,7 @@
             self._random,
             self._settings.bounds.status_s,
             self._settings.bounds.far_x,
-            most_job_bytes(self._settings.limits.memory_mb, self._settings.limits.disk_mb),
+            max_job_bytes(self._settings.limits.memory_mb, self._settings.limits.disk_mb),
         )
         self._head_tick = 0.0
         self._sessions.begin(self._head)
@@ -308,7 +308,7 @@
     def leads_on(self, view: View) -> None:
         assert self._head is not None
         log.info("head_leads_on", epoch=view.epoch)
-        self._head.leads_on(view)
+        self._head.continue_in_view(view)
 
     def deposed(self) -> None:
         head, self._head = self._head, None
--- a/millethead/programs/dispatcher.py
+++ b/millethead/programs/dispatcher.py
@@ -19,7 +19,7 @@
 from millethead.configuration.model import Configuration, InvalidConfiguration
 from millethead.configuration.settings import InvalidSettings, ProcessSettings, load_settings
 from millethead.control.calls import CallAnswer, JobCall
-from millethead.control.client import CallFailed, HeadCaller
+from millethead.control.client import CallFailed, HeadClient
 from millethead.programs.addresses import seed_addresses, split_address
 from millethead.programs.dispatcher_figures import dispatcher_figures
 from millethead.programs.signals import on_signals
@@ -49,7 +49,7 @@
         self._front_address, self._ready_address = settings.listen.front, settings.listen.ready
         self._stopped = asyncio.Event()
         self._configuration: Configuration | None = None
-        self._caller = HeadCaller(settings.node, self._seeds, Random(), self._configured)
+        self._caller = HeadClient(settings.node, self._seeds, Random(), self._configured)
         self._front = HttpServer(self._front_app(), HttpLimits())
         self._ready = HttpServer(self._ready_app(), HttpLimits(max_connections=64))
         self._leaving = False
@@ -119,8 +119,8 @@
             return False
         if self._caller.connected:
             return True
-        lost = self._caller.lost_head_at is not None
-        return lost and self._caller.away_s() < READY_SLACK_S
+        lost = self._caller.disconnected_at is not None
+        return lost and self._caller.disconnected_s() < READY_SLACK_S
 
     # ---- requests ----------------------------------------------------------------------------------------
 
@@ -151,7 +151,7 @@
 
     async def _answer(self, make_call: Callable[[int], JobCall], deadline_s: float, into: Deferred) -> None:
         most = max(0.05, deadline_s - MARGIN_S)
-        away_s = self._caller.away_s()
+        away_s = self._caller.disconnected_s()
         if away_s > REACH_S:
             into.complete(self._count(_unreached(LONG_RETRY_AFTER_S)))
             return
--- a/tests/test_large_state.py
+++ b/tests/test_large_state.py
@@ -7,11 +7,11 @@
 from collections.abc import Iterator
 from random import Random
 
-from test_head import NAME, OTHER, Bench, ended, job, task
+from test_head import NAME, OTHER, HeadHarness, ended, job, task
 from test_replication import HEAD, MIDDLE, TAIL, VIEW, Link, Machine, Ports, Standing
 
-from millethead.control.admission import LEAST_BYTES, MB, most_job_bytes
-from millethead.control.housekeeping import PURGE_S, TRIM_S
+from millethead.control.admission import MB, MIN_JOB_BYTES, max_job_bytes
+from millethead.control.retention import PURGE_INTERVAL_S, TRIM_INTERVAL_S
 from millethead.control.state import ControlState
 from millethead.execution.messages import RunEnd
 from millethead.jobs import snapshot as snapshots
@@ -117,7 +117,7 @@
 
 
 def test_every_command_that_changes_a_job_has_it_encoded_again():
-    bench = Bench()
+    bench = HeadHarness()
     agent = bench.agent()
     encoder = TableEncoder(bench.state.jobs)
     encoder.prepare()
@@ -354,15 +354,15 @@
 
 
 def test_admission_is_worked_out_from_memory_and_disk():
-    assert most_job_bytes(300, 128) == int(0.25 * 300 * MB)
-    assert most_job_bytes(2000, 128) == int(0.8 * 96 * MB), "the disk is the narrower one"
-    assert most_job_bytes(300, 0) == int(0.25 * 300 * MB)
-    assert most_job_bytes(1, 1) == LEAST_BYTES
+    assert max_job_bytes(300, 128) == int(0.25 * 300 * MB)
+    assert max_job_bytes(2000, 128) == int(0.8 * 96 * MB), "the disk is the narrower one"
+    assert max_job_bytes(300, 0) == int(0.25 * 300 * MB)
+    assert max_job_bytes(1, 1) == MIN_JOB_BYTES
 
 
 def test_more_than_the_machine_holds_is_refused_with_a_time_to_come_back():
-    bench = Bench()
-    bench.head._calls._most_job_bytes = bench.state.jobs.held_bytes + 20_000
+    bench = HeadHarness()
+    bench.head._call_handler._max_job_bytes = bench.state.jobs.held_bytes + 20_000
     body = job(spec="x" * 4000)
     assert bench.ask("POST", body=body)[0] == 200
     number = bench.call("POST", OTHER, body)
@@ -371,17 +371,17 @@
     assert answer.status == 429 and answer.retry_after_s > 0
     assert bench.ask("POST", body=body)[0] == 200, "the same job again is the job that was taken"
     assert bench.ask("DELETE")[0] == 200
-    bench.pass_time(TRIM_S + 1)
+    bench.pass_time(TRIM_INTERVAL_S + 1)
     assert bench.ask("POST", OTHER, body)[0] == 200, "one that has ended holds no room"
 
 
 def test_of_a_job_that_has_ended_only_its_end_is_kept():
-    bench = Bench()
+    bench = HeadHarness()
     agent = bench.agent()
     assert bench.ask("POST", body=job(spec="secret" * 100))[0] == 200
     agent.report(ended(task(), 1, RunEnd.DONE))
     bench.settle()
-    bench.pass_time(TRIM_S + 1)
+    bench.pass_time(TRIM_INTERVAL_S + 1)
     kept = bench.state.jobs.jobs[NAME]
     assert kept.trimmed and kept.phase is JobPhase.DONE and not kept.times
     assert b"secret" not in bench.state.snapshot()
@@ -390,13 +390,13 @@
     copy = ControlState()
     copy.restore(bench.state.snapshot())
     assert copy.jobs.jobs[NAME].phase is JobPhase.DONE and copy.jobs.jobs[NAME].trimmed
-    assert TRIM_S < PURGE_S
+    assert TRIM_INTERVAL_S < PURGE_INTERVAL_S
 
 
 def test_a_cancelled_job_keeps_what_its_open_runs_need():
-    bench = Bench()
+    bench = HeadHarness()
     bench.agent()
     assert bench.ask("POST", body=job())[0] == 200
     assert bench.ask("DELETE")[0] == 200
-    bench.pass_time(TRIM_S + 1)
+    bench.pass_time(TRIM_INTERVAL_S + 1)
     assert not bench.state.jobs.jobs[NAME].trimmed, "its run has not ended"
