--- a/benchmarks/waiting/ageing.py
+++ b/benchmarks/waiting/ageing.py
@@ -33,8 +33,8 @@
 from millethead.lab.fleet import Fleet, poisson, twice
 from millethead.lab.table import keep
 from millethead.waiting.ageing import aged_flow
-from millethead.waiting.room import WaitingRoom
 from millethead.waiting.setup import ClassBound, WaitingSetup
+from millethead.waiting.stage import WaitingStage
 
 NAMES = ["paid-booking", "usage-report"]
 CLASSES = (
@@ -67,7 +67,7 @@
     bounds = {} if way == "none" else {"usage-report": ClassBound(bound_s=BOUND)}
     setup = WaitingSetup(classes=bounds, jobs=100_000)
     exchange = Exchange(settings(), seed, clock, (aged_flow(setup),) if way == "reserved" else ())
-    room = WaitingRoom(exchange, setup, NAMES, clock, ageing=way == "reserved")
+    room = WaitingStage(exchange, setup, NAMES, clock, ageing=way == "reserved")
     fleet = Fleet(exchange, clock, WORK, seed)
     start = clock.now()
     answers: dict[str, tuple[int, Final, float]] = {}
@@ -95,8 +95,8 @@
 
     def older(module: balance.Balancer, job: records.Job) -> float:
         # `worth`: what a report is worth doubles with each tenth of its bound
-        entry = room.book.find("lab", exchange._jobs[job.id].order.id)
-        age = (module.now - entry.came) / (BOUND * 100) if entry is not None and job.cls == 1 else 0.0
+        entry = room.delayed_jobs.find("lab", exchange._jobs[job.id].order.id)
+        age = (module.now - entry.arrived_at) / (BOUND * 100) if entry is not None and job.cls == 1 else 0.0
         return (job.late - module.now + picking.SOON) * module.took[job.cls] / (CLASSES[job.cls].worth * 2.0**age)
 
     with mock.patch.object(balance.Balancer, "_urgent", older) if way == "worth" else mock.MagicMock():
--- a/benchmarks/waiting/scale.py
+++ b/benchmarks/waiting/scale.py
@@ -34,8 +34,8 @@
 from millethead.lab.table import keep
 from millethead.net.exchange import LoopClock
 from millethead.waiting.ageing import aged_flow
-from millethead.waiting.room import WaitingRoom
 from millethead.waiting.setup import WaitingSetup
+from millethead.waiting.stage import WaitingStage
 
 SETTINGS = api.Settings(
     classes=(api.JobClass(deadline=60_000, aim=30_000, stretch=2.0, effect=api.Effect.SAFE),),
@@ -101,7 +101,7 @@
 
     for _ in range(3):
         clock = VirtualClock()
-        room = WaitingRoom(
+        room = WaitingStage(
             Taker(),
             WaitingSetup(jobs=200_000, bytes=1 << 30, edges=400_000),
             ["any"],  # type: ignore[arg-type]
@@ -130,7 +130,7 @@
         assert not room.held, "all were served"
     gc.collect()
     tracemalloc.start()
-    room = WaitingRoom(Taker(), WaitingSetup(jobs=200_000, bytes=1 << 30), ["any"], VirtualClock())  # type: ignore[arg-type]
+    room = WaitingStage(Taker(), WaitingSetup(jobs=200_000, bytes=1 << 30), ["any"], VirtualClock())  # type: ignore[arg-type]
     before = tracemalloc.get_traced_memory()[0]
     for n in range(size):
         room.arrive(order(f"job-{n:08d}", room.clock.wall() + 60_000 + 1000.0 * (n % 600)), heard)
@@ -148,7 +148,7 @@
     clock = LoopClock()
     setup = WaitingSetup(jobs=200_000, bytes=1 << 30)
     exchange = Exchange(SETTINGS, 1, clock, (aged_flow(setup),))
-    room = WaitingRoom(exchange, setup, ["any"], clock)
+    room = WaitingStage(exchange, setup, ["any"], clock)
     fleet = Fleet(exchange, clock, [5.0], 1, machines=40, slots=4, queue=8)  # type: ignore[arg-type]
     started: dict[str, float] = {}
     begin = fleet.start
--- a/millethead/lab/hour.py
+++ b/millethead/lab/hour.py
@@ -25,7 +25,7 @@
 from millethead.lab.standins import Discovery, Faktory, HttpWorker, Ledger, fetch_loop, post
 from millethead.operators import load_operator
 from millethead.program import Program
-from millethead.waiting.room import WaitingRoom
+from millethead.waiting.stage import WaitingStage
 
 CLASSES: list[dict[str, Any]] = [
     {"name": "desk-search", "deadline": 7500.0, "goal_time": 2000.0, "effect": "retryable", "worth": 2.0},
@@ -141,7 +141,7 @@
                     task.cancel()
                 await asyncio.gather(*self.tasks, return_exceptions=True)
                 stage = self.program.stage
-                self.returned = stage.book.returned if isinstance(stage, WaitingRoom) else 0
+                self.returned = stage.delayed_jobs.retried if isinstance(stage, WaitingStage) else 0
                 self.program.finish()
                 await self.running
                 for worker in self.workers:
--- a/millethead/program.py
+++ b/millethead/program.py
@@ -84,9 +84,9 @@
 
             at_door = self.stage = Door(self.stage, door, clock, config.seed, config.names("tenants"))
         if waiting is not None:
-            from millethead.waiting.room import WaitingRoom
+            from millethead.waiting.stage import WaitingStage
 
-            self.stage = WaitingRoom(self.stage, waiting, config.names("classes"), clock)
+            self.stage = WaitingStage(self.stage, waiting, config.names("classes"), clock)
         self.pool = Pool(0, *_times(config))
         self.workers = HttpWorkers(self.exchange, self.pool, Probes(self.exchange, self.pool, report), report)
         names = Names(config.names("azs"), config.names("kinds"))
--- a/millethead/waiting/__init__.py
+++ b/millethead/waiting/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs that wait for a time, for other jobs, or, once refused, for their turn."""
+"""Delayed jobs: held until a set time, until other jobs end, or, after a refusal, until they can be offered again."""
--- a/millethead/waiting/ageing.py
+++ b/millethead/waiting/ageing.py
@@ -1,8 +1,9 @@
-"""Ageing: which refused jobs wait on, until when, and in which order those that wait are offered.
+"""Ageing: which refused jobs are offered again, until when, and in which order queued jobs are offered.
 
-A job of a class with a bound that the module refused, and that never ran or may be repeated, is offered again
-under a flow of the module's own for aged jobs. That flow has an absolute reservation, so RBFQ's local tags give
-it its turn whatever floods the flows of the tenants. docs/waiting.md says which other ways were weighed.
+A job is offered again if its class has a configured bound, the scheduling module refused it, and it either never ran
+or may safely be repeated. Such jobs wait in one flow of the scheduling module that belongs to aged jobs alone. That
+flow has an absolute reservation, so the local tags of RBFQ schedule it even if the flows of the tenants are flooded.
+docs/waiting.md lists the alternatives that were considered.
 """
 
 from __future__ import annotations
@@ -17,93 +18,102 @@
 from millethead.waiting.entry import Entry
 from millethead.waiting.setup import WaitingSetup
 
-WEIGHT = 0.1  # of the aged flow in what the reservations leave over: the floor is what it is for
-LEAST = 100.0  # ms before its bound from which a job is not worth another offer
-MARGIN = 20.0  # ms before its client's time is up by which an answer is on its way
-SOON = 50.0  # ms: a refusal that comes sooner says that the next offer would meet the same
-PAUSE, PAUSE_MOST = 100.0, 2000.0  # ms without offers from a line after such a refusal, doubling
+AGED_FLOW_WEIGHT = 0.1  # share of the unreserved capacity; low because the flow relies on its reservation
+MIN_TIME_LEFT_MS = 100.0  # a job this close to its deadline is not offered again
+ANSWER_MARGIN_MS = 20.0  # the answer leaves this long before the client's own time-out, to arrive in time
+QUICK_REFUSAL_MS = 50.0  # a refusal within this time means that the next offer would be refused too
+MIN_PAUSE_MS, MAX_PAUSE_MS = 100.0, 2000.0  # pause of a queue after a quick refusal; doubles with each further one
 
 
 def aged_flow(setup: WaitingSetup) -> Tenant:
-    """The flow that aged jobs wait in, behind those of the tenants."""
-    return Tenant(setup.aged_rate, WEIGHT, "aged")
+    """The flow of the scheduling module for aged jobs, which follows those of the tenants."""
+    return Tenant(setup.aged_rate, AGED_FLOW_WEIGHT, "aged")
 
 
-class Bounds:
-    """How long a due job may take, by class (ms)."""
+class ClassDeadlines:
+    """Deadlines of due jobs by job class."""
 
-    def __init__(self, setup: WaitingSetup, names: Sequence[str]) -> None:
-        self._bounds = [setup.classes[name].bound_s * 1000 if name in setup.classes else None for name in names]
+    def __init__(self, setup: WaitingSetup, class_names: Sequence[str]) -> None:
+        self._bounds_ms = [
+            setup.classes[name].bound_s * 1000 if name in setup.classes else None for name in class_names
+        ]
 
-    def end(self, order: Order, cls: JobClass, due: float) -> float:
-        """When a job that is due at `due` owes its final answer: its client's own time, but not above what
-        the class allows."""
-        bound = self._bounds[order.job_class]
-        allowed = cls.deadline if bound is None else bound
-        return due + min(allowed, order.asked - MARGIN if order.waits else order.asked)
+    def deadline(self, order: Order, job_class: JobClass, due_at: float) -> float:
+        """When the final answer of a job that became due at `due_at` has to be given: the time-out of its client or
+        the bound of its class, whichever comes first. All times in ms."""
+        bound_ms = self._bounds_ms[order.job_class]
+        allowed_ms = job_class.deadline if bound_ms is None else bound_ms
+        return due_at + min(allowed_ms, order.asked - ANSWER_MARGIN_MS if order.waits else order.asked)
 
-    def waits_on(
-        self, order: Order, cls: JobClass, answer: Answer, record: Record | None, now: float, end: float
+    def may_retry(
+        self, order: Order, job_class: JobClass, answer: Answer, record: Record | None, now: float, deadline: float
     ) -> bool:
-        """Whether a job that had this answer goes back to wait. What may have run does so only if it may be
-        repeated: the module that refused it has forgotten where and when it ran."""
-        if answer.final is not Final.REFUSED or self._bounds[order.job_class] is None or now >= end - LEAST:
+        """Whether a job with this answer is queued for another offer. A job that may have run is queued only if it may
+        be repeated, because the module that refused it no longer knows where and when it ran."""
+        if (
+            answer.final is not Final.REFUSED
+            or self._bounds_ms[order.job_class] is None
+            or now >= deadline - MIN_TIME_LEFT_MS
+        ):
             return False
-        return cls.effect is Effect.SAFE or record is None or not record.may_have_run
+        return job_class.effect is Effect.SAFE or record is None or not record.may_have_run
 
 
-class Line:
-    """Due jobs of one flow that no worker has: some offered to the module, the others here in order.
+class FlowQueue:
+    """Due jobs of one flow that no worker has started: up to `max_offered` are offered to the scheduling module, the
+    others are queued here.
 
-    Only so many are offered at once: the module looks at all it holds for each free slot, and ten thousand
-    jobs due in one second would stand in the way of all others. Of those here goes the one whose time is up
-    first, among the first of each class, of those offered before, and of those whose client waits.
+    The number of offers is limited because the module examines every job that it holds for each free slot, so ten
+    thousand jobs that become due in one second would delay all others. Queued jobs are grouped by class, by whether
+    they were offered before, and by whether their client has a time-out. Each group is first in, first out; among the
+    heads of the groups the one with the earliest deadline is offered next.
     """
 
-    def __init__(self, window: int) -> None:
-        self.window = window
-        self._waiting: dict[tuple[int, bool, bool], OrderedDict[int, Entry]] = {}
+    def __init__(self, max_offered: int) -> None:
+        self.max_offered = max_offered
+        self._queues: dict[tuple[int, bool, bool], OrderedDict[int, Entry]] = {}
         self._offered: dict[int, Entry] = {}
         self._count = 0
-        self._after, self._pause = -inf, PAUSE
+        self._paused_until, self._pause_ms = -inf, MIN_PAUSE_MS
 
     def __len__(self) -> int:
         return self._count
 
     @staticmethod
-    def _key(entry: Entry) -> tuple[int, bool, bool]:
-        return entry.order.job_class, entry.offers > 1, entry.order.asked < inf
+    def _group(entry: Entry) -> tuple[int, bool, bool]:
+        return entry.order.job_class, entry.offer_count > 1, entry.order.asked < inf
 
     def add(self, entry: Entry) -> None:
-        self._waiting.setdefault(self._key(entry), OrderedDict())[entry.number] = entry
+        self._queues.setdefault(self._group(entry), OrderedDict())[entry.number] = entry
         self._count += 1
 
-    def drop(self, entry: Entry) -> None:
-        key = self._key(entry)
-        if (queue := self._waiting.get(key)) is not None and queue.pop(entry.number, None) is not None:
+    def remove(self, entry: Entry) -> None:
+        """Removes a queued job; does nothing if it is not queued."""
+        group = self._group(entry)
+        if (queue := self._queues.get(group)) is not None and queue.pop(entry.number, None) is not None:
             self._count -= 1
             if not queue:
-                del self._waiting[key]
+                del self._queues[group]
 
-    def next(self, now: float) -> Entry | None:
-        """The next one to offer, if there is room for one among those offered."""
-        if not self._count or now < self._after:
+    def next_to_offer(self, now: float) -> Entry | None:
+        """The job to offer next; None if nothing is queued, the queue is paused, or `max_offered` jobs are offered."""
+        if not self._count or now < self._paused_until:
             return None
-        if len(self._offered) >= self.window:
+        if len(self._offered) >= self.max_offered:
             for number, entry in list(self._offered.items()):
-                if not entry.offered or (entry.record is not None and entry.record.attempts):
-                    del self._offered[number]  # it has started, or ended
-            if len(self._offered) >= self.window:
+                if not entry.is_offered or (entry.record is not None and entry.record.attempts):
+                    del self._offered[number]  # started or ended
+            if len(self._offered) >= self.max_offered:
                 return None
-        return min((next(iter(queue.values())) for queue in self._waiting.values()), key=lambda e: e.end)
+        return min((next(iter(queue.values())) for queue in self._queues.values()), key=lambda entry: entry.deadline)
 
-    def offered(self, entry: Entry) -> None:
+    def mark_offered(self, entry: Entry) -> None:
         self._offered[entry.number] = entry
 
-    def came_back(self, entry: Entry, now: float, since: float) -> None:
-        """An offer was refused `since` ms after it was made."""
+    def offer_refused(self, entry: Entry, now: float, elapsed_ms: float) -> None:
+        """Records that an offer was refused `elapsed_ms` after it was made, and pauses the queue if that was quick."""
         self._offered.pop(entry.number, None)
-        if since < SOON:
-            self._after, self._pause = now + self._pause, min(PAUSE_MOST, 2 * self._pause)
+        if elapsed_ms < QUICK_REFUSAL_MS:
+            self._paused_until, self._pause_ms = now + self._pause_ms, min(MAX_PAUSE_MS, 2 * self._pause_ms)
         else:
-            self._pause = PAUSE
+            self._pause_ms = MIN_PAUSE_MS
--- a/millethead/waiting/batch.py
+++ b/millethead/waiting/batch.py
@@ -1,4 +1,4 @@
-"""Jobs handed in together, which may name one another as parents in any order."""
+"""Jobs submitted together, which may name one another as parents in any order."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from millethead.exchange.stage import Unusable
 
 
-def in_order(orders: Sequence[Order]) -> tuple[list[int], dict[int, Unusable]]:
-    """(the places of those that can be handed in, parents first; why the others cannot): of a cycle nothing is
-    taken, nor of what waits for one."""
-    places = {(order.origin, order.id): n for n, order in enumerate(orders)}
+def sort_by_dependency(orders: Sequence[Order]) -> tuple[list[int], dict[int, Unusable]]:
+    """Returns the indexes of the orders that can be submitted, parents first, and the errors of all others by index.
+    Members of a dependency cycle and jobs that depend on one are not submitted."""
+    indexes = {(order.origin, order.id): index for index, order in enumerate(orders)}
     graph: TopologicalSorter[int] = TopologicalSorter()
     parents: dict[int, list[int]] = {}
-    for n, order in enumerate(orders):
+    for index, order in enumerate(orders):
         after = order.plan.after if order.plan is not None else ()
-        named = [places[order.origin, job_id] for job_id in after if (order.origin, job_id) in places]
-        if named and n not in named:  # one that names itself is told so when it is handed in
-            parents[n] = named
-            graph.add(n, *named)
+        named = [indexes[order.origin, job_id] for job_id in after if (order.origin, job_id) in indexes]
+        if named and index not in named:  # a job that names itself is rejected when it is submitted
+            parents[index] = named
+            graph.add(index, *named)
         else:
-            graph.add(n)
+            graph.add(index)
     cycle: list[int] = []
     try:
         graph.prepare()
     except CycleError as error:
         cycle = error.args[1]
-    out: list[int] = []
+    sorted_indexes: list[int] = []
     while ready := graph.get_ready():
-        out += ready
+        sorted_indexes += ready
         graph.done(*ready)
-    left = set(range(len(orders))) - set(out)
-    named_in = {parent for n in left for parent in parents.get(n, ())} & left
-    why: dict[int, Unusable] = {}
-    for n in left:
-        if n in cycle or n in named_in:
-            why[n] = Unusable("it waits for itself through the jobs that it names: a cycle")
+    unsorted = set(range(len(orders))) - set(sorted_indexes)
+    unsorted_parents = {parent for index in unsorted for parent in parents.get(index, ())} & unsorted
+    errors: dict[int, Unusable] = {}
+    for index in unsorted:
+        if index in cycle or index in unsorted_parents:
+            errors[index] = Unusable("it waits for itself through the jobs that it names: a cycle")
         else:
-            why[n] = Unusable("a job that it waits for was not taken")
-    return out, why
+            errors[index] = Unusable("a job that it waits for was not taken")
+    return sorted_indexes, errors
--- a/millethead/waiting/entry.py
+++ b/millethead/waiting/entry.py
@@ -1,4 +1,4 @@
-"""A waiting job, its states, and what the book has others do for it."""
+"""Entry of one job in the table of delayed jobs, its states, and the actions that the table asks its caller for."""
 
 from __future__ import annotations
 
@@ -12,69 +12,73 @@
 from millethead.exchange.stage import Reply
 
 
-class State(Enum):
-    SCHEDULED = "scheduled"  # its time has not come
-    WAITING = "waiting"  # a parent has not ended
-    DUE = "due"  # it could run, and waits to be offered for the first time
-    AGED = "aged"  # refused before, it waits to be offered again
-    INSIDE = "inside"  # the next stage has it
+class JobState(Enum):
+    """State of a job. The values are the names that clients and operators see."""
+
+    SCHEDULED = "scheduled"  # its set time has not come
+    WAITING = "waiting"  # at least one parent has not ended
+    DUE = "due"  # ready to run, not yet offered to the next stage
+    AGED = "aged"  # refused before, queued for another offer
+    OFFERED = "inside"  # held by the next stage
     ENDED = "ended"
 
 
-class Why(Enum):
-    """Why a job ended here and not at a worker."""
+class EndReason(Enum):
+    """Why a job ended in this stage and not at a worker."""
 
-    PARENT = "parent_failed"
-    BOUND = "bound"
-    LEAVING = "stopping"
-    FULL = "full"
+    PARENT_FAILED = "parent_failed"
+    DEADLINE = "bound"
+    STOPPING = "stopping"
+    LIMIT_REACHED = "full"
     WITHDRAWN = "withdrawn"
 
 
-class Full(Exception):
-    """A cap is reached: the job is refused at once, and nothing else is disturbed."""
+class LimitReached(Exception):
+    """A limit of the table is reached, or the program is stopping; the message names which. The job is refused at
+    once and no other job is affected."""
 
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    """One job that owes its final answer. `end`: when it is owed, inf while that is not known."""
+    """One job that has no final answer yet. All times are in ms of the steady clock."""
 
     number: int
     order: Order
     reply: Reply | None
-    came: float
-    end: float = inf
-    due: float = -1.0  # when it became due
-    state: State = State.INSIDE
-    kept: bool = False  # counted in the caps
-    offers: int = 0
-    inner: int = 0  # its number in the next stage
+    arrived_at: float
+    deadline: float = inf  # when the final answer is due; inf until that is known
+    due_at: float = -1.0  # when the job became ready to run; -1 before that
+    state: JobState = JobState.OFFERED
+    counts_toward_limits: bool = False
+    offer_count: int = 0
+    inner_number: int = 0  # number of the job in the next stage, 0 while it has none
     offered_at: float = 0.0
-    record: Record | None = None  # what the next stage knows of it, while it is inside
-    parents: dict[int, Entry] | None = None  # those that have not ended
+    record: Record | None = None  # record of the next stage, while the job is offered
+    parents: dict[int, Entry] | None = None  # the parents that have not ended, by number
     children: dict[int, Entry] | None = None
 
     @property
-    def offered(self) -> bool:
-        return self.state is State.INSIDE
+    def is_offered(self) -> bool:
+        return self.state is JobState.OFFERED
 
 
 @dataclass(slots=True, frozen=True)
 class Offer:
-    """Hand this order to the next stage."""
+    """Action: pass this order to the next stage."""
 
     entry: Entry
     order: Order
 
 
 @dataclass(slots=True, frozen=True)
-class Close:
-    """Give the final answer (None: it was withdrawn). No `why`: the next stage ended it, and has logged that."""
+class Finish:
+    """Action: give the final answer, or none (`answer` is None) if the job was withdrawn. `reason` is None if the next
+    stage ended the job; that stage has already logged the end."""
 
     entry: Entry
     answer: Answer | None
-    why: Why | None
+    reason: EndReason | None
 
 
-Effect = Offer | Close
-Known = Callable[[str, str], Record | None]
+Action = Offer | Finish
+RecordLookup = Callable[[str, str], Record | None]  # (origin, job id) -> record of a job
--- a/millethead/waiting/setup.py
+++ b/millethead/waiting/setup.py
@@ -1,4 +1,4 @@
-"""The table [waiting] of the operator's file."""
+"""The table [waiting] of the operator's settings file."""
 
 from __future__ import annotations
 
@@ -9,31 +9,32 @@
 from millethead.config import ConfigError
 from millethead.tables import Table, read_table
 
-DAY = 86_400.0
+DAY_S = 86_400.0
 
 
 class ClassBound(Table, frozen=True, kw_only=True):
-    """`bound_s`: the longest that a due job of the class waits for its final answer."""
+    """Settings of one job class. `bound_s`: the longest time from when a job is due to its final answer."""
 
-    bound_s: Annotated[float, Meta(ge=0.1, le=7 * DAY)]
+    bound_s: Annotated[float, Meta(ge=0.1, le=7 * DAY_S)]
 
 
 class WaitingSetup(Table, frozen=True, kw_only=True):
-    """What is held at most: `jobs`, `bytes` of their bodies, `edges` from jobs to parents, `horizon_s` to a set
-    time. `offers`: due jobs of one flow that wait for a worker at once; the others wait here, in order.
-    `aged_rate`: starts a second, over all dispatchers, that the flow of aged jobs has for its own."""
+    """Limits on delayed jobs: `jobs` held, `bytes` of their bodies, `edges` (dependencies of jobs on parents), and
+    `horizon_s`, how far ahead a set time may be. `offers`: due jobs of one flow that are offered to the scheduling
+    module at once; the others are queued. `aged_rate`: starts per second, over all dispatchers, that are reserved for
+    the flow of aged jobs."""
 
     jobs: Annotated[int, Meta(ge=1, le=1_000_000)] = 10_000
     bytes: Annotated[int, Meta(ge=1, le=1 << 34)] = 16 << 20
     edges: Annotated[int, Meta(ge=0, le=10_000_000)] = 50_000
-    horizon_s: Annotated[float, Meta(ge=1, le=36_525 * DAY)] = 31 * DAY
+    horizon_s: Annotated[float, Meta(ge=1, le=36_525 * DAY_S)] = 31 * DAY_S
     offers: Annotated[int, Meta(ge=1, le=1024)] = 16
     aged_rate: Annotated[float, Meta(ge=0.001, le=1000)] = 1.0
     classes: dict[str, ClassBound] = {}
 
 
 def waiting_setup(raw: Any, classes: list[str]) -> WaitingSetup:
-    """The table, held against the classes of the configuration; raises ConfigError."""
+    """Reads and validates the table; raises ConfigError, also for a class that the configuration does not define."""
     table = read_table(raw, WaitingSetup, "waiting")
     for name in table.classes:
         if name not in classes:
--- a/tests/play.py
+++ b/tests/play.py
@@ -144,7 +144,7 @@
         self.patches.append(mock.patch("millethead.decide.balance.Balancer._stays", lambda _: far))
         self.patches.append(mock.patch("millethead.decide.balance.TAKE", far))
         # and what the waiting room has to do it does before the next line is read
-        self.patches.append(mock.patch("millethead.waiting.room.SLICE", far))
+        self.patches.append(mock.patch("millethead.waiting.stage.SLICE_MS", far))
         for patch in self.patches:
             patch.start()
         self.folder = tempfile.TemporaryDirectory()
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""The waiting room on a clock of its own: states, parents, bounds, caps, clocks and the end."""
+"""The stage for delayed jobs on a virtual clock: set times, parents, deadlines, retries, limits and shutdown."""
 
 import unittest
 
@@ -8,12 +8,12 @@
 from millethead.exchange.records import Record
 from millethead.exchange.stage import Amendment, Unusable
 from millethead.lab.clock import VirtualClock
-from millethead.waiting.ageing import MARGIN, aged_flow
-from millethead.waiting.book import CHEAP
-from millethead.waiting.calendar import WIDTH, Calendar
-from millethead.waiting.entry import State
-from millethead.waiting.room import WaitingRoom
+from millethead.waiting.ageing import ANSWER_MARGIN_MS, aged_flow
+from millethead.waiting.calendar import BUCKET_WIDTH_MS, Calendar
+from millethead.waiting.delayed_jobs import CHEAP_STEPS_PER_OFFER
+from millethead.waiting.entry import JobState
 from millethead.waiting.setup import ClassBound, WaitingSetup
+from millethead.waiting.stage import WaitingStage
 
 NAMES = ["search", "booking", "report"]
 SAFE = api.JobClass(deadline=5000, aim=2000, stretch=2, effect=api.Effect.SAFE)
@@ -22,14 +22,14 @@
 HOUR = 3_600_000.0
 
 
-class Inner:
-    """A next stage that the test answers for."""
+class FakeNextStage:
+    """The next stage; the test decides how it answers."""
 
     def __init__(self):
         self.settings, self.finished = SETTINGS, None
         self.ready, self.held, self.closing = True, 0, False
-        self.taken, self.records, self.left, self.at_once = {}, {}, [], None
-        self.numbers = 0
+        self.held_jobs, self.records, self.withdrawn, self.immediate_answer = {}, {}, [], None
+        self.last_number = 0
 
     def counts(self):
         return {}
@@ -38,28 +38,28 @@
         return self.records.get((origin, job_id))
 
     def arrive(self, order, reply):
-        if self.at_once is not None:
-            reply(Answer(self.at_once))
+        if self.immediate_answer is not None:
+            reply(Answer(self.immediate_answer))
             return 0
-        old = self.records.get((order.origin, order.id))
-        assert old is None or (order.again and old.final is Final.REFUSED), "an id came again"
-        self.numbers += 1
+        previous = self.records.get((order.origin, order.id))
+        assert previous is None or (order.again and previous.final is Final.REFUSED), "an id arrived twice"
+        self.last_number += 1
         self.records[order.origin, order.id] = Record(0.0)
-        self.taken[order.id] = (order, reply, self.numbers)
-        return self.numbers
+        self.held_jobs[order.id] = (order, reply, self.last_number)
+        return self.last_number
 
     def end(self, job_id, final=Final.SERVED, ran=False, attempts=0):
-        order, reply, _ = self.taken.pop(job_id)
+        order, reply, _ = self.held_jobs.pop(job_id)
         record = self.records[order.origin, job_id]
         record.final, record.may_have_run, record.attempts, record.ended = final, ran, attempts, True
         reply(Answer(final))
 
     def withdraw(self, number):
-        for job_id, (order, _, n) in list(self.taken.items()):
+        for job_id, (order, _, n) in list(self.held_jobs.items()):
             if n == number:
-                del self.taken[job_id]
+                del self.held_jobs[job_id]
                 self.records[order.origin, job_id] = Record(0.0, ended=True, state="withdrawn")
-                self.left.append(job_id)
+                self.withdrawn.append(job_id)
 
     def amend(self, amendment):
         pass
@@ -71,15 +71,15 @@
         empty()
 
 
-class Room(unittest.TestCase):
+class WaitingStageTest(unittest.TestCase):
     setup = WaitingSetup(jobs=10, bytes=1000, edges=20, horizon_s=7200.0, classes={"report": ClassBound(bound_s=60.0)})
 
     def setUp(self):
         self.open(self.setup)
 
     def open(self, setup, **more):
-        self.clock, self.inner, self.answers = VirtualClock(), Inner(), []
-        self.room = WaitingRoom(self.inner, setup, NAMES, self.clock, **more)
+        self.clock, self.inner, self.answers = VirtualClock(), FakeNextStage(), []
+        self.stage = WaitingStage(self.inner, setup, NAMES, self.clock, **more)
         self.start = self.clock.now()
 
     def order(self, job_id, job_class=0, at=0.0, after=(), any_end=False, origin="faktory", **more):
@@ -88,92 +88,93 @@
 
     def push(self, job_id, *args, **more):
         order = self.order(job_id, *args, **more)
-        return self.room.arrive(order, lambda answer: self.answers.append((job_id, answer.final)))
+        return self.stage.arrive(order, lambda answer: self.answers.append((job_id, answer.final)))
 
     def run_for(self, ms):
         self.clock.run(self.clock.now() + ms)
 
     def state(self, job_id):
-        return self.room.record("faktory", job_id).state
+        return self.stage.record("faktory", job_id).state
 
     # ---- set times -----------------------------------------------------------------------------------
 
-    def test_a_job_runs_at_its_time_and_not_before(self):
+    def test_scheduled_job_starts_at_its_set_time(self):
         self.push("a", at=1000.0)
-        self.assertEqual((self.state("a"), self.room.counts()["scheduled"]), ("scheduled", 1))
+        self.assertEqual((self.state("a"), self.stage.counts()["scheduled"]), ("scheduled", 1))
         self.run_for(999)
-        self.assertEqual(self.inner.taken, {})
-        self.run_for(1 + WIDTH)
-        self.assertEqual(list(self.inner.taken), ["a"])
-        self.assertAlmostEqual(self.inner.taken["a"][0].left, 5000.0, delta=WIDTH)  # its time runs from then on
+        self.assertEqual(self.inner.held_jobs, {})
+        self.run_for(1 + BUCKET_WIDTH_MS)
+        self.assertEqual(list(self.inner.held_jobs), ["a"])
+        # its deadline counts from the set time
+        self.assertAlmostEqual(self.inner.held_jobs["a"][0].left, 5000.0, delta=BUCKET_WIDTH_MS)
         self.inner.end("a")
-        self.assertEqual((self.answers, self.room.held), ([("a", Final.SERVED)], 0))
+        self.assertEqual((self.answers, self.stage.held), ([("a", Final.SERVED)], 0))
 
-    def test_a_time_in_the_past_is_now_and_one_beyond_the_horizon_an_error(self):
+    def test_past_set_time_means_now_and_one_beyond_the_horizon_is_an_error(self):
         self.push("a", at=-5000.0)
-        self.assertEqual(list(self.inner.taken), ["a"])
+        self.assertEqual(list(self.inner.held_jobs), ["a"])
         with self.assertRaisesRegex(Unusable, "7200 s ahead"):
             self.push("b", at=7_200_001.0)
-        self.assertIsNone(self.room.record("faktory", "b"))
-        self.assertEqual(len(self.room.book.entries), 1)
+        self.assertIsNone(self.stage.record("faktory", "b"))
+        self.assertEqual(len(self.stage.delayed_jobs.entries), 1)
 
-    def test_the_wall_clock_stepped_forward_brings_it_and_back_delays_it_but_never_twice(self):
+    def test_wall_clock_step_forward_starts_jobs_and_step_back_delays_them_but_no_job_starts_twice(self):
         self.push("a", at=HOUR)
         self.push("b", at=HOUR + 1000)
         self.clock.ahead = HOUR
         self.run_for(600)
-        self.assertEqual(list(self.inner.taken), ["a"])
-        self.clock.ahead = 0.0  # and back: what ran does not run again, what did not waits on
+        self.assertEqual(list(self.inner.held_jobs), ["a"])
+        self.clock.ahead = 0.0  # step back: a started job does not start again, the other one stays scheduled
         self.run_for(2000)
-        self.assertEqual((list(self.inner.taken), self.state("b")), (["a"], "scheduled"))
+        self.assertEqual((list(self.inner.held_jobs), self.state("b")), (["a"], "scheduled"))
         self.run_for(HOUR)
-        self.assertEqual(list(self.inner.taken), ["a", "b"])
+        self.assertEqual(list(self.inner.held_jobs), ["a", "b"])
 
-    def test_a_step_back_neither_loses_a_job_nor_brings_it_early(self):
+    def test_wall_clock_step_back_neither_loses_a_job_nor_starts_it_early(self):
         self.push("a", at=1000.0)
         self.clock.ahead = -HOUR
         self.run_for(HOUR)
-        self.assertEqual(self.inner.taken, {})
-        self.run_for(1000 + WIDTH)
-        self.assertEqual(list(self.inner.taken), ["a"])
+        self.assertEqual(self.inner.held_jobs, {})
+        self.run_for(1000 + BUCKET_WIDTH_MS)
+        self.assertEqual(list(self.inner.held_jobs), ["a"])
 
-    def test_a_step_back_while_a_full_second_is_worked_off_brings_the_rest_in_its_time(self):
+    def test_wall_clock_step_back_in_the_middle_of_a_due_bucket_reschedules_the_rest(self):
         self.open(WaitingSetup())
-        book, now = self.room.book, self.clock.now()
-        for n in range(CHEAP + 3):
-            book.arrive(self.order(f"a{n}", at=1000.0), self.answers.append, lambda *_: None, now, now)
-        book.step(now + 1050, now + 1050, 1)
-        book.step(now + 1051, now, 10)
-        self.assertEqual(book.counts[State.SCHEDULED], 3)
-        book.step(now + 2100, now + 1050, 10)
-        self.assertEqual(book.counts[State.SCHEDULED], 0)
+        delayed_jobs, now = self.stage.delayed_jobs, self.clock.now()
+        for n in range(CHEAP_STEPS_PER_OFFER + 3):
+            delayed_jobs.arrive(self.order(f"a{n}", at=1000.0), self.answers.append, lambda *_: None, now, now)
+        delayed_jobs.step(now + 1050, now + 1050, 1)
+        delayed_jobs.step(now + 1051, now, 10)
+        self.assertEqual(delayed_jobs.counts[JobState.SCHEDULED], 3)
+        delayed_jobs.step(now + 2100, now + 1050, 10)
+        self.assertEqual(delayed_jobs.counts[JobState.SCHEDULED], 0)
 
     # ---- parents -------------------------------------------------------------------------------------
 
-    def test_a_child_runs_after_all_its_parents_are_served(self):
+    def test_child_starts_after_all_its_parents_were_served(self):
         self.push("a")
         self.push("b", at=500.0)
         self.push("c", after=["a", "b"])
         self.assertEqual(self.state("c"), "waiting")
         self.inner.end("a")
-        self.assertNotIn("c", self.inner.taken)
+        self.assertNotIn("c", self.inner.held_jobs)
         self.run_for(600)
         self.inner.end("b")
-        self.assertIn("c", self.inner.taken)
-        self.assertEqual(self.room.book.edges, 0)
+        self.assertIn("c", self.inner.held_jobs)
+        self.assertEqual(self.stage.delayed_jobs.dependency_count, 0)
 
-    def test_parents_of_the_other_front_that_ended_or_wait_count(self):
+    def test_parents_may_belong_to_another_front(self):
         self.push("a", origin="http")
         self.inner.end("a")
         self.push("b", after=["a"])
-        self.assertIn("b", self.inner.taken)
+        self.assertIn("b", self.inner.held_jobs)
         self.push("c", after=["b"])
         self.push("d", after=["c"], origin="http")
         self.inner.end("b")
         self.inner.end("c")
-        self.assertIn("d", self.inner.taken)
+        self.assertIn("d", self.inner.held_jobs)
 
-    def test_a_parent_that_did_not_serve_fails_its_children_all_the_way_down_at_once(self):
+    def test_parent_that_was_not_served_fails_all_its_descendants_at_once(self):
         for final in (Final.FAILED, Final.REFUSED):
             with self.subTest(final):
                 self.setUp()
@@ -183,26 +184,26 @@
                 self.push("d", after=["a"], any_end=True)
                 self.inner.end("a", final)
                 self.assertEqual(self.answers[1:], [("b", Final.FAILED), ("c", Final.FAILED)])
-                self.assertIn("d", self.inner.taken)
-                self.push("e", after=["b"])  # also one that comes later
+                self.assertIn("d", self.inner.held_jobs)
+                self.push("e", after=["b"])  # a child submitted after the parent failed
                 self.assertEqual(self.answers[-1], ("e", Final.FAILED))
-                self.assertEqual(self.room.record("faktory", "e").final, Final.FAILED)
+                self.assertEqual(self.stage.record("faktory", "e").final, Final.FAILED)
 
-    def test_a_withdrawn_parent_and_one_whose_time_ran_out_fail_their_children(self):
+    def test_withdrawn_or_expired_parent_fails_its_children(self):
         number = self.push("a", at=1000.0)
         self.push("b", after=["a"])
-        self.room.withdraw(number)
+        self.stage.withdraw(number)
         self.assertEqual(self.answers, [("b", Final.FAILED)])
-        self.assertTrue(self.room.record("faktory", "a").ended)
+        self.assertTrue(self.stage.record("faktory", "a").ended)
         self.push("p", at=100.0)
         self.push("c", after=["p"], origin="http", waits=True, asked=50.0)
         self.push("d", after=["c"])
         self.run_for(60)
         self.assertEqual(self.answers[1:], [("c", Final.REFUSED), ("d", Final.FAILED)])
 
-    def test_what_nobody_knows_a_self_reference_and_a_cycle_are_errors_and_nothing_is_kept(self):
-        for after, says in (["nobody"], "no job nobody is known"), (["a"], "cannot wait for itself"):
-            with self.assertRaisesRegex(Unusable, says):
+    def test_unknown_parent_self_reference_and_cycle_are_errors_and_leave_nothing_behind(self):
+        for after, message in (["nobody"], "no job nobody is known"), (["a"], "cannot wait for itself"):
+            with self.assertRaisesRegex(Unusable, message):
                 self.push("a", after=after)
         batch = [
             self.order("x", after=["y"]),
@@ -214,9 +215,9 @@
             self.order("self", after=["self"]),
             self.order("free"),
         ]
-        got = self.room.arrive_all([(order, self.answers.append) for order in batch])
+        results = self.stage.arrive_all([(order, self.answers.append) for order in batch])
         self.assertEqual(
-            [str(n) if isinstance(n, Unusable) else n > 0 for n in got],
+            [str(n) if isinstance(n, Unusable) else n > 0 for n in results],
             [
                 *["it waits for itself through the jobs that it names: a cycle"] * 3,
                 "a job that it waits for was not taken",
@@ -226,18 +227,18 @@
                 True,
             ],
         )
-        self.assertEqual({e.order.id for e in self.room.book.entries.values()}, {"child", "parent", "free"})
+        self.assertEqual({e.order.id for e in self.stage.delayed_jobs.entries.values()}, {"child", "parent", "free"})
 
-    def test_a_parents_outcome_is_not_forgotten_while_a_child_waits(self):
+    def test_parent_outcome_is_remembered_while_a_child_waits(self):
         self.push("a")
         self.push("b", at=HOUR, after=["a"])
         self.inner.end("a")
-        self.assertNotIn("b", self.inner.taken)  # nor does it come before its time for that
-        self.inner.records.clear()  # an hour is longer than outcomes are remembered
-        self.run_for(HOUR + WIDTH)
-        self.assertIn("b", self.inner.taken)
+        self.assertNotIn("b", self.inner.held_jobs)  # the end of its parent does not start it before its set time
+        self.inner.records.clear()  # the next stage forgets outcomes in less than an hour
+        self.run_for(HOUR + BUCKET_WIDTH_MS)
+        self.assertIn("b", self.inner.held_jobs)
 
-    def test_a_chain_and_a_fan_of_ten_thousand_fail_in_slices(self):
+    def test_ten_thousand_descendants_fail_in_slices(self):
         setup = WaitingSetup(jobs=30_000, edges=30_000, bytes=1000)
         for fan in (False, True):
             with self.subTest(fan=fan):
@@ -251,27 +252,30 @@
                 self.run_for(60_000)
                 self.assertEqual(len(self.answers), 10_001)
                 self.assertEqual({final for _, final in self.answers}, {Final.FAILED})
-                self.assertEqual((self.room.held, self.room.book.edges, self.room.book.kept), (0, 0, 0))
+                self.assertEqual(
+                    (self.stage.held, self.stage.delayed_jobs.dependency_count, self.stage.delayed_jobs.counted_jobs),
+                    (0, 0, 0),
+                )
 
-    # ---- bounds and ageing ---------------------------------------------------------------------------
+    # ---- deadlines and retries -----------------------------------------------------------------------
 
-    def test_a_refused_job_of_a_class_with_a_bound_waits_on_in_the_aged_flow_until_it(self):
+    def test_refused_job_of_a_class_with_a_bound_is_retried_in_the_aged_flow_until_its_deadline(self):
         self.push("r", 2)
         for _ in range(3):
             self.run_for(2000)
             self.inner.end("r", Final.REFUSED)
             self.run_for(20)
-        order = self.inner.taken["r"][0]
+        order = self.inner.held_jobs["r"][0]
         self.assertEqual((order.flow, order.again, order.fresh), (1, True, True))
         self.assertEqual(self.state("r"), "aged")
         self.run_for(60_000 - 6060 - 3000)
         self.inner.end("r", Final.REFUSED)
         self.run_for(20)
-        self.assertLess(self.inner.taken["r"][0].left, 3100)  # never past its bound
+        self.assertLess(self.inner.held_jobs["r"][0].left, 3100)  # limited by the deadline
         self.inner.end("r")
         self.assertEqual(self.answers, [("r", Final.SERVED)])
 
-    def test_a_class_without_a_bound_and_what_may_have_run_are_not_offered_again(self):
+    def test_class_without_a_bound_or_job_that_may_have_run_is_not_offered_again(self):
         self.push("s", 0)
         self.inner.end("s", Final.REFUSED)
         self.open(WaitingSetup(classes={"booking": ClassBound(bound_s=60.0), "report": ClassBound(bound_s=60.0)}))
@@ -281,50 +285,50 @@
         self.push("r", 2)  # safe to repeat
         self.inner.end("r", Final.REFUSED, ran=True)
         self.run_for(20)
-        self.assertIn("r", self.inner.taken)
+        self.assertIn("r", self.inner.held_jobs)
 
-    def test_at_the_bound_it_is_refused_though_nobody_takes_it(self):
-        self.inner.at_once = Final.REFUSED
+    def test_job_that_is_never_taken_is_refused_at_its_deadline(self):
+        self.inner.immediate_answer = Final.REFUSED
         self.push("r", 2)
         self.run_for(59_000)
         self.assertEqual((self.answers, self.state("r")), ([], "aged"))
         self.run_for(1000)
         self.assertEqual(self.answers, [("r", Final.REFUSED)])
 
-    def test_a_client_that_waits_has_its_answer_in_its_own_time(self):
-        self.inner.at_once = Final.REFUSED
+    def test_waiting_client_is_answered_before_its_own_timeout(self):
+        self.inner.immediate_answer = Final.REFUSED
         self.push("r", 2, origin="http", waits=True, asked=3000.0)
         self.push("p", 2)
         self.push("c", 2, origin="http", waits=True, asked=4000.0, after=["p"])
-        self.run_for(3000 - MARGIN)
+        self.run_for(3000 - ANSWER_MARGIN_MS)
         self.assertEqual(self.answers, [("r", Final.REFUSED)])
         self.run_for(1000)
         self.assertEqual(self.answers[1:], [("c", Final.REFUSED)])
         with self.assertRaisesRegex(Unusable, "later than the client waits"):
             self.push("d", 2, origin="http", waits=True, asked=4000.0, at=5000.0)
 
-    def test_offers_of_a_line_are_few_at_once_and_lines_take_turns(self):
+    def test_offers_of_a_flow_are_limited_and_flows_take_turns(self):
         self.open(WaitingSetup(jobs=100, offers=2, classes={}))
         for n in range(5):
             self.push(f"a{n}", at=10.0, tenant=0)
         for n in range(2):
             self.push(f"b{n}", at=20.0, tenant=1)
         self.run_for(60)
-        self.assertEqual(sorted(self.inner.taken), ["a0", "a1", "b0", "b1"])
-        self.inner.records["faktory", "a0"].attempts = 1  # it has started: there is room for the next
+        self.assertEqual(sorted(self.inner.held_jobs), ["a0", "a1", "b0", "b1"])
+        self.inner.records["faktory", "a0"].attempts = 1  # started, so another job may be offered
         self.run_for(20)
-        self.assertIn("a2", self.inner.taken)
+        self.assertIn("a2", self.inner.held_jobs)
 
-    # ---- caps and withdrawal -------------------------------------------------------------------------
+    # ---- limits and withdrawal -----------------------------------------------------------------------
 
-    def test_past_a_cap_a_push_is_refused_at_once_and_nothing_else_is_disturbed(self):
+    def test_job_beyond_a_limit_is_refused_at_once_and_others_are_unaffected(self):
         for n in range(10):
             self.push(f"a{n}", at=1000.0)
         self.assertEqual(self.push("b", at=1000.0), 0)
-        self.assertEqual((self.answers, self.room.record("faktory", "b")), ([("b", Final.REFUSED)], None))
-        self.assertTrue(self.push("now"))  # what need not wait is not held here
+        self.assertEqual((self.answers, self.stage.record("faktory", "b")), ([("b", Final.REFUSED)], None))
+        self.assertTrue(self.push("now"))  # a job that need not wait does not count toward the limits
         self.run_for(1100)
-        self.assertEqual(len(self.inner.taken), 11)
+        self.assertEqual(len(self.inner.held_jobs), 11)
         self.open(self.setup)
         self.push("big", at=1000.0, body=b"x" * 1000)
         self.assertEqual(self.push("more", at=1000.0, body=b"x"), 0)
@@ -334,82 +338,87 @@
                 self.push(f"p{n}", at=1000.0)
             for n in range(4):
                 self.push(f"k{n}", after=[f"p{m}" for m in range(5)])
-            self.assertEqual(self.room.book.edges, 0 if self.room.book.kept < 7 else self.room.book.edges)
-            self.assertLessEqual((self.room.book.edges, self.room.book.kept), (20, 10))
-
-    def test_waiting_jobs_are_withdrawn_or_hastened_by_name_or_type(self):
+            self.assertEqual(
+                self.stage.delayed_jobs.dependency_count,
+                0 if self.stage.delayed_jobs.counted_jobs < 7 else self.stage.delayed_jobs.dependency_count,
+            )
+            self.assertLessEqual(
+                (self.stage.delayed_jobs.dependency_count, self.stage.delayed_jobs.counted_jobs), (20, 10)
+            )
+
+    def test_delayed_jobs_are_withdrawn_or_made_due_by_id_or_type(self):
         for n in range(3):
             self.push(f"a{n}", at=1000.0, jobtype="Report")
         self.push("x", at=1000.0, jobtype="Other")
         self.push("h", at=1000.0, origin="http")
-        self.room.amend(Amendment("faktory", "scheduled", frozenset({"a0", "nobody"})))
-        self.assertEqual(self.room.record("faktory", "a0").state, "withdrawn")
-        self.room.amend(Amendment("faktory", "waiting", jobtype="Report"))  # none is in that state
-        self.room.amend(Amendment("faktory", "scheduled", frozenset({"a1"}), hasten=True))
-        self.assertEqual(list(self.inner.taken), ["a1"])
-        self.room.amend(Amendment("faktory", "scheduled", jobtype="Report"))
+        self.stage.amend(Amendment("faktory", "scheduled", frozenset({"a0", "nobody"})))
+        self.assertEqual(self.stage.record("faktory", "a0").state, "withdrawn")
+        self.stage.amend(Amendment("faktory", "waiting", jobtype="Report"))  # no job is in that state
+        self.stage.amend(Amendment("faktory", "scheduled", frozenset({"a1"}), hasten=True))
+        self.assertEqual(list(self.inner.held_jobs), ["a1"])
+        self.stage.amend(Amendment("faktory", "scheduled", jobtype="Report"))
         self.run_for(1100)
-        self.assertEqual(set(self.inner.taken), {"a1", "x", "h"})
-        self.assertEqual(self.answers, [])  # nobody waits for the answer of what was withdrawn
+        self.assertEqual(set(self.inner.held_jobs), {"a1", "x", "h"})
+        self.assertEqual(self.answers, [])  # a withdrawn job gets no answer
 
-    def test_a_withdrawal_reaches_the_next_stage_and_children_hear_of_it(self):
+    def test_withdrawal_reaches_the_next_stage_and_fails_children(self):
         number = self.push("a")
         self.push("b", after=["a"])
-        self.room.withdraw(number)
-        self.assertEqual((self.inner.left, self.answers), (["a"], [("b", Final.FAILED)]))
+        self.stage.withdraw(number)
+        self.assertEqual((self.inner.withdrawn, self.answers), (["a"], [("b", Final.FAILED)]))
 
-    def test_an_id_that_comes_again_is_failed_and_not_run(self):
+    def test_repeated_id_fails_and_does_not_run(self):
         self.push("a", at=1000.0)
         self.push("a")
-        self.assertEqual((self.answers, self.inner.taken), ([("a", Final.FAILED)], {}))
+        self.assertEqual((self.answers, self.inner.held_jobs), ([("a", Final.FAILED)], {}))
 
-    # ---- the end -------------------------------------------------------------------------------------
+    # ---- shutdown ------------------------------------------------------------------------------------
 
-    def test_sigterm_refuses_what_waits_and_lets_what_runs_end(self):
+    def test_shutdown_refuses_delayed_jobs_and_lets_running_jobs_end(self):
         self.push("run")
         self.push("timed", at=1000.0)
         self.push("child", after=["run"])
-        self.inner.at_once = Final.REFUSED
+        self.inner.immediate_answer = Final.REFUSED
         self.push("aged", 2)
-        self.inner.at_once = None
-        self.room.leave(None)
+        self.inner.immediate_answer = None
+        self.stage.leave(None)
         self.run_for(10)
         self.assertEqual(
             sorted(self.answers), [("aged", Final.REFUSED), ("child", Final.REFUSED), ("timed", Final.REFUSED)]
         )
         self.assertEqual(self.push("late", at=1000.0), 0)
-        ended = []
-        self.room.close(lambda: ended.append(1))
-        self.assertEqual(ended, [])
+        closed = []
+        self.stage.close(lambda: closed.append(1))
+        self.assertEqual(closed, [])
         self.inner.end("run")
-        self.assertEqual(ended, [1])
+        self.assertEqual(closed, [1])
 
-    def test_each_final_answer_is_told_once_to_who_counts_flows(self):
+    def test_finished_callback_is_called_once_for_each_job(self):
         seen = []
-        self.room.finished = lambda order, answer, came, ended: seen.append((order.id, answer and answer.final))
+        self.stage.finished = lambda order, answer, came, ended: seen.append((order.id, answer and answer.final))
         self.push("r", 2)
         self.inner.end("r", Final.REFUSED)
         self.run_for(20)
         self.inner.end("r")
-        self.room.withdraw(self.push("w", at=1000.0))
+        self.stage.withdraw(self.push("w", at=1000.0))
         self.assertEqual(seen, [("r", Final.SERVED), ("w", None)])
 
-    def test_reload_leaves_what_waits_alone(self):
+    def test_reconfiguration_keeps_delayed_jobs(self):
         self.push("a", at=1000.0)
         self.inner.reconfigure = lambda new: setattr(self.inner, "settings", new)
-        faster = api.Settings(classes=(api.JobClass(deadline=900, aim=500),) * 3)
-        self.room.reconfigure(faster)
+        new_settings = api.Settings(classes=(api.JobClass(deadline=900, aim=500),) * 3)
+        self.stage.reconfigure(new_settings)
         self.run_for(1100)
-        self.assertAlmostEqual(self.inner.taken["a"][0].left, 900.0, delta=WIDTH)
+        self.assertAlmostEqual(self.inner.held_jobs["a"][0].left, 900.0, delta=BUCKET_WIDTH_MS)
 
 
-class Whole(unittest.TestCase):
-    """The room before the real exchange and module."""
+class WithExchangeTest(unittest.TestCase):
+    """The stage in front of the real exchange and scheduling module."""
 
-    def test_an_aged_job_gets_its_turn_from_the_module_and_is_answered_once(self):
+    def test_aged_job_is_scheduled_and_answered_once(self):
         clock, started, answers = VirtualClock(), [], []
 
-        class Side:
+        class FakeServerSide:
             def start(self, attempt):
                 started.append(attempt)
 
@@ -421,40 +430,40 @@
 
         setup = WaitingSetup(classes={"report": ClassBound(bound_s=60.0)})
         exchange = Exchange(SETTINGS, 1, clock, (aged_flow(setup),))
-        room = WaitingRoom(exchange, setup, NAMES, clock)
-        side = Side()
+        stage = WaitingStage(exchange, setup, NAMES, clock)
+        side = FakeServerSide()
         exchange.listed(side, api.ListForm.FULL, [Listed("w1")])
-        room.arrive(Order("b", 1, 5000.0, origin="http", asked=5000.0), answers.append)
-        room.arrive(Order("r", 2, 5000.0, origin="faktory"), answers.append)
-        clock.run(clock.now() + 4900)  # the booking holds the one slot; the report was refused, and waits on
+        stage.arrive(Order("b", 1, 5000.0, origin="http", asked=5000.0), answers.append)
+        stage.arrive(Order("r", 2, 5000.0, origin="faktory"), answers.append)
+        clock.run(clock.now() + 4900)  # the booking holds the only slot; the report was refused and queued again
         self.assertEqual([a.order.id for a in started], ["b"])
-        self.assertEqual(room.book.counts[State.AGED] + room.book.counts[State.INSIDE], 2)
+        self.assertEqual(stage.delayed_jobs.counts[JobState.AGED] + stage.delayed_jobs.counts[JobState.OFFERED], 2)
         exchange.ended(started[0], api.Outcome.OK, b"seat")
         clock.run(clock.now() + 100)
         self.assertEqual([a.order.id for a in started], ["b", "r"])
         exchange.ended(started[1], api.Outcome.OK)
         self.assertEqual([a.final for a in answers], [Final.SERVED] * 2)
-        self.assertEqual((room.held, exchange.held), (0, 0))
+        self.assertEqual((stage.held, exchange.held), (0, 0))
 
 
-class Calendars(unittest.TestCase):
-    def test_late_ones_are_never_early_and_early_ones_never_late(self):
+class CalendarTest(unittest.TestCase):
+    def test_early_calendar_is_never_late_and_late_calendar_never_early(self):
         for early in (True, False):
             calendar = Calendar(early)
             for n, moment in enumerate((1000.0, 1001.0, 1049.9, 1050.0, 2000.0)):
                 calendar.add(moment, n)
             self.assertEqual(calendar.pop(999.0), None)
-            got = {}
+            popped_at = {}
             for now in range(1000, 2100):
                 while (n := calendar.pop(float(now))) is not None:
-                    got[n] = now
-            wanted = [1000, 1000, 1000, 1050, 2000] if early else [1000, 1050, 1050, 1050, 2000]
-            self.assertEqual([got[n] for n in range(5)], wanted)
+                    popped_at[n] = now
+            expected = [1000, 1000, 1000, 1050, 2000] if early else [1000, 1050, 1050, 1050, 2000]
+            self.assertEqual([popped_at[n] for n in range(5)], expected)
 
-    def test_what_is_dropped_leaves_nothing_behind(self):
+    def test_removed_items_free_their_memory(self):
         calendar = Calendar(False)
         for n in range(100_000):
             calendar.add(n * 1000.0, n)
-            calendar.drop(n * 1000.0, n)
-        self.assertEqual((len(calendar), calendar.first()), (0, float("inf")))
+            calendar.remove(n * 1000.0, n)
+        self.assertEqual((len(calendar), calendar.next_due()), (0, float("inf")))
         self.assertLess(len(calendar._keys), 100)
--- a/tests/test_waiting_hour.py
+++ b/tests/test_waiting_hour.py
@@ -1,4 +1,4 @@
-"""The hour in short: two and a half simulated minutes of the real program, both fronts, all that may go wrong."""
+"""A short version of the simulated hour: two and a half minutes of the real program with both fronts and all faults."""
 
 import unittest
 
@@ -8,9 +8,10 @@
 from millethead.lab.hour import BOUNDS, Hour
 
 
-class Short(unittest.TestCase):
-    # In a loop whose time jumps: 0.5 s of real time is a whole deadline here, and a busy machine held clients up.
-    def test_each_job_is_answered_once_no_booking_runs_twice_and_bounds_hold(self):
+class ShortHourTest(unittest.TestCase):
+    # Runs on an event loop with simulated time: in real time a deadline would be only 0.5 s long, and a busy machine
+    # delayed clients past it.
+    def test_each_job_is_answered_once_in_time_and_no_booking_runs_twice(self):
         self.addCleanup(structlog.reset_defaults)
         structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(40))
         hour, rows = jump.run(self.play)
@@ -20,7 +21,7 @@
         doomed = [job for job in hour.jobs.values() if job.kind == "doomed" and job.after]
         self.assertEqual({job.answers[0] for job in doomed}, {"failed"})
         for job in hour.jobs.values():
-            if job.name in BOUNDS:  # by a second of the loop's time at most
+            if job.name in BOUNDS:  # exceeded by one second of the loop's time at most
                 self.assertLess(hour.over(job), 1.0 + 15_000.0 / (1000 * BOUNDS[job.name]))
 
     async def play(self):
--- a/tests/test_waiting_states.py
+++ b/tests/test_waiting_states.py
@@ -1,30 +1,30 @@
-"""The waiting room against a simple model: any order of push, end, withdrawal, time, clock steps and caps."""
+"""Model-based test of the stage for delayed jobs: random order of submissions, ends, withdrawals and clock steps."""
 
 from math import inf
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
-from test_waiting import NAMES, Inner
+from test_waiting import NAMES, FakeNextStage
 
 from millethead.exchange import Final, Order
 from millethead.exchange.model import Plan
 from millethead.exchange.stage import Amendment, Unusable
 from millethead.lab.clock import VirtualClock
-from millethead.waiting.ageing import LEAST, MARGIN
-from millethead.waiting.calendar import WIDTH
-from millethead.waiting.room import WaitingRoom
+from millethead.waiting.ageing import ANSWER_MARGIN_MS, MIN_TIME_LEFT_MS
+from millethead.waiting.calendar import BUCKET_WIDTH_MS
 from millethead.waiting.setup import ClassBound, WaitingSetup
+from millethead.waiting.stage import WaitingStage
 
-BOUND = 20_000.0
-JOBS = 12
+BOUND_MS = 20_000.0
+MAX_JOBS = 12
 
 
-class Model:
-    """What is true of one job, whatever the room thinks of it."""
+class ModelJob:
+    """The expected state of one job, independent of the stage under test."""
 
-    def __init__(self, order, came):
-        self.order, self.came, self.answers, self.offers = order, came, [], 0
+    def __init__(self, order, arrived_at):
+        self.order, self.arrived_at, self.answers, self.offers = order, arrived_at, [], 0
         self.withdrawn = False
 
     @property
@@ -32,39 +32,39 @@
         return bool(self.answers) or self.withdrawn
 
 
-class Rooms(RuleBasedStateMachine):
+class WaitingStageMachine(RuleBasedStateMachine):
     @initialize(offers=st.integers(1, 3), ageing=st.booleans())
     def open(self, offers, ageing):
-        self.clock, self.inner = VirtualClock(), Inner()
+        self.clock, self.inner = VirtualClock(), FakeNextStage()
         setup = WaitingSetup(
-            jobs=JOBS,
+            jobs=MAX_JOBS,
             bytes=400,
             edges=15,
             horizon_s=100.0,
             offers=offers,
-            classes={"report": ClassBound(bound_s=BOUND / 1000)},
+            classes={"report": ClassBound(bound_s=BOUND_MS / 1000)},
         )
-        self.room = WaitingRoom(self.inner, setup, NAMES, self.clock, ageing)
+        self.stage = WaitingStage(self.inner, setup, NAMES, self.clock, ageing)
         self.jobs, self.numbers, self.count, self.leaving = {}, {}, 0, False
-        taken = self.inner.arrive
+        arrive_unchecked = self.inner.arrive
 
         def arrive(order, reply):
-            """Each time the room hands a job on, it must be allowed to."""
+            """Checks that the stage may offer this job now."""
             job = self.jobs[order.id]
             assert not job.ended, "offered after its end"
             plan = job.order.plan
             if plan is not None:
-                assert plan.at <= self.highest_wall, "before its time"
+                assert plan.at <= self.highest_wall, "offered before its set time"
                 for parent in plan.after:
                     other = self.jobs[parent]
-                    assert other.ended, "before its parent's end"
+                    assert other.ended, "offered before its parent's end"
                     assert plan.any_end or [a.final for a in other.answers] == [Final.SERVED]
             if job.offers:
                 record = self.inner.record(order.origin, order.id)
                 assert record is None or record.final is Final.REFUSED
                 assert record is None or not record.may_have_run or order.job_class != 1
             job.offers += 1
-            number = taken(order, reply)
+            number = arrive_unchecked(order, reply)
             return number
 
         self.inner.arrive = arrive
@@ -94,21 +94,21 @@
             waits=front == "http" and asked < inf,
             plan=plan if at or known else None,
         )
-        job = self.jobs[job_id] = Model(order, self.clock.now())
+        job = self.jobs[job_id] = ModelJob(order, self.clock.now())
         try:
-            self.numbers[job_id] = self.room.arrive(order, job.answers.append)
+            self.numbers[job_id] = self.stage.arrive(order, job.answers.append)
         except Unusable:
             assert order.waits and at > asked
             del self.jobs[job_id]
             return
-        if not self.numbers[job_id] and self.room.record(front, job_id) is None:
-            del self.jobs[job_id]  # not taken: nothing of it may be left
-            assert self.leaving or self.room.book.kept or self.inner.at_once is not None
+        if not self.numbers[job_id] and self.stage.record(front, job_id) is None:
+            del self.jobs[job_id]  # refused: no trace of it may be left
+            assert self.leaving or self.stage.delayed_jobs.counted_jobs or self.inner.immediate_answer is not None
 
     @rule(data=st.data(), final=st.sampled_from(list(Final)), ran=st.booleans())
     def end(self, data, final, ran):
-        if self.inner.taken:
-            job_id = data.draw(st.sampled_from(sorted(self.inner.taken)))
+        if self.inner.held_jobs:
+            job_id = data.draw(st.sampled_from(sorted(self.inner.held_jobs)))
             self.inner.end(job_id, final, ran or final is not Final.REFUSED)
 
     @rule(data=st.data())
@@ -116,22 +116,22 @@
         live = [j for j, job in self.jobs.items() if not job.ended]
         if live:
             job_id = data.draw(st.sampled_from(live))
-            self.jobs[job_id].withdrawn = True  # from here on: what waits for its end may be offered within the call
-            self.room.withdraw(self.numbers[job_id])
+            self.jobs[job_id].withdrawn = True  # set before the call, which may offer its children
+            self.stage.withdraw(self.numbers[job_id])
 
     @rule(state=st.sampled_from(["scheduled", "waiting", "aged"]), hasten=st.booleans())
     def amend(self, state, hasten):
-        hit = [
+        matching = [
             e.order.id
-            for e in self.room.book.entries.values()
+            for e in self.stage.delayed_jobs.entries.values()
             if e.order.origin == "faktory" and e.state.value == state
         ]
         if hasten and state == "scheduled":
-            for job_id in hit:  # it may run from now on
+            for job_id in matching:  # may be offered from now on
                 self.highest_wall = max(self.highest_wall, self.jobs[job_id].order.plan.at)
-        for job_id in hit if not hasten else ():
+        for job_id in matching if not hasten else ():
             self.jobs[job_id].withdrawn = True
-        self.room.amend(Amendment("faktory", state, hasten=hasten))
+        self.stage.amend(Amendment("faktory", state, hasten=hasten))
         self.clock.run(self.clock.now() + 50)
         self.highest_wall = max(self.highest_wall, self.clock.wall())
 
@@ -148,50 +148,50 @@
         self.highest_wall = max(self.highest_wall, self.clock.wall())
 
     @rule(final=st.sampled_from([None, None, Final.REFUSED]))
-    def inner_has_no_room(self, final):
-        self.inner.at_once = final
+    def next_stage_answers_at_once(self, final):
+        self.inner.immediate_answer = final
 
     @invariant()
-    def books_agree(self):
-        if not hasattr(self, "room"):
+    def stage_agrees_with_model(self):
+        if not hasattr(self, "stage"):
             return
-        book = self.room.book
+        delayed_jobs = self.stage.delayed_jobs
         for job_id, job in self.jobs.items():
-            assert len(job.answers) <= (0 if job.withdrawn and job_id in self.inner.left else 1)
-            live = book.find(job.order.origin, job_id)
+            assert len(job.answers) <= (0 if job.withdrawn and job_id in self.inner.withdrawn else 1)
+            live = delayed_jobs.find(job.order.origin, job_id)
             assert (live is None) == job.ended, (job_id, live, job.answers)
-            assert not live or live.state.value != "inside" or job_id in self.inner.taken
-            # nobody is left without an answer past their own time
+            assert not live or live.state.value != "inside" or job_id in self.inner.held_jobs
+            # every waiting client is answered before its own timeout
             if live is not None and job.order.waits and live.state.value != "inside":
-                assert self.clock.now() <= job.came + job.order.asked
-            if live is not None and live.due >= 0 and live.state.value in ("due", "aged"):
-                assert self.clock.now() <= live.end + WIDTH
-                assert live.end <= live.due + BOUND
-        kept = [e for e in book.entries.values() if e.kept]
-        assert book.kept == len(kept) <= JOBS
-        assert book.bytes == sum(len(e.order.body) for e in kept) <= 400
-        assert book.edges == sum(len(e.parents or ()) for e in book.entries.values()) <= 15
-        for state, count in book.counts.items():
-            assert count == sum(e.state is state for e in book.entries.values())
+                assert self.clock.now() <= job.arrived_at + job.order.asked
+            if live is not None and live.due_at >= 0 and live.state.value in ("due", "aged"):
+                assert self.clock.now() <= live.deadline + BUCKET_WIDTH_MS
+                assert live.deadline <= live.due_at + BOUND_MS
+        counted = [e for e in delayed_jobs.entries.values() if e.counts_toward_limits]
+        assert delayed_jobs.counted_jobs == len(counted) <= MAX_JOBS
+        assert delayed_jobs.counted_bytes == sum(len(e.order.body) for e in counted) <= 400
+        assert delayed_jobs.dependency_count == sum(len(e.parents or ()) for e in delayed_jobs.entries.values()) <= 15
+        for state, count in delayed_jobs.counts.items():
+            assert count == sum(e.state is state for e in delayed_jobs.entries.values())
 
     def teardown(self):
-        if not hasattr(self, "room"):
+        if not hasattr(self, "stage"):
             return
         self.leaving = True
-        ended = []
-        self.room.leave(None)
+        closed = []
+        self.stage.leave(None)
         self.clock.run(self.clock.now() + 1000)
-        for job_id in sorted(self.inner.taken):
+        for job_id in sorted(self.inner.held_jobs):
             self.inner.end(job_id)
-        self.room.close(lambda: ended.append(1))
+        self.stage.close(lambda: closed.append(1))
         self.clock.run(self.clock.now() + 1000)
-        assert ended == [1] and not self.room.held and not self.room.book.edges
+        assert closed == [1] and not self.stage.held and not self.stage.delayed_jobs.dependency_count
         for job in self.jobs.values():
-            assert len(job.answers) + job.withdrawn == 1, "one answer, or withdrawn"
-        assert MARGIN < LEAST
+            assert len(job.answers) + job.withdrawn == 1, "exactly one answer, or withdrawn"
+        assert ANSWER_MARGIN_MS < MIN_TIME_LEFT_MS
 
 
-Rooms.TestCase.settings = settings(
+WaitingStageMachine.TestCase.settings = settings(
     max_examples=150, stateful_step_count=40, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
 )
-TestRooms = Rooms.TestCase
+TestWaitingStage = WaitingStageMachine.TestCase
