--- a/millethead/lab/core_load.py
+++ b/millethead/lab/core_load.py
@@ -1,8 +1,8 @@
 """A core of any size in virtual time whose head has to welcome all agents: what one loss costs, by phase.
 
 The processes have processors: a new head hears from all agents within a fraction of a second, each record costs time,
-and heartbeats, timers and what the disk has done wait for their turn. The program's own `TurnSlices` decide how much of
-it is done at once.
+and heartbeats, timers and what the disk has done wait for their turn. The program's own `IterationBudget` decides how
+much of it is done at once.
 """
 
 from __future__ import annotations
--- a/millethead/lab/core_machine.py
+++ b/millethead/lab/core_machine.py
@@ -28,7 +28,7 @@
 from millethead.replication.view import ChainMember, Member, View
 from millethead.rollout.register import Kept
 from millethead.rpc.codec import Record
-from millethead.rpc.turns import TurnSlices
+from millethead.rpc.loop_budget import IterationBudget
 from millethead.storage.log import Entry, Recovered, Snapshot
 from millethead.storage.sync_times import HELD_UP_S
 
@@ -130,7 +130,7 @@
     def work(self) -> None:
         """Go on with what is left."""
         while self._left:
-            if self._process.slices.spent:
+            if self._process.slices.exhausted:
                 self._process.slices.defer(self.work)
                 return
             self._left -= 1
@@ -159,7 +159,7 @@
         self._reviving = False
         self._tick_due = 0.0
         self._processor = Processor(around.timeline) if around.load is not None else None
-        self.slices = TurnSlices(self.now, self.soon)
+        self.slices = IterationBudget(self.now, self.soon)
         self._open()
 
     # ---- time --------------------------------------------------------------------------------------------
--- a/millethead/programs/control.py
+++ b/millethead/programs/control.py
@@ -33,7 +33,7 @@
 from millethead.rollout.register import Kept
 from millethead.rpc.codec import CodecError, Record, decode_any, encode_any
 from millethead.rpc.connection import Connection, InputBudget
-from millethead.rpc.turns import TurnSlices
+from millethead.rpc.loop_budget import IterationBudget
 from millethead.storage.log import Entry, Recovered, Snapshot
 from millethead.storage.sync_times import HELD_UP_S
 from millethead.web.metrics import Figure
@@ -76,7 +76,7 @@
         self._http = HttpServer(
             operator_app(self._caller, self._figures), HttpLimits(max_body_bytes=OPERATOR_BODY_BYTES)
         )
-        self._slices = TurnSlices(self._loop.time, self._clock.soon)
+        self._slices = IterationBudget(self._loop.time, self._clock.soon)
         self._datagrams: DatagramSocket | None = None
         self._server: asyncio.Server | None = None
         self._stopped = asyncio.Event()
--- a/millethead/programs/core_sessions.py
+++ b/millethead/programs/core_sessions.py
@@ -88,12 +88,12 @@
     def _first_record(self, connection: Connection, record: Record) -> None:
         match record:
             case ChainHello():
-                connection.most_frame, connection.urgent = MEMBER_FRAME, True
+                connection.max_frame_bytes, connection.urgent = MEMBER_FRAME, True
                 self._sessions.pop(connection, None)
                 self._links.taken(connection)
                 self._links.received(connection, record)
             case CallerHello():
-                connection.most_frame = CALLER_FRAME
+                connection.max_frame_bytes = CALLER_FRAME
                 if self._head is not None:
                     self._sessions[connection] = self._head.caller_hello(connection, record)
                 else:
@@ -105,7 +105,7 @@
                 connection.close()
 
     def _agent_hello(self, connection: Connection, hello: AgentHello) -> None:
-        connection.most_frame = AGENT_FRAME
+        connection.max_frame_bytes = AGENT_FRAME
         if self._head is not None:
             self._sessions[connection] = self._head.agent_hello(connection, hello)
             return
--- a/millethead/rpc/__init__.py
+++ b/millethead/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""Internal protocol: typed records packed with `struct`, and framed connections that carry them."""
+"""Internal protocol: typed records in a binary encoding, and framed TCP connections that carry them."""
--- a/millethead/rpc/codec.py
+++ b/millethead/rpc/codec.py
@@ -1,8 +1,9 @@
-"""Binary codec for frozen dataclasses: fixed-size fields by `struct`, the rest with a length in front.
+"""Binary codec for frozen dataclasses. Fixed-size fields are packed with `struct`; strings, bytes and sequences have a
+length prefix.
 
-A record class derives from `Record` and annotates its fields with the types below. `encode` and `decode` are derived
-once for each class from these annotations. Decoding any bytes yields a record or raises `CodecError`; what is
-allocated is bounded by the length of the input.
+A record class derives from `Record` and annotates its fields with the types below. Its encoder and decoder are derived
+from these annotations once and cached. Decoding arbitrary bytes returns a record or raises `CodecError`. It allocates
+memory in proportion to the length of the input at most.
 """
 
 from __future__ import annotations
@@ -31,34 +32,35 @@
 
 
 class CodecError(ValueError):
-    """Bytes that are not the record that was expected, or a value that does not fit its field."""
+    """Raised for bytes that are not a valid encoding, and for a value that does not fit its field."""
 
 
 class Record:
-    """Base of all records. `TAG` tells kinds of records apart where several may come; 0 stands for none."""
+    """Base class of all records. `TAG` identifies the record type where several types may be received; 0 means that
+    the type has no tag and is used only inside other records or with a known type."""
 
     TAG: ClassVar[int] = 0
     __slots__ = ()
 
 
-_BY_TAG: dict[int, type[Record]] = {}
+_TYPES_BY_TAG: dict[int, type[Record]] = {}
 
 
 def tagged(tag: int) -> Callable[[type[R]], type[R]]:
-    """Give a record class the number under which `decode_any` finds it."""
+    """Class decorator: registers a record class under the tag by which `decode_any` finds it."""
 
     def register(cls: type[R]) -> type[R]:
-        if tag in _BY_TAG:
-            raise ValueError(f"tag {tag} is taken by {_BY_TAG[tag].__name__}")
+        if tag in _TYPES_BY_TAG:
+            raise ValueError(f"tag {tag} is taken by {_TYPES_BY_TAG[tag].__name__}")
         cls.TAG = tag
-        _BY_TAG[tag] = cls
+        _TYPES_BY_TAG[tag] = cls
         return cls
 
     return register
 
 
 def encode(record: Record) -> bytes:
-    """The record's bytes without its tag; raises CodecError where a value does not fit."""
+    """Encodes a record without its tag. Raises CodecError if a value does not fit its field."""
     parts: list[bytes] = []
     try:
         _codec(type(record))[0](parts, record)
@@ -68,14 +70,14 @@
 
 
 def encode_any(record: Record) -> bytes:
-    """The record's bytes behind its tag."""
+    """Encodes a record behind its tag. Raises CodecError if its type has no tag or a value does not fit its field."""
     if not record.TAG:
         raise CodecError(f"{type(record).__name__} has no tag")
     return _TAG.pack(record.TAG) + encode(record)
 
 
 def decode(cls: type[R], data: bytes) -> R:
-    """The record that `data` holds, whole; raises CodecError."""
+    """Decodes a record of type `cls` that takes up all of `data`; raises CodecError."""
     value, end = _read(_codec(cls)[1], data, 0)
     if end != len(data):
         raise CodecError(f"{cls.__name__}: {len(data) - end} bytes too many")
@@ -83,16 +85,16 @@
 
 
 def decode_at(cls: type[R], data: bytes, at: int) -> tuple[R, int]:
-    """The record that `data` holds from `at` on, and where it ends; raises CodecError."""
+    """Decodes a record of type `cls` at offset `at`. Returns it and the offset of its end; raises CodecError."""
     value, end = _read(_codec(cls)[1], data, at)
     return typing.cast(R, value), end
 
 
 def decode_any(data: bytes) -> Record:
-    """The tagged record that `data` holds, whole; raises CodecError."""
+    """Decodes a tagged record of any registered type that takes up all of `data`; raises CodecError."""
     if len(data) < _TAG.size:
         raise CodecError("no tag")
-    cls = _BY_TAG.get(_TAG.unpack_from(data)[0])
+    cls = _TYPES_BY_TAG.get(_TAG.unpack_from(data)[0])
     if cls is None:
         raise CodecError("unknown tag")
     value, end = _read(_codec(cls)[1], data, _TAG.size)
@@ -114,16 +116,16 @@
 
 
 def _codec(cls: type[Record]) -> tuple[Writer, Reader]:
-    known = _CODECS.get(cls)
-    if known is None:
-        known = _CODECS[cls] = _derive(cls)
-    return known
+    codec = _CODECS.get(cls)
+    if codec is None:
+        codec = _CODECS[cls] = _derive_codec(cls)
+    return codec
 
 
-def _derive(cls: type[Record]) -> tuple[Writer, Reader]:
+def _derive_codec(cls: type[Record]) -> tuple[Writer, Reader]:
     hints = typing.get_type_hints(cls, include_extras=True)
     names = [field.name for field in fields(cls)]  # type: ignore[arg-type]
-    codecs = [_field(hints[name]) for name in names]
+    codecs = [_field_codec(hints[name]) for name in names]
     writers = [(name, codec[0]) for name, codec in zip(names, codecs, strict=True)]
     readers = [codec[1] for codec in codecs]
 
@@ -141,7 +143,8 @@
     return write, read
 
 
-def _field(hint: Any) -> tuple[Writer, Reader]:
+def _field_codec(hint: Any) -> tuple[Writer, Reader]:
+    """The writer and reader of a field with this type annotation."""
     origin = typing.get_origin(hint)
     if origin is Annotated:
         return _number(struct.Struct(">" + hint.__metadata__[0]))
@@ -152,10 +155,10 @@
     if hint is bytes:
         return _bytes()
     if origin is tuple:
-        return _sequence(*_field(typing.get_args(hint)[0]))
+        return _sequence(*_field_codec(typing.get_args(hint)[0]))
     if origin in (typing.Union, types.UnionType):
         inner = next(part for part in typing.get_args(hint) if part is not type(None))
-        return _optional(*_field(inner))
+        return _optional(*_field_codec(inner))
     if isinstance(hint, type) and issubclass(hint, IntEnum):
         return _enumeration(hint)
     if isinstance(hint, type) and issubclass(hint, Record):
@@ -163,8 +166,8 @@
     raise TypeError(f"no codec for {hint!r}")
 
 
-def _number(form: struct.Struct) -> tuple[Writer, Reader]:
-    pack, unpack, size = form.pack, form.unpack_from, form.size
+def _number(number_format: struct.Struct) -> tuple[Writer, Reader]:
+    pack, unpack, size = number_format.pack, number_format.unpack_from, number_format.size
 
     def write(parts: list[bytes], value: Any) -> None:
         parts.append(pack(value))
@@ -188,12 +191,12 @@
     return write, read
 
 
-def _enumeration(kind: type[IntEnum]) -> tuple[Writer, Reader]:
+def _enumeration(enum_type: type[IntEnum]) -> tuple[Writer, Reader]:
     def write(parts: list[bytes], value: Any) -> None:
         parts.append(bytes((value,)))
 
     def read(data: bytes, at: int) -> tuple[Any, int]:
-        return kind(data[at]), at + 1
+        return enum_type(data[at]), at + 1
 
     return write, read
 
@@ -235,7 +238,7 @@
     def read(data: bytes, at: int) -> tuple[Any, int]:
         count = _LENGTH.unpack_from(data, at)[0]
         at += _LENGTH.size
-        if count > len(data) - at:  # every item takes a byte at least
+        if count > len(data) - at:  # every item takes at least one byte
             raise CodecError("a count goes past the end")
         items = []
         for _ in range(count):
--- a/tests/test_core_load.py
+++ b/tests/test_core_load.py
@@ -11,7 +11,7 @@
 from millethead.lab.core_load import LoadedCore, Loss, LossKind, LossOutcome
 from millethead.lab.core_machine import AgentLoad
 from millethead.replication.proposal import ViewCause
-from millethead.rpc.turns import TurnSlices
+from millethead.rpc.loop_budget import IterationBudget
 from millethead.storage.sync_times import SyncTimes
 
 MOST_VIEWS = 2  # without the member that was lost, and with it again
@@ -56,7 +56,7 @@
 @contextmanager
 def whole_turns() -> Iterator[None]:
     """All that has come is worked off in the turn in which it came, heartbeats behind it."""
-    with mock.patch.object(TurnSlices, "spent", property(lambda self: False)):
+    with mock.patch.object(IterationBudget, "exhausted", property(lambda self: False)):
         yield
 
 
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -1,4 +1,4 @@
-"""The binary codec: what is written is read back, and any other bytes are a record or a CodecError, within bounds."""
+"""The binary codec: records survive a round trip, and arbitrary bytes decode to a record or raise CodecError."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 from millethead.rpc.codec import CodecError, Record, decode, decode_any, encode, encode_any
 
 EXAMPLES = int(os.environ.get("RPC_EXAMPLES", "60"))
-MOST_X = 60  # bytes of memory that decoding may take for each byte of the input
-BOUNDS = {"B": (0, 2**8 - 1), "H": (0, 2**16 - 1), "I": (0, 2**32 - 1), "Q": (0, 2**64 - 1), "q": (-(2**63), 2**63 - 1)}
+MAX_ALLOCATED_PER_INPUT_BYTE = 60  # bytes of memory that decoding may allocate
+RANGES = {"B": (0, 2**8 - 1), "H": (0, 2**16 - 1), "I": (0, 2**32 - 1), "Q": (0, 2**64 - 1), "q": (-(2**63), 2**63 - 1)}
 MEMBER = Member("10.0.0.1:7660", 7)
 BEAT = Heartbeat(MEMBER, 9, 3, 12, False, True, False, True, (Heard("10.0.0.2:7660", 250),))
 
 for _module in pkgutil.walk_packages(millethead.__path__, "millethead."):
     if _module.name.rsplit(".", 1)[-1] in ("messages", "calls", "commands", "state"):
         importlib.import_module(_module.name)
-TAGGED = sorted(codec._BY_TAG.values(), key=lambda cls: cls.TAG)
+TAGGED = sorted(codec._TYPES_BY_TAG.values(), key=lambda cls: cls.TAG)
 
 
 def values(hint):
-    """What a field of this type may hold."""
+    """A strategy for the values of a field with this type annotation."""
     origin = typing.get_origin(hint)
     if origin is typing.Annotated:
-        form = hint.__metadata__[0]
-        return st.floats(allow_nan=False) if form == "d" else st.integers(*BOUNDS[form])
+        number_format = hint.__metadata__[0]
+        return st.floats(allow_nan=False) if number_format == "d" else st.integers(*RANGES[number_format])
     if hint in (bool, str, bytes):
         return {
             bool: st.booleans(),
@@ -59,17 +59,17 @@
     return st.builds(cls, **{name: values(hints[name]) for name in cls.__dataclass_fields__})
 
 
-ANY = st.sampled_from(TAGGED).flatmap(records)
+ANY_RECORD = st.sampled_from(TAGGED).flatmap(records)
 
 
-def damaged(draw_from):
-    """The bytes of a record with a part overwritten, cut out, or added."""
-    return st.tuples(draw_from, st.integers(0, 400), st.integers(0, 12), st.binary(max_size=12)).map(
+def damaged(records_strategy):
+    """The encoding of a record with some bytes overwritten, removed or inserted."""
+    return st.tuples(records_strategy, st.integers(0, 400), st.integers(0, 12), st.binary(max_size=12)).map(
         lambda drawn: encode_any(drawn[0])[: drawn[1]] + drawn[3] + encode_any(drawn[0])[drawn[1] + drawn[2] :]
     )
 
 
-def test_the_records_of_all_planes_are_known():
+def test_records_of_all_packages_are_registered():
     assert {Heartbeat, PaxosMessage, ViewAnnouncement} <= set(TAGGED)
     assert len(TAGGED) > 30
 
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize("cls", TAGGED, ids=lambda cls: cls.__name__)
 @settings(max_examples=max(5, EXAMPLES // 10), deadline=None)
 @given(data=st.data())
-def test_a_record_is_read_back_as_it_was(cls, data):
+def test_record_survives_a_round_trip(cls, data):
     record = data.draw(records(cls))
     assert decode_any(encode_any(record)) == record
     assert decode(cls, encode(record)) == record
@@ -85,7 +85,7 @@
 
 @settings(max_examples=20 * EXAMPLES, deadline=None)
 @given(st.binary(max_size=300))
-def test_any_bytes_are_a_record_or_an_error(data):
+def test_arbitrary_bytes_decode_to_a_record_or_raise(data):
     try:
         record = decode_any(data)
     except CodecError:
@@ -94,8 +94,8 @@
 
 
 @settings(max_examples=20 * EXAMPLES, deadline=None)
-@given(damaged(ANY))
-def test_damaged_records_are_a_record_or_an_error(data):
+@given(damaged(ANY_RECORD))
+def test_damaged_encodings_decode_to_a_record_or_raise(data):
     try:
         record = decode_any(data)
     except CodecError:
@@ -104,19 +104,19 @@
 
 
 @settings(max_examples=10 * EXAMPLES, deadline=None)
-@given(ANY, st.data())
-def test_no_part_of_a_record_is_one(record, data):
-    whole = encode_any(record)
-    cut = data.draw(st.integers(0, len(whole) - 1))
+@given(ANY_RECORD, st.data())
+def test_truncated_or_extended_encoding_raises(record, data):
+    encoded = encode_any(record)
+    cut = data.draw(st.integers(0, len(encoded) - 1))
     with pytest.raises(CodecError):
-        decode_any(whole[:cut])
+        decode_any(encoded[:cut])
     with pytest.raises(CodecError):
-        decode_any(whole + b"\0")
+        decode_any(encoded + b"\0")
 
 
 @pytest.mark.parametrize("cls", TAGGED, ids=lambda cls: cls.__name__)
-def test_memory_is_bounded_by_the_bytes_that_came(cls):
-    """A length or count that promises 4 GiB is refused before anything is allocated for it."""
+def test_decoding_allocates_memory_in_proportion_to_the_input(cls):
+    """A length or count of 4 GiB must be rejected before memory is allocated for it."""
     data = struct.pack(">H", cls.TAG) + b"\xff" * 512
     tracemalloc.start()
     try:
@@ -126,11 +126,11 @@
     finally:
         peak = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
-    assert peak < 16_384 + MOST_X * len(data)
+    assert peak < 16_384 + MAX_ALLOCATED_PER_INPUT_BYTE * len(data)
 
 
 @pytest.mark.parametrize(
-    "damage, why",
+    "damage, message",
     [
         (lambda data: b"", "no tag"),
         (lambda data: b"\xff\xff" + data[2:], "unknown tag"),
@@ -139,15 +139,15 @@
         (lambda data: data[:-1], "unpack"),
     ],
 )
-def test_the_error_says_what_is_wrong(damage, why):
-    with pytest.raises(CodecError, match=why):
+def test_error_message_names_the_problem(damage, message):
+    with pytest.raises(CodecError, match=message):
         decode_any(damage(encode_any(BEAT)))
 
 
-def test_a_flag_and_a_kind_have_only_their_own_values():
-    whole = encode_any(PaxosMessage(PaxosKind.PREPARE, "v", 1, "o", 0, "", b""))
+def test_invalid_boolean_and_enumeration_values_are_rejected():
+    encoded = encode_any(PaxosMessage(PaxosKind.PREPARE, "v", 1, "o", 0, "", b""))
     with pytest.raises(CodecError, match="99 is not a valid PaxosKind"):
-        decode_any(whole[:2] + b"\x63" + whole[3:])
+        decode_any(encoded[:2] + b"\x63" + encoded[3:])
     beat = encode_any(BEAT)
     with pytest.raises(CodecError, match="a flag is 0 or 1"):
         decode_any(beat.replace(struct.pack(">I", 12) + b"\0\1\0", struct.pack(">I", 12) + b"\2\1\0"))
@@ -167,17 +167,17 @@
     ],
     ids=repr,
 )
-def test_a_value_that_does_not_fit_is_refused(record):
+def test_value_that_does_not_fit_its_field_is_rejected(record):
     with pytest.raises(CodecError, match=type(record).__name__):
         encode(record)
 
 
-def test_a_record_without_a_tag_is_not_sent_by_one():
+def test_record_without_a_tag_cannot_be_encoded_with_one():
     with pytest.raises(CodecError, match="has no tag"):
         encode_any(MEMBER)
 
 
-def test_a_tag_is_given_once():
+def test_tag_cannot_be_registered_twice():
     class Other(Record):
         """Another record."""
 
