--- a/millethead/control/drains.py
+++ b/millethead/control/drains.py
@@ -16,7 +16,7 @@
 from millethead.control.state import ControlState
 from millethead.execution.messages import WorkerInfo
 from millethead.jobs.commands import TaskRun
-from millethead.jobs.drained import MOST_DRAINED
+from millethead.jobs.drained import MAX_DRAINED_NODES
 from millethead.jobs.state import JobTable
 
 OK, NOT_FOUND, TOO_MANY = 200, 404, 429
@@ -58,8 +58,8 @@
     session = agents.sessions.get(call.node)
     if session is None and call.node not in state.drained:
         return _refusal(call, NOT_FOUND, f"no agent of a node {call.node} is connected")
-    if call.drained and call.node not in state.drained and len(state.drained) >= MOST_DRAINED:
-        return _refusal(call, TOO_MANY, f"{MOST_DRAINED} nodes are taken out already")
+    if call.drained and call.node not in state.drained and len(state.drained) >= MAX_DRAINED_NODES:
+        return _refusal(call, TOO_MANY, f"{MAX_DRAINED_NODES} nodes are taken out already")
     report = DrainReport(
         call.node, call.drained, session.instance if session is not None else "", _open_at(state.jobs, call.node)
     )
--- a/millethead/control/state.py
+++ b/millethead/control/state.py
@@ -117,7 +117,7 @@
 
     def restoring(self, payload: bytes) -> Iterator[None]:
         """The same, a part at each step."""
-        self._encoder.give_up()
+        self._encoder.discard()
         self.configuration, self.jobs, self.drained = ConfigurationState(), JobTable(), DrainedNodes()
         self._encoder = TableEncoder(self.jobs)
         if payload:
--- a/millethead/jobs/__init__.py
+++ b/millethead/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs as the core keeps them: their description, the commands that change them, and the replicated state."""
+"""Jobs in the core: the description that a client submits, the replicated commands, and the replicated state."""
--- a/millethead/jobs/commands.py
+++ b/millethead/jobs/commands.py
@@ -1,4 +1,5 @@
-"""Commands of the replicated log. Every member applies them in the same order; `at_ms` is the head's time of day."""
+"""Commands of the replicated log. Every member applies them in the same order. `at_ms` is the head's wall clock time
+when it issued the command, in ms since 1970."""
 
 from __future__ import annotations
 
@@ -10,7 +11,8 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskRun(Record):
-    """One run of one task: job, time K, step and index name the task."""
+    """One run of one task. `job`, `time` (which occurrence of a repeated job, from 0), `step` and `index` identify the
+    task; `run` numbers its attempts."""
 
     job: str
     time: U32
@@ -20,12 +22,12 @@
 
     @property
     def task_name(self) -> str:
-        """The name under which a worker knows the task."""
+        """The name of the task in messages to and from workers."""
         return f"{self.job}.{self.time}.{self.step}.{self.index}"
 
 
 def task_run(name: str, run: int) -> TaskRun | None:
-    """The run of a task by its worker's name for it; None where the name is none of this form."""
+    """Parses `TaskRun.task_name`; returns None for a name of another form."""
     parts = name.split(".")
     if len(parts) != 4 or not all(part.isdigit() and len(part) < 10 for part in parts[1:]):
         return None
@@ -34,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueTerms(Record):
-    """What the route of a job said when the job was handed in."""
+    """The settings of a job's route at the time when the job was submitted."""
 
     route: str
     service: str
@@ -47,7 +49,7 @@
 @tagged(200)
 @dataclass(frozen=True, slots=True)
 class ChangeConfiguration(Record):
-    """An order of the operator. `if_match` None: it named no version."""
+    """An operator changes the configuration. `if_match` is the version that the change requires; None: any version."""
 
     patch: bool
     if_match: U64 | None
@@ -57,7 +59,7 @@
 @tagged(201)
 @dataclass(frozen=True, slots=True)
 class SubmitJob(Record):
-    """A job is taken; `body` is what the client sent."""
+    """A job is accepted. `body` is the request body that the client sent."""
 
     job: str
     terms: QueueTerms
@@ -68,13 +70,15 @@
 @tagged(202)
 @dataclass(frozen=True, slots=True)
 class CancelJob(Record):
+    """A job is cancelled."""
+
     job: str
     at_ms: U64
 
 
 @dataclass(frozen=True, slots=True)
 class Assignment(Record):
-    """A run is given to a worker's life."""
+    """A run is assigned to the worker process `instance` on `node`."""
 
     run: TaskRun
     node: str
@@ -84,12 +88,16 @@
 @tagged(203)
 @dataclass(frozen=True, slots=True)
 class AssignRuns(Record):
+    """Runs are assigned to workers."""
+
     assignments: tuple[Assignment, ...]
     at_ms: U64
 
 
 @dataclass(frozen=True, slots=True)
 class EndedRun(Record):
+    """A run that has ended. `saved`: its last checkpoint, empty if there is none."""
+
     run: TaskRun
     how: RunEnd
     saved: str
@@ -98,13 +106,15 @@
 @tagged(204)
 @dataclass(frozen=True, slots=True)
 class EndRuns(Record):
+    """Runs have ended."""
+
     ends: tuple[EndedRun, ...]
     at_ms: U64
 
 
 @dataclass(frozen=True, slots=True)
 class SavedRun(Record):
-    """A running task has saved its progress."""
+    """Progress of a running task: its newest checkpoint `saved` and the percentage done."""
 
     run: TaskRun
     saved: str
@@ -114,13 +124,15 @@
 @tagged(205)
 @dataclass(frozen=True, slots=True)
 class SaveProgress(Record):
+    """Running tasks have written checkpoints."""
+
     saved: tuple[SavedRun, ...]
 
 
 @tagged(207)
 @dataclass(frozen=True, slots=True)
 class DrainNode(Record):
-    """The staff take the worker at a node out (`drained`), or put it back."""
+    """An operator drains the worker on a node (`drained`), or puts it back into service."""
 
     node: str
     drained: bool
@@ -129,7 +141,7 @@
 @tagged(208)
 @dataclass(frozen=True, slots=True)
 class RefuseOrder(Record):
-    """An order of the operator is refused for good; `digest` stands for it."""
+    """A request of an operator is refused for good. `digest` identifies the request."""
 
     digest: bytes
 
@@ -137,7 +149,7 @@
 @tagged(209)
 @dataclass(frozen=True, slots=True)
 class TrimJobs(Record):
-    """Jobs that have ended and run nothing any more: no more is kept of them than their end."""
+    """Ended jobs without open runs are reduced to their final state, to free memory."""
 
     jobs: tuple[str, ...]
 
@@ -145,6 +157,6 @@
 @tagged(206)
 @dataclass(frozen=True, slots=True)
 class PurgeJobs(Record):
-    """Jobs that ended long ago are forgotten."""
+    """Jobs that ended long ago are removed."""
 
     jobs: tuple[str, ...]
--- a/millethead/jobs/description.py
+++ b/millethead/jobs/description.py
@@ -1,4 +1,5 @@
-"""What a client hands in: a text and steps of tasks. Read from JSON, with all findings at once."""
+"""Job description that a client submits as JSON: a text for the workers and steps of tasks. Validation reports all
+errors of a document at once."""
 
 from __future__ import annotations
 
@@ -8,14 +9,14 @@
 
 from millethead.execution.messages import Resources
 
-MOST_SPEC_BYTES = 4000
-MOST_STEPS = 256
-MOST_TASKS = 20_000  # of all steps together
-MOST_FIGURE = 2**31 - 1
+MAX_SPEC_BYTES = 4000
+MAX_STEPS = 256
+MAX_TASKS = 20_000  # sum over all steps
+MAX_NUMBER = 2**31 - 1
 
 
 class InvalidJob(ValueError):
-    """A job that cannot be taken; `findings` names each place and what is wrong there."""
+    """Raised for an invalid job description. `findings` has one text for each error, with the place in the document."""
 
     def __init__(self, findings: list[str]) -> None:
         super().__init__("; ".join(findings))
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepDescription:
-    """One step: `count` like tasks. Times in ms; see the protocol page for each field."""
+    """One step, which consists of `count` equal tasks. The protocol page describes the fields."""
 
     count: int
     needs: Resources
@@ -42,8 +43,8 @@
 
 @dataclass(frozen=True, slots=True)
 class JobDescription:
-    """A job. `repeats` 0: it runs once, at once; else that many times, time K at `delay_ms` + K * `interval_ms` since
-    1970."""
+    """A job. With `repeats` 0 it runs once, immediately. Otherwise it runs `repeats` times, numbered from 0, and time K
+    is due `delay_ms` + K * `interval_ms` after the start of 1970."""
 
     spec: str
     steps: tuple[StepDescription, ...]
@@ -53,30 +54,30 @@
 
     @property
     def lasting(self) -> bool:
-        """Whether a step runs until the job is cancelled."""
+        """Whether any step runs until the job is cancelled."""
         return any(step.long_running for step in self.steps)
 
     def due_ms(self, time: int) -> int:
-        """When a time of the job is due, in ms since 1970; 0 for a job without times."""
+        """When this time (occurrence) of the job is due, in ms since 1970; 0 for a job that is not repeated."""
         return self.delay_ms + time * self.interval_ms if self.repeats else 0
 
     def tails_ms(self) -> list[int]:
-        """Of each step, the longest chain of steps that come after it, by estimate."""
-        tails = [0] * len(self.steps)
+        """For each step, the estimated duration of the longest chain of steps that depend on it, without the step."""
+        successors_ms = [0] * len(self.steps)
         for number, step in reversed(list(enumerate(self.steps))):
             for earlier in step.dependencies:
-                tails[earlier] = max(tails[earlier], step.estimate_ms + tails[number])
-        return tails
+                successors_ms[earlier] = max(successors_ms[earlier], step.estimate_ms + successors_ms[number])
+        return successors_ms
 
     def chain_length(self) -> int:
-        """The most steps that come one after the other."""
+        """Number of steps in the longest dependency chain."""
         lengths: list[int] = []
         for step in self.steps:
             lengths.append(1 + max((lengths[number] for number in step.dependencies), default=0))
         return max(lengths, default=0)
 
     def longest_chain_ms(self) -> int:
-        """The longest chain of steps by estimate."""
+        """Estimated duration of the critical path: the dependency chain that takes longest."""
         ends: list[int] = []
         for step in self.steps:
             start = max((ends[number] for number in step.dependencies), default=0)
@@ -84,19 +85,19 @@
         return max(ends, default=0)
 
 
-NOTHING = JobDescription("", (), 0, 0, 0)  # of a job that has ended, of which only the end is kept
+NOTHING = JobDescription("", (), 0, 0, 0)  # description of a trimmed job, which keeps only its final state
 
 
 class _Reader:
-    """Reads fields of JSON objects and collects what is wrong."""
+    """Reads and validates fields of JSON objects, and collects the errors."""
 
     def __init__(self) -> None:
         self.findings: list[str] = []
 
-    def number(self, values: dict[str, Any], name: str, place: str, most: int = MOST_FIGURE) -> int:
+    def number(self, values: dict[str, Any], name: str, place: str, maximum: int = MAX_NUMBER) -> int:
         value = values.get(name, 0)
-        if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= most:
-            self.findings.append(f"{place}{name}: a number from 0 to {most} is wanted")
+        if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= maximum:
+            self.findings.append(f"{place}{name}: a number from 0 to {maximum} is wanted")
             return 0
         return int(value)
 
@@ -116,7 +117,7 @@
 
 
 def read_job(body: bytes) -> JobDescription:
-    """The job that a body describes; raises InvalidJob with all findings."""
+    """Parses and validates a request body; raises InvalidJob with all errors."""
     try:
         document = json.loads(body)
     except (ValueError, RecursionError):
@@ -126,8 +127,8 @@
     reader = _Reader()
     spec = reader.text(document, "spec", "")
     try:
-        if len(spec.encode()) > MOST_SPEC_BYTES:
-            reader.findings.append(f"spec: longer than {MOST_SPEC_BYTES} bytes")
+        if len(spec.encode()) > MAX_SPEC_BYTES:
+            reader.findings.append(f"spec: longer than {MAX_SPEC_BYTES} bytes")
     except UnicodeEncodeError:
         reader.findings.append("spec: not a text of Unicode characters")
     steps = _read_steps(document, reader)
@@ -138,8 +139,8 @@
         reader.number(document, "delay_ms", "", 2**53),
         reader.number(document, "interval_ms", ""),
     )
-    if sum(step.count for step in steps) > MOST_TASKS:
-        reader.findings.append(f"steps: more than {MOST_TASKS} tasks")
+    if sum(step.count for step in steps) > MAX_TASKS:
+        reader.findings.append(f"steps: more than {MAX_TASKS} tasks")
     if reader.findings:
         raise InvalidJob(reader.findings)
     return job
@@ -150,8 +151,8 @@
     if not isinstance(listed, list) or not listed:
         reader.findings.append("steps: a list of one step or more is wanted")
         return ()
-    if len(listed) > MOST_STEPS:
-        reader.findings.append(f"steps: more than {MOST_STEPS}")
+    if len(listed) > MAX_STEPS:
+        reader.findings.append(f"steps: more than {MAX_STEPS}")
         return ()
     return tuple(_read_step(document, step, number, reader) for number, step in enumerate(listed))
 
@@ -161,7 +162,7 @@
     if not isinstance(step, dict):
         reader.findings.append(f"steps[{number}]: an object is wanted")
         step = {}
-    count = reader.number(step, "count", place, MOST_TASKS)
+    count = reader.number(step, "count", place, MAX_TASKS)
     if count < 1:
         reader.findings.append(f"{place}count: at least 1 is wanted")
     return StepDescription(
--- a/millethead/jobs/drained.py
+++ b/millethead/jobs/drained.py
@@ -1,4 +1,4 @@
-"""The nodes that the staff have taken out: a part of the replicated state."""
+"""The nodes that operators have drained. Part of the replicated state."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from millethead.jobs.commands import DrainNode
 
-MOST_DRAINED = 4096  # at once
+MAX_DRAINED_NODES = 4096  # drained at the same time
 
 
 class DrainedNodes:
-    """Names of nodes whose workers get nothing new until they are put back."""
+    """Names of the nodes whose workers are assigned no new runs until an operator puts them back into service."""
 
     def __init__(self, nodes: Iterable[str] = ()) -> None:
         self._nodes = set(nodes)
@@ -22,12 +22,12 @@
         return len(self._nodes)
 
     def names(self) -> tuple[str, ...]:
-        """All of them, in order."""
+        """All names, sorted."""
         return tuple(sorted(self._nodes))
 
     def apply(self, command: DrainNode) -> None:
-        """Take a node out, or put it back; beyond MOST_DRAINED nothing is taken out."""
+        """Drains a node or puts it back into service. Does nothing if MAX_DRAINED_NODES nodes are drained already."""
         if not command.drained:
             self._nodes.discard(command.node)
-        elif len(self._nodes) < MOST_DRAINED:
+        elif len(self._nodes) < MAX_DRAINED_NODES:
             self._nodes.add(command.node)
--- a/millethead/jobs/snapshot.py
+++ b/millethead/jobs/snapshot.py
@@ -1,4 +1,5 @@
-"""The jobs as a snapshot holds them: encoded and restored job by job, so that a large table holds nobody up."""
+"""Encoding of the job table in snapshots. Jobs are encoded and restored in slices, so that a large table does not block
+the event loop."""
 
 from __future__ import annotations
 
@@ -11,83 +12,83 @@
 from millethead.jobs.state import Job, JobPhase, JobTable, StepState, Task
 from millethead.rpc.codec import U8, U32, U64, CodecError, Record, decode_at, encode
 
-SLICE_JOBS = 50  # encoded or restored in one slice
-LAST_JOBS = 50  # left over at most for the moment at which the table is encoded whole
+SLICE_JOBS = 50  # jobs encoded or restored in one slice
+LAST_JOBS = 50  # jobs that `prepare` may leave for the final `encode`
 _COUNT = struct.Struct(">I")
 
 
 class TableEncoder:
-    """Encodes a table: whole at once, or most of it before that in slices. What changes in between is encoded again."""
+    """Encodes a table at once, or mostly in advance and in slices. A job that changes afterwards is encoded again."""
 
     def __init__(self, table: JobTable) -> None:
         self._table = table
         self._encoded: dict[str, bytes] = {}
-        self._left: dict[str, None] | None = None  # jobs that are not encoded; None: nothing is prepared
+        self._unencoded: dict[str, None] | None = None  # names of jobs still to be encoded; None: not started
 
     def prepare(self) -> bool:
-        """Encode some jobs more; whether so few are left that `encode` takes no time."""
-        if self._left is None:
-            self._left = dict.fromkeys(self._table.jobs)
-            self._table.changed = self._changed
-        for _ in range(min(SLICE_JOBS, len(self._left))):
-            name = next(iter(self._left))
-            del self._left[name]
+        """Encodes another slice of jobs. Returns whether so few are left that `encode` will be quick."""
+        if self._unencoded is None:
+            self._unencoded = dict.fromkeys(self._table.jobs)
+            self._table.changed = self._job_changed
+        for _ in range(min(SLICE_JOBS, len(self._unencoded))):
+            name = next(iter(self._unencoded))
+            del self._unencoded[name]
             job = self._table.jobs.get(name)
             if job is not None:
                 self._encoded[name] = encode(_job_snapshot(job))
-        return len(self._left) <= LAST_JOBS
+        return len(self._unencoded) <= LAST_JOBS
 
-    def _changed(self, name: str) -> None:
-        assert self._left is not None
+    def _job_changed(self, name: str) -> None:
+        assert self._unencoded is not None
         self._encoded.pop(name, None)
-        self._left[name] = None
+        self._unencoded[name] = None
 
     def encode(self) -> bytes:
-        """The table as it is now; what was prepared is used and given up."""
+        """Encodes the table as it is now, using and then discarding the prepared encodings."""
         encoded = self._encoded
         parts = [encoded.get(job.name) or encode(_job_snapshot(job)) for job in self._table.jobs.values()]
-        self.give_up()
+        self.discard()
         return b"".join([_COUNT.pack(len(parts)), *parts])
 
-    def give_up(self) -> None:
-        """Nothing is prepared any more."""
-        self._encoded, self._left = {}, None
+    def discard(self) -> None:
+        """Discards the prepared encodings."""
+        self._encoded, self._unencoded = {}, None
         self._table.changed = lambda name: None
 
 
 def encode_table(table: JobTable) -> bytes:
-    """The table whole."""
+    """Encodes a table at once."""
     return TableEncoder(table).encode()
 
 
 def restore_table(table: JobTable, data: bytes) -> Iterator[None]:
-    """Fill an empty table from its encoding, a slice at each step; raises CodecError."""
+    """Fills an empty table from its encoding, one slice for each iteration; raises CodecError."""
     if len(data) < _COUNT.size:
         raise CodecError("the table has no count")
     (count,) = _COUNT.unpack_from(data)
     at = _COUNT.size
     for number in range(count):
-        kept, at = decode_at(_JobSnapshot, data, at)
-        _restore_job(table, kept)
+        job_snapshot, at = decode_at(_JobSnapshot, data, at)
+        _restore_job(table, job_snapshot)
         if number % SLICE_JOBS == SLICE_JOBS - 1:
             yield
     if at != len(data):
         raise CodecError(f"{len(data) - at} bytes behind the last job")
 
 
-def _restore_job(table: JobTable, kept: _JobSnapshot) -> None:
+def _restore_job(table: JobTable, snapshot: _JobSnapshot) -> None:
     job = Job(
-        kept.name,
-        kept.terms,
-        read_job(kept.body) if kept.body else NOTHING,
-        kept.body,
-        kept.submitted_ms,
-        kept.phase,
-        kept.ended_ms,
-        times_done=set(kept.times_done),
+        snapshot.name,
+        snapshot.terms,
+        read_job(snapshot.body) if snapshot.body else NOTHING,
+        snapshot.body,
+        snapshot.submitted_ms,
+        snapshot.phase,
+        snapshot.ended_ms,
+        times_done=set(snapshot.times_done),
     )
     table.add(job)
-    for time in kept.times:
+    for time in snapshot.times:
         for number, (state, step) in enumerate(zip(job.at_time(time.time).steps, time.steps, strict=True)):
             _restore_step(state, step)
             for index, task in enumerate(state.tasks):
--- a/millethead/jobs/state.py
+++ b/millethead/jobs/state.py
@@ -1,7 +1,8 @@
-"""The state of all jobs, changed only by commands; deterministic, and the same on every member of the core.
+"""Replicated state of all jobs. Only commands change it, deterministically, so it is the same on every member of the
+core.
 
-A task has at most one open run. A run is opened by an assignment and closed by its end, whatever that is; only then
-the task may be assigned again, and only then the room at its worker is free.
+A task has at most one open run. An assignment opens a run and the end of the run, whatever its cause, closes it. Until
+then the task cannot be assigned again, and the run occupies its resources on the worker.
 """
 
 from __future__ import annotations
@@ -25,12 +26,14 @@
 )
 from millethead.jobs.description import NOTHING, JobDescription, read_job
 
-# Bytes of memory that a job is counted with: what was measured, and what the scheduler holds of it while it waits.
+# Memory that a job is accounted with, in bytes, including what the scheduler keeps of it while it is queued.
 JOB_BYTES, STEP_BYTES, TASK_BYTES = 2048, 1024, 512
-BODY_TIMES = 2  # the body is held as it came, and its spec as a text
+BODY_COPIES = 2  # the body is kept as received, and its spec as a decoded text
 
 
 class JobPhase(IntEnum):
+    """Phase of a job's life cycle. Member names and values are written to clients and snapshots."""
+
     QUEUED = 0
     RUNNING = 1
     DONE = 2
@@ -44,7 +47,8 @@
 
 @dataclass(slots=True)
 class Task:
-    """One task. `run` is the highest run assigned so far; `open` whether that run has not ended."""
+    """One task. `run` is the highest run number assigned so far; `open` tells whether that run has not ended. `saved` is
+    the newest checkpoint. `node` and `instance` name the worker of that run."""
 
     run: int = 0
     open: bool = False
@@ -58,13 +62,13 @@
 
 @dataclass(slots=True)
 class StepState:
-    """The tasks of one step at one time of the job."""
+    """The tasks of one step in one time (occurrence) of the job."""
 
     tasks: list[Task]
-    left: int  # tasks not done
-    failed_runs: int = 0  # of a gang: runs that ended failed
+    left: int  # number of tasks that are not done
+    failed_runs: int = 0  # gang only: failed runs, each counted once for all members
     last_failed_run: int = 0
-    saved: str = ""  # of a gang: the newest checkpoint of any member
+    saved: str = ""  # gang only: the newest checkpoint of any member
     percent: int = 0
 
     @property
@@ -74,6 +78,8 @@
 
 @dataclass(slots=True)
 class TimeState:
+    """The steps of one time (occurrence) of a job."""
+
     steps: list[StepState]
 
     @property
@@ -83,6 +89,8 @@
 
 @dataclass(slots=True)
 class Job:
+    """A job and the state of its tasks. `times` are its occurrences that have tasks so far, by number."""
+
     name: str
     terms: QueueTerms
     description: JobDescription
@@ -95,30 +103,31 @@
     open_runs: int = 0
 
     def time_count(self) -> int:
+        """How often the job runs."""
         return max(1, self.description.repeats)
 
     @property
     def trimmed(self) -> bool:
-        """It has ended, and nothing is kept of it but its end."""
+        """Whether the job has ended and been reduced to its final state."""
         return not self.body
 
     @property
     def held_bytes(self) -> int:
-        """Bytes of memory that it is counted with, by what was handed in."""
+        """Memory that the job is accounted with, in bytes; depends only on its description and body."""
         return job_bytes(self.description, self.body)
 
     @property
     def spare_ms(self) -> float:
-        """What each time of the job may lose until it is late, if nothing went wrong."""
+        """Slack of each time of the job: its objective minus its critical path."""
         return self.objective_ms - self.description.longest_chain_ms()
 
     @property
     def objective_ms(self) -> float:
-        """How long each time of the job may take."""
+        """How long each time of the job may take before it is late."""
         return self.terms.skew_thousandths * self.description.longest_chain_ms() / 1000 + self.terms.target_ms
 
     def at_time(self, time: int) -> TimeState:
-        """The tasks of a time of the job, which begin to exist when they are first asked for."""
+        """The state of this time of the job; created on first use."""
         state = self.times.get(time)
         if state is None:
             state = self.times[time] = TimeState(
@@ -127,14 +136,14 @@
         return state
 
     def step_ready(self, time: int, step: int) -> bool:
-        """Whether all that the step depends on is done."""
+        """Whether all steps that this step depends on are done."""
         state = self.at_time(time)
         return all(state.steps[other].done for other in self.description.steps[step].dependencies)
 
 
 @dataclass(frozen=True, slots=True)
 class ClosedRun:
-    """A run that has ended, and the worker's life that it was at."""
+    """A run that has ended, and the worker process that it was assigned to."""
 
     ended: EndedRun
     instance: str
@@ -142,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishedStep:
-    """A step of which all tasks are done, at one time of its job."""
+    """A step whose tasks are all done, in one time of its job."""
 
     job: str
     time: int
@@ -151,7 +160,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What applying a command has changed, for the scheduler."""
+    """Result of a command: what it changed, for the scheduler."""
 
     accepted: bool = True
     closed: list[ClosedRun] = field(default_factory=list)
@@ -160,24 +169,25 @@
 
 
 def job_bytes(description: JobDescription, body: bytes) -> int:
-    """Bytes of memory that a job is counted with."""
+    """Memory that a job with this description and body is accounted with, in bytes."""
     tasks = sum(step.count for step in description.steps)
-    return JOB_BYTES + BODY_TIMES * len(body) + STEP_BYTES * len(description.steps) + TASK_BYTES * tasks
+    return JOB_BYTES + BODY_COPIES * len(body) + STEP_BYTES * len(description.steps) + TASK_BYTES * tasks
 
 
-def _nobody(name: str) -> None:
-    """Nobody is told which jobs change."""
+def _ignore_change(name: str) -> None:
+    """Default of `JobTable.changed`."""
 
 
 class JobTable:
-    """All jobs. Each command has one method; `find` and `open_runs` read. `held_bytes`: what all jobs together are
-    counted with. `changed` is called with the name of each job that a command changes."""
+    """All jobs. Each command of the replicated log has one method. `open` maps each task with an open run (job, time,
+    step, index) to that run. `held_bytes` is the memory that all jobs are accounted with. `changed` is called with the
+    name of each job that a command changes."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
         self.open: dict[tuple[str, int, int, int], TaskRun] = {}
         self.held_bytes = 0
-        self.changed: Callable[[str], None] = _nobody
+        self.changed: Callable[[str], None] = _ignore_change
 
     # ---- reading -----------------------------------------------------------------------------------------
 
@@ -185,7 +195,7 @@
         return self.jobs.get(name)
 
     def task(self, run: TaskRun) -> Task | None:
-        """The task of a run, if it exists."""
+        """The task of a run; None if there is no such task."""
         job = self.jobs.get(run.job)
         if job is None or run.step >= len(job.description.steps) or run.time >= job.time_count():
             return None
@@ -199,7 +209,7 @@
                 yield run, task
 
     def pending(self, route: str) -> int:
-        """Jobs of a queue that have not ended."""
+        """Number of jobs of a route that have not ended."""
         return sum(job.terms.route == route and not job.phase.over for job in self.jobs.values())
 
     # ---- commands ----------------------------------------------------------------------------------------
@@ -211,7 +221,7 @@
         return Outcome()
 
     def add(self, job: Job) -> None:
-        """Keep a job that is not kept yet."""
+        """Adds a job that is not in the table yet."""
         self.jobs[job.name] = job
         self.held_bytes += job.held_bytes
         self.changed(job.name)
@@ -262,7 +272,7 @@
         return Outcome()
 
     def trim(self, command: TrimJobs) -> Outcome:
-        """Keep of jobs that have ended no more than their end."""
+        """Reduces ended jobs without open runs to their final state."""
         for name in command.jobs:
             job = self.jobs.get(name)
             if job is None or not job.phase.over or job.open_runs or job.trimmed:
@@ -274,7 +284,7 @@
             self.changed(name)
         return Outcome()
 
-    # ---- ends --------------------------------------------------------------------------------------------
+    # ---- run ends ----------------------------------------------------------------------------------------
 
     def _end_run(self, ended: EndedRun, at_ms: int, outcome: Outcome) -> None:
         run = ended.run
@@ -336,7 +346,7 @@
             self._end_job(job, JobPhase.FAILED, at_ms, outcome)
 
     def _end_job(self, job: Job, phase: JobPhase, at_ms: int, outcome: Outcome) -> None:
-        """The one place in which a job ends."""
+        """Ends a job; the only method that sets a final phase."""
         job.phase, job.ended_ms = phase, at_ms
         self.changed(job.name)
         outcome.finished_jobs.append(job.name)
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -130,8 +130,8 @@
 
 
 def test_there_is_a_bound_on_nodes_that_are_out(monkeypatch):
-    monkeypatch.setattr(drained, "MOST_DRAINED", 1)
-    monkeypatch.setattr("millethead.control.drains.MOST_DRAINED", 1)
+    monkeypatch.setattr(drained, "MAX_DRAINED_NODES", 1)
+    monkeypatch.setattr("millethead.control.drains.MAX_DRAINED_NODES", 1)
     bench = Bench()
     for node in ("n-1", "n-2"):
         bench.agent(node, worker(f"i-{node}"))
--- a/tests/test_job_times.py
+++ b/tests/test_job_times.py
@@ -1,4 +1,4 @@
-"""Where the time of a late job went: parts that sum to what the head has seen."""
+"""Breakdown of the duration of a late job: the parts add up to the time that the head observed."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 def job(*steps: StepDescription) -> Job:
-    """A job with an objective of 1.5 times its chain and 0.25 s."""
+    """A job whose objective is 1.5 times its critical path plus 0.25 s."""
     terms = QueueTerms("route", "service", 0, 4, 250, 1500)
     return Job("j", terms, JobDescription("", steps, 0, 0, 0), b"", 0)
 
 
 def seconds(late: LateJob) -> tuple[float, ...]:
-    """The parts, rounded."""
+    """The parts of the breakdown in seconds, rounded."""
     spent = late.spent
     parts = (spent.waited_s, spent.repeated_s, spent.ran_s, spent.turnover_s, spent.estimated_s, spent.far_s)
     return tuple(round(part, 6) for part in parts)
 
 
-def test_last_task_of_each_step_tells_where_the_time_went() -> None:
+def test_breakdown_follows_the_last_task_of_each_step() -> None:
     times, two = JobTimes(), job(STEP, replace(STEP, dependencies=(0,)))
     times.step_ready(FIRST, 10.0)
     times.run_assigned(FIRST, 0, False, 10.1)
@@ -55,7 +55,7 @@
     assert late.spent.seen_s + late.unseen_s == pytest.approx(late.total_s)
 
 
-def test_path_goes_over_the_dependency_that_was_done_last() -> None:
+def test_breakdown_follows_the_dependency_that_was_done_last() -> None:
     times = JobTimes()
     joined = job(STEP, STEP, replace(STEP, dependencies=(0, 1)))
     for number, end in ((0, 3.0), (1, 2.0)):
@@ -74,7 +74,7 @@
     assert late.spent == TimeSpent(0.5, 0.0, 3.5, 0.0, 1.0, 0.0)
 
 
-def test_job_in_time_is_not_told_and_nothing_is_kept_of_it() -> None:
+def test_job_in_time_is_not_reported_and_its_state_is_freed() -> None:
     times, one = JobTimes(), job(STEP)
     times.step_ready(FIRST, 0.0)
     times.run_assigned(FIRST, 0, False, 0.0)
@@ -84,7 +84,7 @@
     assert times.is_empty
 
 
-def test_time_under_an_earlier_head_is_unseen() -> None:
+def test_time_under_an_earlier_head_is_reported_as_unseen() -> None:
     times, one = JobTimes(), job(STEP)
     times.step_ready(FIRST, 5.0)
     times.run_assigned(FIRST, 0, False, 5.0)
@@ -94,7 +94,7 @@
     assert late is not None and late.unseen_s == pytest.approx(2.0)
 
 
-def test_what_is_cancelled_is_forgotten() -> None:
+def test_state_of_a_cancelled_job_is_freed() -> None:
     times, two = JobTimes(), job(STEP, replace(STEP, dependencies=(0,)))
     times.step_ready(FIRST, 0.0)
     times.run_assigned(FIRST, 0, False, 0.0)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs as the core keeps them: what is read, what each command changes, and snapshots that hold all of it."""
+"""Jobs in the core: parsing of descriptions, the effect of each command, and snapshots."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     TrimJobs,
     task_run,
 )
-from millethead.jobs.description import MOST_SPEC_BYTES, MOST_STEPS, MOST_TASKS, InvalidJob, JobDescription, read_job
+from millethead.jobs.description import MAX_SPEC_BYTES, MAX_STEPS, MAX_TASKS, InvalidJob, JobDescription, read_job
 from millethead.jobs.snapshot import encode_table, restore_table
 from millethead.jobs.state import FinishedStep, JobPhase, JobTable, Outcome
 from millethead.rpc.codec import Record, decode_any, encode_any
@@ -35,7 +35,7 @@
 
 
 def body(*steps: dict[str, Any], **more: Any) -> bytes:
-    """A job's body; every step has a count of 1 unless it says otherwise."""
+    """A request body; each step has a count of 1 by default."""
     return json.dumps({"spec": "work", "steps": [{"count": 1, **step} for step in steps], **more}).encode()
 
 
@@ -66,7 +66,7 @@
 # ---- descriptions ----------------------------------------------------------------------------------------
 
 
-def test_description_is_read_whole() -> None:
+def test_all_fields_of_a_description_are_parsed() -> None:
     job = read_job(
         body(
             {"count": 4, "cpu": 500, "mem_mb": 256, "gpu": 1, "estimate_ms": 900, "affinity": "r1-3"},
@@ -92,7 +92,7 @@
     assert [job.due_ms(time) for time in range(3)] == [5000, 5700, 6400]
 
 
-def test_job_without_times_is_due_at_once() -> None:
+def test_job_that_is_not_repeated_is_due_at_once() -> None:
     assert read_job(body({}, delay_ms=5000, interval_ms=700)).due_ms(0) == 0
 
 
@@ -108,11 +108,11 @@
     assert job.longest_chain_ms() == 150
 
 
-def test_chain_length_counts_steps_one_after_the_other() -> None:
+def test_chain_length_is_the_number_of_steps_in_the_longest_chain() -> None:
     assert read_job(body({}, {"deps": [0]}, {}, {"deps": [1, 2]})).chain_length() == 3
 
 
-def test_tails_are_the_longest_chains_after_each_step() -> None:
+def test_longest_chain_after_each_step() -> None:
     steps = [
         {"count": 1, "estimate_ms": 100 * (number + 1), "deps": deps}
         for number, deps in enumerate(([], [0], [0], [1, 2], []))
@@ -121,16 +121,16 @@
     assert job.tails_ms() == [700, 400, 400, 0, 0]
 
 
-def test_tails_of_many_steps_that_all_depend_on_each_other_are_found_at_once() -> None:
-    steps = [{"count": 1, "estimate_ms": 1, "deps": list(range(number))} for number in range(MOST_STEPS)]
+def test_longest_chains_of_a_complete_graph_are_computed_quickly() -> None:
+    steps = [{"count": 1, "estimate_ms": 1, "deps": list(range(number))} for number in range(MAX_STEPS)]
     job = read_job(json.dumps({"spec": "x", "steps": steps}).encode())
-    assert job.tails_ms()[0] == MOST_STEPS - 1
+    assert job.tails_ms()[0] == MAX_STEPS - 1
 
 
 @pytest.mark.parametrize(
     "marks", [{"steps": [{"count": 1, "long_running": True}]}, {"steps": [{"count": 1}], "long_running": True}]
 )
-def test_lasting_is_told_by_step_or_job(marks: dict[str, Any]) -> None:
+def test_step_or_job_may_be_marked_long_running(marks: dict[str, Any]) -> None:
     assert read_job(json.dumps({"spec": "", **marks}).encode()).lasting
 
 
@@ -141,12 +141,12 @@
         (b"[" * 100_000, "JSON"),
         (b"[]", "object"),
         (json.dumps({"spec": 5, "steps": [{"count": 1}]}).encode(), "spec"),
-        (json.dumps({"spec": "x" * (MOST_SPEC_BYTES + 1), "steps": [{"count": 1}]}).encode(), "spec"),
+        (json.dumps({"spec": "x" * (MAX_SPEC_BYTES + 1), "steps": [{"count": 1}]}).encode(), "spec"),
         (b'{"spec":"\\ud800","steps":[{"count":1}]}', "spec"),
         (json.dumps({"spec": "", "steps": []}).encode(), "steps"),
         (json.dumps({"spec": "", "steps": [7]}).encode(), "steps[0]"),
-        (json.dumps({"spec": "", "steps": [{"count": 1}] * (MOST_STEPS + 1)}).encode(), "steps"),
-        (json.dumps({"spec": "", "steps": [{"count": MOST_TASKS}] * 2}).encode(), "steps"),
+        (json.dumps({"spec": "", "steps": [{"count": 1}] * (MAX_STEPS + 1)}).encode(), "steps"),
+        (json.dumps({"spec": "", "steps": [{"count": MAX_TASKS}] * 2}).encode(), "steps"),
         (body({"count": 0}), "steps[0].count"),
         (body({"cpu": -1}), "steps[0].cpu"),
         (body({"cpu": True}), "steps[0].cpu"),
@@ -159,20 +159,20 @@
         (body({}, repeats=-1), "repeats"),
     ],
 )
-def test_invalid_job_is_told_with_its_place(text: bytes, place: str) -> None:
+def test_error_of_an_invalid_job_names_the_place(text: bytes, place: str) -> None:
     with pytest.raises(InvalidJob) as caught:
         read_job(text)
     assert any(place in finding for finding in caught.value.findings)
 
 
-def test_all_findings_are_told_together() -> None:
+def test_all_errors_are_reported_together() -> None:
     with pytest.raises(InvalidJob) as caught:
         read_job(body({"count": 0, "cpu": "many"}, {"deps": [4]}, repeats="often"))
     assert len(caught.value.findings) == 4
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_read_or_refused(text: bytes) -> None:
+def test_arbitrary_bytes_are_parsed_or_rejected(text: bytes) -> None:
     try:
         job = read_job(text)
     except InvalidJob as error:
@@ -194,7 +194,7 @@
 
 
 @given(json_values)
-def test_any_document_is_read_or_refused(value: object) -> None:
+def test_arbitrary_documents_are_parsed_or_rejected(value: object) -> None:
     try:
         read_job(json.dumps(value).encode())
     except InvalidJob as error:
@@ -204,7 +204,7 @@
 # ---- names -----------------------------------------------------------------------------------------------
 
 
-def test_task_name_and_back() -> None:
+def test_task_name_round_trip() -> None:
     run = TaskRun(NAME, 3, 1, 17, 2)
     assert run.task_name == f"{NAME}.3.1.17"
     assert task_run(run.task_name, 2) == run
@@ -213,14 +213,14 @@
 @pytest.mark.parametrize(
     "name", ["", NAME, f"{NAME}.0.0", f"{NAME}.0.0.0.0", f"{NAME}.0.-1.0", f"{NAME}.0.x.0", f"{NAME}.0.0.99999999999"]
 )
-def test_other_names_stand_for_no_task(name: str) -> None:
+def test_malformed_task_name_is_rejected(name: str) -> None:
     assert task_run(name, 1) is None
 
 
 # ---- commands --------------------------------------------------------------------------------------------
 
 
-def test_same_job_again_changes_nothing() -> None:
+def test_submitting_a_job_again_changes_nothing() -> None:
     table = submitted({"count": 2})
     before = encode_table(table)
     assert table.submit(SubmitJob(NAME, TERMS, body({"count": 9}), 9000)).accepted
@@ -240,7 +240,7 @@
     assert phase(table) is JobPhase.DONE and not table.open and table.jobs[NAME].ended_ms == 3000
 
 
-def test_step_is_ready_once_all_it_depends_on_is_done() -> None:
+def test_step_is_ready_once_its_dependencies_are_done() -> None:
     table = submitted({"count": 2}, {}, {"deps": [0, 1]})
     job = table.jobs[NAME]
     for number, run in enumerate((run_of(0), run_of(1), run_of(0, 1))):
@@ -256,7 +256,7 @@
         assign(submitted({}), run)
 
 
-def test_open_task_and_used_number_cannot_be_assigned() -> None:
+def test_task_with_an_open_run_or_used_run_number_cannot_be_assigned() -> None:
     table = submitted({})
     assign(table, run_of())
     with pytest.raises(ValueError, match="cannot be assigned"):
@@ -278,7 +278,7 @@
     assert encode_table(table) == before
 
 
-def test_end_counts_once() -> None:
+def test_end_of_a_run_counts_once() -> None:
     table = submitted({"count": 2})
     assign(table, run_of(0), run_of(1))
     assert end(table, run_of(0), RunEnd.FAILED).closed
@@ -287,7 +287,7 @@
 
 
 @pytest.mark.parametrize("how", [RunEnd.STOPPED, RunEnd.LAPSED, RunEnd.BROKEN, RunEnd.ALONE, RunEnd.LOST, RunEnd.NEVER])
-def test_only_ends_failed_are_attempts(how: RunEnd) -> None:
+def test_only_failed_runs_count_as_attempts(how: RunEnd) -> None:
     table = submitted({})
     for number in range(1, 8):
         assign(table, run_of(run=number))
@@ -296,7 +296,7 @@
     assert table.jobs[NAME].at_time(0).steps[0].tasks[0].failures == 0
 
 
-def test_task_that_failed_often_enough_fails_its_job() -> None:
+def test_job_fails_when_a_task_has_no_retries_left() -> None:
     table = submitted({"count": 2})
     for number in range(1, TERMS.retries + 1):
         assert phase(table) is not JobPhase.FAILED
@@ -317,19 +317,19 @@
     assert table.jobs[NAME].at_time(0).steps[0].failed_runs == TERMS.retries
 
 
-def test_one_end_done_stands_for_a_gang() -> None:
+def test_gang_is_done_with_its_first_successful_run() -> None:
     table = submitted({"count": 3, "gang": True})
     runs = [run_of(index) for index in range(3)]
     assign(table, *runs)
     outcome = end(table, runs[1], RunEnd.DONE)
     assert phase(table) is JobPhase.DONE and outcome.finished_steps == [FinishedStep(NAME, 0, 0)]
-    assert len(table.open) == 2  # their room is taken until their ends are listed
+    assert len(table.open) == 2  # the other runs occupy resources until they end too
     assert not end(table, runs[0], RunEnd.LAPSED).finished_jobs
     end(table, runs[2], RunEnd.DONE)
     assert not table.open and phase(table) is JobPhase.DONE
 
 
-def test_lasting_task_goes_on_however_it_ends() -> None:
+def test_long_running_job_stays_running_however_its_runs_end() -> None:
     table = submitted({"long_running": True})
     for number, how in enumerate([RunEnd.FAILED] * 5 + [RunEnd.DONE] * 3, 1):
         assign(table, run_of(run=number))
@@ -337,7 +337,7 @@
     assert phase(table) is JobPhase.RUNNING
 
 
-def test_job_with_times_is_done_with_its_last_time() -> None:
+def test_repeated_job_is_done_with_its_last_time() -> None:
     table = submitted({}, repeats=3, delay_ms=10, interval_ms=10)
     for time in (2, 0, 1):
         assert phase(table) is not JobPhase.DONE
@@ -346,7 +346,7 @@
     assert phase(table) is JobPhase.DONE and table.jobs[NAME].times_done == {0, 1, 2}
 
 
-def test_cancelled_job_stays_so() -> None:
+def test_cancelled_job_stays_cancelled() -> None:
     table = submitted({"count": 1})
     assign(table, run_of())
     assert table.cancel(CancelJob(NAME, 5000)).finished_jobs == [NAME]
@@ -375,14 +375,14 @@
     assert task.saved == "last"
 
 
-def test_checkpoint_of_any_member_is_the_gangs() -> None:
+def test_checkpoint_of_any_member_counts_for_the_gang() -> None:
     table = submitted({"count": 2, "gang": True, "checkpoints": True})
     assign(table, run_of(0), run_of(1))
     table.save(SaveProgress((SavedRun(run_of(1), "half", 50),)))
     assert table.jobs[NAME].at_time(0).steps[0].saved == "half"
 
 
-def test_only_ended_jobs_without_runs_are_forgotten() -> None:
+def test_only_ended_jobs_without_open_runs_are_purged() -> None:
     table = submitted({}, name="a" * 16)
     submitted({}, name="b" * 16, table=table)
     submitted({}, name="c" * 16, table=table)
@@ -393,7 +393,7 @@
     assert set(table.jobs) == {"a" * 16, "b" * 16}
 
 
-def test_pending_counts_what_has_not_ended() -> None:
+def test_pending_counts_jobs_that_have_not_ended() -> None:
     table = submitted({}, name="a" * 16)
     submitted({}, name="b" * 16, table=table)
     assert table.pending("r-1") == 2 and table.pending("other") == 0
@@ -430,7 +430,7 @@
 
 
 def apply(table: JobTable, command: Record) -> Outcome | None:
-    """What the state machine does; None where the command cannot be applied."""
+    """Applies a command as the replicated state machine does; returns None if it cannot be applied."""
     command = decode_any(encode_any(command))
     if isinstance(command, AssignRuns):
         try:
@@ -450,8 +450,8 @@
     raise AssertionError(command)
 
 
-def check(table: JobTable) -> None:
-    """What must hold of any table."""
+def check_invariants(table: JobTable) -> None:
+    """Asserts the invariants of a job table."""
     open_runs = {}
     for job in table.jobs.values():
         count = 0
@@ -479,13 +479,13 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(commands, max_size=40), st.lists(commands, max_size=15))
-def test_snapshot_stands_for_the_commands_before_it(before: list[Record], after: list[Record]) -> None:
+def test_restored_snapshot_behaves_like_the_original_table(before: list[Record], after: list[Record]) -> None:
     table = JobTable()
     for command in before:
         apply(table, command)
-        check(table)
+        check_invariants(table)
     copy = restored(table)
-    check(copy)
+    check_invariants(copy)
     assert encode_table(copy) == encode_table(table)
     assert [run for run, _ in copy.open_runs()] == [run for run, _ in sorted_runs(copy, table)]
     for command in after:
@@ -495,7 +495,7 @@
 
 
 def sorted_runs(copy: JobTable, table: JobTable) -> list[tuple[TaskRun, object]]:
-    """The open runs of a table, in the order of its copy."""
+    """The open runs of `table`, in the order of `copy`."""
     order = list(copy.open)
     assert set(order) == set(table.open)
     return [(table.open[key], None) for key in order]
@@ -507,7 +507,7 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(commands, max_size=40))
-def test_runs_of_a_task_rise_and_never_overlap(sequence: list[Record]) -> None:
+def test_run_numbers_of_a_task_increase_and_runs_never_overlap(sequence: list[Record]) -> None:
     table = JobTable()
     highest: dict[tuple[str, int, int, int], int] = {}
     for command in sequence:
