--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -174,7 +174,7 @@
             return None
         step = job.description.steps[run.step]
         saved = job.at_time(run.time).steps[run.step].saved if step.gang else task.saved
-        gap_s = LASTING_GAP_S if step.long_running else run_gap(job.spare_ms / 1000, job.description.chain_length())
+        gap_s = LASTING_GAP_S if step.long_running else run_gap(job.slack_ms / 1000, job.description.chain_length())
         return RunOrder(RunKey(run.task_name, run.run), job.description.spec, saved, step.needs, int(gap_s * 1000))
 
     def whole(self, instance: str) -> DesiredRuns:
@@ -186,7 +186,7 @@
                 continue
             order = None if run in self.stopping else self.order(run, task)
             job = self._jobs.find(run.job)
-            if order is None or job is None or (job.phase.over and not task.done):
+            if order is None or job is None or (job.phase.is_final and not task.done):
                 stops.append(RunKey(run.task_name, run.run))
             else:
                 orders.append(order)
@@ -212,7 +212,7 @@
 
     def _is_wanted(self, run: TaskRun | None) -> bool:
         job = self._jobs.find(run.job) if run is not None else None
-        if run is None or job is None or job.phase.over or run in self.stopping:
+        if run is None or job is None or job.phase.is_final or run in self.stopping:
             return False
         task = self._jobs.task(run)
         return task is not None and task.open and task.run == run.run
--- a/millethead/control/callers.py
+++ b/millethead/control/callers.py
@@ -148,7 +148,7 @@
         if job is None:
             self._confirmed(reply, _error(call.number, 410, "no such job"))
             return
-        if job.phase.over:
+        if job.phase.is_final:
             self._confirmed(reply, _answer(call.number, 200, {"state": job.phase.name.lower()}))
             return
         outcome = self._gate.propose(CancelJob(name, self._wall_ms()))
--- a/millethead/control/feeder.py
+++ b/millethead/control/feeder.py
@@ -86,7 +86,7 @@
 
     def job_submitted(self, job: Job, clock: Clock) -> None:
         """A job is known: its steps that depend on nothing may run, or wait for their first time."""
-        if job.phase.over:
+        if job.phase.is_final:
             return
         if not job.description.repeats:
             self._time_ready(job, 0, clock)
@@ -131,11 +131,11 @@
             description.long_running,
             description.checkpoints,
             clock.steady(start_ms + job.objective_ms),
-            tail_s=job.description.tails_ms()[key.step] / 1000,
+            tail_s=job.description.longest_successor_chain_ms()[key.step] / 1000,
             work_left=_work_left(job, key.time),
         )
         for index, task in enumerate(state.tasks):
-            if not task.open and not task.done and not job.phase.over:
+            if not task.open and not task.done and not job.phase.is_final:
                 pending.tasks[index] = PendingTask(index, self._checkpoint(job, key, task), clock.now)
         self._scheduler.put_step(pending)
 
@@ -211,7 +211,7 @@
         estimate_s = job.description.steps[run.step].estimate_ms / 1000
         self._times.run_ended(key, run.index, ended.how, estimate_s, clock.now)
         task = self._jobs.task(run)
-        if task is None or task.done or job.phase.over:
+        if task is None or task.done or job.phase.is_final:
             self._forget_task(key, run.index)
             return
         if job.description.steps[run.step].gang:
@@ -271,7 +271,7 @@
 
     def _step_finished(self, job: Job, key: StepKey, clock: Clock) -> None:
         self._remove(key)
-        if not job.phase.over:
+        if not job.phase.is_final:
             self._time_ready(job, key.time, clock)
 
     def job_over(self, job: Job) -> None:
@@ -300,14 +300,14 @@
             woken = True
             _, name, time = heapq.heappop(self._due)
             job = self._jobs.find(name)
-            if job is not None and not job.phase.over:
+            if job is not None and not job.phase.is_final:
                 self._time_ready(job, time, clock)
                 self._next_time(job, time + 1)
         while self._resting and self._resting[0][0] <= clock.now:
             woken = True
             _, key, index = heapq.heappop(self._resting)
             job = self._jobs.find(key.job)
-            if job is None or job.phase.over:
+            if job is None or job.phase.is_final:
                 continue
             task = job.at_time(key.time).steps[key.step].tasks[index]
             if not task.open and not task.done:
--- a/millethead/control/housekeeping.py
+++ b/millethead/control/housekeeping.py
@@ -29,4 +29,4 @@
 
 
 def _over(job: Job) -> bool:
-    return job.phase.over and not job.open_runs
+    return job.phase.is_final and not job.open_runs
--- a/millethead/control/inspect.py
+++ b/millethead/control/inspect.py
@@ -289,7 +289,7 @@
 
 def _next_due_ms(job: Job) -> int | None:
     following = max(job.times, default=-1) + 1
-    if job.phase.over or not job.description.repeats or following >= job.time_count():
+    if job.phase.is_final or not job.description.repeats or following >= job.time_count():
         return None
     return job.description.due_ms(following)
 
@@ -306,7 +306,7 @@
     for index, task in enumerate(state.tasks):
         if task.open:
             running.append(RunReport(index, task.run, task.node, task.instance, task.percent))
-        elif not task.done and not job.phase.over:
+        elif not task.done and not job.phase.is_final:
             waiting[_why(head, job, key, index)] += 1
     return StepReport(
         key.time,
--- a/millethead/jobs/description.py
+++ b/millethead/jobs/description.py
@@ -61,7 +61,7 @@
         """When this time (occurrence) of the job is due, in ms since 1970; 0 for a job that is not repeated."""
         return self.delay_ms + time * self.interval_ms if self.repeats else 0
 
-    def tails_ms(self) -> list[int]:
+    def longest_successor_chain_ms(self) -> list[int]:
         """For each step, the estimated duration of the longest chain of steps that depend on it, without the step."""
         successors_ms = [0] * len(self.steps)
         for number, step in reversed(list(enumerate(self.steps))):
@@ -76,7 +76,7 @@
             lengths.append(1 + max((lengths[number] for number in step.dependencies), default=0))
         return max(lengths, default=0)
 
-    def longest_chain_ms(self) -> int:
+    def critical_path_ms(self) -> int:
         """Estimated duration of the critical path: the dependency chain that takes longest."""
         ends: list[int] = []
         for step in self.steps:
--- a/millethead/jobs/state.py
+++ b/millethead/jobs/state.py
@@ -41,14 +41,15 @@
     CANCELLED = 4
 
     @property
-    def over(self) -> bool:
+    def is_final(self) -> bool:
+        """Whether the job has ended."""
         return self in (JobPhase.DONE, JobPhase.FAILED, JobPhase.CANCELLED)
 
 
 @dataclass(slots=True)
 class Task:
-    """One task. `run` is the highest run number assigned so far; `open` tells whether that run has not ended. `saved` is
-    the newest checkpoint. `node` and `instance` name the worker of that run."""
+    """One task. `run` is the highest run number assigned so far; `open` is whether that run has not ended. `saved` is the
+    newest checkpoint. `node` and `instance` name the worker of that run."""
 
     run: int = 0
     open: bool = False
@@ -117,14 +118,14 @@
         return job_bytes(self.description, self.body)
 
     @property
-    def spare_ms(self) -> float:
+    def slack_ms(self) -> float:
         """Slack of each time of the job: its objective minus its critical path."""
-        return self.objective_ms - self.description.longest_chain_ms()
+        return self.objective_ms - self.description.critical_path_ms()
 
     @property
     def objective_ms(self) -> float:
         """How long each time of the job may take before it is late."""
-        return self.terms.skew_thousandths * self.description.longest_chain_ms() / 1000 + self.terms.target_ms
+        return self.terms.skew_thousandths * self.description.critical_path_ms() / 1000 + self.terms.target_ms
 
     def at_time(self, time: int) -> TimeState:
         """The state of this time of the job; created on first use."""
@@ -210,7 +211,7 @@
 
     def pending(self, route: str) -> int:
         """Number of jobs of a route that have not ended."""
-        return sum(job.terms.route == route and not job.phase.over for job in self.jobs.values())
+        return sum(job.terms.route == route and not job.phase.is_final for job in self.jobs.values())
 
     # ---- commands ----------------------------------------------------------------------------------------
 
@@ -229,7 +230,7 @@
     def cancel(self, command: CancelJob) -> Outcome:
         job = self.jobs.get(command.job)
         outcome = Outcome(accepted=job is not None)
-        if job is not None and not job.phase.over:
+        if job is not None and not job.phase.is_final:
             self._end_job(job, JobPhase.CANCELLED, command.at_ms, outcome)
         return outcome
 
@@ -265,7 +266,7 @@
     def purge(self, command: PurgeJobs) -> Outcome:
         for name in command.jobs:
             job = self.jobs.get(name)
-            if job is not None and job.phase.over and not job.open_runs:
+            if job is not None and job.phase.is_final and not job.open_runs:
                 del self.jobs[name]
                 self.held_bytes -= job.held_bytes
                 self.changed(name)
@@ -275,7 +276,7 @@
         """Reduces ended jobs without open runs to their final state."""
         for name in command.jobs:
             job = self.jobs.get(name)
-            if job is None or not job.phase.over or job.open_runs or job.trimmed:
+            if job is None or not job.phase.is_final or job.open_runs or job.trimmed:
                 continue
             self.held_bytes -= job.held_bytes
             job.body, job.description = b"", NOTHING
@@ -329,7 +330,7 @@
         if time in job.times_done or not job.times[time].done:
             return
         job.times_done.add(time)
-        if len(job.times_done) == job.time_count() and not job.phase.over:
+        if len(job.times_done) == job.time_count() and not job.phase.is_final:
             self._end_job(job, JobPhase.DONE, at_ms, outcome)
 
     def _task_failed(self, job: Job, run: TaskRun, task: Task, at_ms: int, outcome: Outcome) -> None:
@@ -342,7 +343,7 @@
                 step.last_failed_run = run.run
                 step.failed_runs += 1
             failures = step.failed_runs
-        if failures >= job.terms.retries and not description.long_running and not job.phase.over and not task.done:
+        if failures >= job.terms.retries and not description.long_running and not job.phase.is_final and not task.done:
             self._end_job(job, JobPhase.FAILED, at_ms, outcome)
 
     def _end_job(self, job: Job, phase: JobPhase, at_ms: int, outcome: Outcome) -> None:
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -96,7 +96,7 @@
     assert read_job(body({}, delay_ms=5000, interval_ms=700)).due_ms(0) == 0
 
 
-def test_longest_chain_follows_the_dependencies() -> None:
+def test_critical_path_follows_the_dependencies() -> None:
     job = read_job(
         body(
             {"estimate_ms": 100},
@@ -105,7 +105,7 @@
             {"estimate_ms": 90, "deps": [1]},
         )
     )
-    assert job.longest_chain_ms() == 150
+    assert job.critical_path_ms() == 150
 
 
 def test_chain_length_is_the_number_of_steps_in_the_longest_chain() -> None:
@@ -118,13 +118,13 @@
         for number, deps in enumerate(([], [0], [0], [1, 2], []))
     ]
     job = read_job(json.dumps({"spec": "x", "steps": steps}).encode())
-    assert job.tails_ms() == [700, 400, 400, 0, 0]
+    assert job.longest_successor_chain_ms() == [700, 400, 400, 0, 0]
 
 
 def test_longest_chains_of_a_complete_graph_are_computed_quickly() -> None:
     steps = [{"count": 1, "estimate_ms": 1, "deps": list(range(number))} for number in range(MAX_STEPS)]
     job = read_job(json.dumps({"spec": "x", "steps": steps}).encode())
-    assert job.tails_ms()[0] == MAX_STEPS - 1
+    assert job.longest_successor_chain_ms()[0] == MAX_STEPS - 1
 
 
 @pytest.mark.parametrize(
