--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -8,7 +8,7 @@
 from millethead.control.commit import Committed, CommittedLink
 from millethead.control.silence import Silences
 from millethead.execution.messages import AgentHello, DesiredRuns, LeaseGrant, RunKey, RunOrder, WorkerInfo
-from millethead.jobs.commands import TaskRun, task_run
+from millethead.jobs.commands import TaskRun, parse_task_name
 from millethead.jobs.state import JobTable, Task
 from millethead.scheduling.looks import LASTING_GAP_S, run_gap
 from millethead.scheduling.model import WorkerState
@@ -208,7 +208,7 @@
         return True
 
     def _still_wanted(self, orders: tuple[RunOrder, ...]) -> tuple[RunOrder, ...]:
-        return tuple(order for order in orders if self._is_wanted(task_run(order.key.task, order.key.run)))
+        return tuple(order for order in orders if self._is_wanted(parse_task_name(order.key.task, order.key.run)))
 
     def _is_wanted(self, run: TaskRun | None) -> bool:
         job = self._jobs.find(run.job) if run is not None else None
--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -57,7 +57,7 @@
     SavedRun,
     SaveProgress,
     TaskRun,
-    task_run,
+    parse_task_name,
 )
 from millethead.jobs.state import Job, Outcome
 from millethead.replication.view import View
@@ -315,7 +315,7 @@
         self._progress(session, report)
         ends = []
         for entry in report.ends:
-            run = task_run(entry.key.task, entry.key.run)
+            run = parse_task_name(entry.key.task, entry.key.run)
             if run is not None:
                 ends.append(EndedRun(run, entry.how, entry.saved))
                 if entry.ran_ms:
@@ -336,7 +336,7 @@
     def _progress(self, session: AgentSession, report: RunReport) -> None:
         saved = []
         for entry in report.progress:
-            run = task_run(entry.key.task, entry.key.run)
+            run = parse_task_name(entry.key.task, entry.key.run)
             task = self.state.jobs.task(run) if run is not None else None
             if run is None or task is None or not task.open or task.run != run.run:
                 continue
--- a/millethead/jobs/commands.py
+++ b/millethead/jobs/commands.py
@@ -26,7 +26,7 @@
         return f"{self.job}.{self.time}.{self.step}.{self.index}"
 
 
-def task_run(name: str, run: int) -> TaskRun | None:
+def parse_task_name(name: str, run: int) -> TaskRun | None:
     """Parses `TaskRun.task_name`; returns None for a name of another form."""
     parts = name.split(".")
     if len(parts) != 4 or not all(part.isdigit() and len(part) < 10 for part in parts[1:]):
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -23,7 +23,7 @@
     SubmitJob,
     TaskRun,
     TrimJobs,
-    task_run,
+    parse_task_name,
 )
 from millethead.jobs.description import MAX_SPEC_BYTES, MAX_STEPS, MAX_TASKS, InvalidJob, JobDescription, read_job
 from millethead.jobs.snapshot import encode_table, restore_table
@@ -207,14 +207,14 @@
 def test_task_name_round_trip() -> None:
     run = TaskRun(NAME, 3, 1, 17, 2)
     assert run.task_name == f"{NAME}.3.1.17"
-    assert task_run(run.task_name, 2) == run
+    assert parse_task_name(run.task_name, 2) == run
 
 
 @pytest.mark.parametrize(
     "name", ["", NAME, f"{NAME}.0.0", f"{NAME}.0.0.0.0", f"{NAME}.0.-1.0", f"{NAME}.0.x.0", f"{NAME}.0.0.99999999999"]
 )
 def test_malformed_task_name_is_rejected(name: str) -> None:
-    assert task_run(name, 1) is None
+    assert parse_task_name(name, 1) is None
 
 
 # ---- commands --------------------------------------------------------------------------------------------
