--- a/millethead/jobs/snapshot.py
+++ b/millethead/jobs/snapshot.py
@@ -12,8 +12,8 @@
 from millethead.jobs.state import Job, JobPhase, JobTable, StepState, Task
 from millethead.rpc.codec import U8, U32, U64, CodecError, Record, decode_at, encode
 
-SLICE_JOBS = 50  # jobs encoded or restored in one slice
-LAST_JOBS = 50  # jobs that `prepare` may leave for the final `encode`
+JOBS_PER_SLICE = 50  # jobs encoded or restored in one slice
+MAX_REMAINING_JOBS = 50  # jobs that `prepare` may leave for the final `encode`
 _COUNT = struct.Struct(">I")
 
 
@@ -30,13 +30,13 @@
         if self._unencoded is None:
             self._unencoded = dict.fromkeys(self._table.jobs)
             self._table.changed = self._job_changed
-        for _ in range(min(SLICE_JOBS, len(self._unencoded))):
+        for _ in range(min(JOBS_PER_SLICE, len(self._unencoded))):
             name = next(iter(self._unencoded))
             del self._unencoded[name]
             job = self._table.jobs.get(name)
             if job is not None:
                 self._encoded[name] = encode(_job_snapshot(job))
-        return len(self._unencoded) <= LAST_JOBS
+        return len(self._unencoded) <= MAX_REMAINING_JOBS
 
     def _job_changed(self, name: str) -> None:
         assert self._unencoded is not None
@@ -70,7 +70,7 @@
     for number in range(count):
         job_snapshot, at = decode_at(_JobSnapshot, data, at)
         _restore_job(table, job_snapshot)
-        if number % SLICE_JOBS == SLICE_JOBS - 1:
+        if number % JOBS_PER_SLICE == JOBS_PER_SLICE - 1:
             yield
     if at != len(data):
         raise CodecError(f"{len(data) - at} bytes behind the last job")
--- a/tests/test_large_state.py
+++ b/tests/test_large_state.py
@@ -16,7 +16,7 @@
 from millethead.execution.messages import RunEnd
 from millethead.jobs import snapshot as snapshots
 from millethead.jobs.commands import CancelJob, PurgeJobs, QueueTerms, SubmitJob, TrimJobs
-from millethead.jobs.snapshot import LAST_JOBS, SLICE_JOBS, TableEncoder, encode_table, restore_table
+from millethead.jobs.snapshot import JOBS_PER_SLICE, MAX_REMAINING_JOBS, TableEncoder, encode_table, restore_table
 from millethead.jobs.state import JobPhase, JobTable
 from millethead.replication import log as log_module
 from millethead.replication.chain import Chain
@@ -93,7 +93,7 @@
     while True:
         before = encoded
         ready = encoder.prepare()
-        assert encoded - before <= SLICE_JOBS
+        assert encoded - before <= JOBS_PER_SLICE
         slices += 1
         if ready:
             break
@@ -107,10 +107,10 @@
                 lambda name=name: table.trim(TrimJobs((name,))),
             )
         )()
-    assert slices >= 1000 // SLICE_JOBS - 1
+    assert slices >= 1000 // JOBS_PER_SLICE - 1
     before = encoded
     whole = encoder.encode()
-    assert encoded - before <= LAST_JOBS + changes
+    assert encoded - before <= MAX_REMAINING_JOBS + changes
     assert whole == encode_table(table)
     table.submit(submitted(5000))
     assert encoder.encode() == encode_table(table), "what was prepared is given up"
@@ -142,13 +142,13 @@
 
 
 def test_a_table_is_restored_in_steps():
-    table = table_of(4 * SLICE_JOBS)
+    table = table_of(4 * JOBS_PER_SLICE)
     copy = JobTable()
     steps = restore_table(copy, encode_table(table))
     held = []
     for _ in steps:
         held.append(len(copy.jobs))
-    assert held == [SLICE_JOBS * step for step in (1, 2, 3, 4)]
+    assert held == [JOBS_PER_SLICE * step for step in (1, 2, 3, 4)]
     assert encode_table(copy) == encode_table(table) and copy.held_bytes == table.held_bytes
 
 
