--- a/millethead/jobs/state.py
+++ b/millethead/jobs/state.py
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class Task:
-    """One task. `run` is the highest run number assigned so far; `open` is whether that run has not ended. `saved` is the
+    """One task. `run` is the highest run number assigned so far; `open` is whether it has not ended. `saved` is the
     newest checkpoint. `node` and `instance` name the worker of that run."""
 
     run: int = 0
