--- a/millethead/web/__init__.py
+++ b/millethead/web/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 serving: bottle applications whose handlers answer at once or later, on the process's one event loop."""
+"""HTTP/1.1 server for bottle applications on the event loop; handlers respond at once or later."""
--- a/millethead/web/answers.py
+++ b/millethead/web/answers.py
@@ -1,4 +1,4 @@
-"""What a handler gives back: an answer, or a deferred one that is completed later on the loop."""
+"""Results of request handlers: a response, or a deferred response that is completed later on the event loop."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 JSON = "application/json"
 NO_CONTENT, NOT_MODIFIED = 204, 304
 _STATUS_LINES = {status.value: f"HTTP/1.1 {status.value} {status.phrase}\r\n" for status in HTTPStatus}
-_FIELD = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+: [\t\x20-\x7e\x80-\xff]*")
-_json = msgspec.json.Encoder()
+_HEADER_FIELD = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+: [\t\x20-\x7e\x80-\xff]*")
+_json_encoder = msgspec.json.Encoder()
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A complete answer. Length and connection fields are added when it is sent."""
+    """A complete response. The Content-Length and Connection headers are added when it is sent."""
 
     status: int
     body: bytes = b""
@@ -29,20 +29,21 @@
 
 
 def json_answer(status: int, value: object) -> Answer:
-    """An answer whose body is `value` in JSON; raises TypeError for what msgspec cannot encode."""
-    return Answer(status, _json.encode(value))
+    """A response with `value` as its JSON body; raises TypeError if msgspec cannot encode it."""
+    return Answer(status, _json_encoder.encode(value))
 
 
-def error_answer(status: int, why: str, headers: tuple[tuple[str, str], ...] = ()) -> Answer:
-    """An answer that tells what is wrong in one line of JSON."""
-    return Answer(status, _json.encode({"error": why}), headers=headers)
+def error_answer(status: int, message: str, headers: tuple[tuple[str, str], ...] = ()) -> Answer:
+    """A response with a JSON body that contains an error message."""
+    return Answer(status, _json_encoder.encode({"error": message}), headers=headers)
 
 
 class Deferred:
-    """An answer that is to come. A handler returns it; `complete` is called once, on the loop's thread, at any time
-    before or after the handler has returned.
+    """A response that a handler returns before it is complete. `complete` is called once, on the loop's thread, before
+    or after the handler has returned.
 
-    `done`: it was completed; `gone`: the client left before that; `on_gone` is called when the latter happens."""
+    `done`: the response was completed. `gone`: the client disconnected before that; `on_gone` is called when it does.
+    """
 
     __slots__ = ("_wake", "answer", "done", "gone", "on_gone")
 
@@ -53,14 +54,14 @@
         self._wake: Callable[[], None] | None = None
 
     def complete(self, answer: Answer) -> None:
-        """Give the answer. A second call changes nothing, nor does one after the client has left."""
+        """Sets the response. Does nothing if it is already set or the client has disconnected."""
         if self.done or self.gone:
             return
         self.done, self.answer = True, answer
         self._settle()
 
     def client_left(self) -> None:
-        """The server's notice that nobody waits any more."""
+        """Called by the server when the client disconnects. Does nothing after `complete`."""
         if self.done or self.gone:
             return
         self.gone = True
@@ -72,7 +73,8 @@
         self._settle()
 
     def when_settled(self, wake: Callable[[], None]) -> None:
-        """Call `wake` once it is done or gone: at once where it is already."""
+        """Calls `wake` when the response is complete or the client has disconnected; immediately if that is already
+        so."""
         self._wake = wake
         if self.done or self.gone:
             self._settle()
@@ -83,9 +85,9 @@
             wake()
 
 
-def format_answer(answer: Answer, keep: bool, head_only: bool) -> bytes:
-    """The bytes of an answer; `head_only` for the answer to a HEAD, which tells the body's length and omits it.
-    Raises ValueError for an answer that HTTP cannot carry."""
+def format_answer(answer: Answer, keep_alive: bool, head_only: bool) -> bytes:
+    """Serializes a response. `keep`: the connection stays open. `head_only`: response to a HEAD request, which has the
+    length of the body but not the body. Raises ValueError for a status or header that HTTP does not allow."""
     status = answer.status
     if status < 200 or status not in _STATUS_LINES:
         raise ValueError(f"no final status: {status}")
@@ -96,15 +98,15 @@
     else:
         head += f"Content-Length: {len(body)}\r\n"
     if body:
-        head += _field("Content-Type", answer.content_type)
+        head += _header_line("Content-Type", answer.content_type)
     for name, value in answer.headers:
-        head += _field(name, value)
-    head += "\r\n" if keep else "Connection: close\r\n\r\n"
+        head += _header_line(name, value)
+    head += "\r\n" if keep_alive else "Connection: close\r\n\r\n"
     return head.encode("latin-1") if head_only else head.encode("latin-1") + body
 
 
-def _field(name: str, value: str) -> str:
+def _header_line(name: str, value: str) -> str:
     line = f"{name}: {value}"
-    if not _FIELD.fullmatch(line):
+    if not _HEADER_FIELD.fullmatch(line):
         raise ValueError(f"a malformed field: {line!r}")
     return line + "\r\n"
--- a/millethead/web/dispatch.py
+++ b/millethead/web/dispatch.py
@@ -1,4 +1,4 @@
-"""From a request to its handler in a bottle application, and from what the handler returns to an answer."""
+"""Calls the handler of a request in a bottle application and converts its result to a response."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 NOT_FOUND, METHOD_NOT_ALLOWED, INTERNAL_ERROR = 404, 405, 500
 BODY_KEY = "millethead.body"
 Environ = dict[str, object]
-# a body is complete and within HttpLimits before its handler runs: bottle's own limit of 100 KiB is not wanted
+# disables bottle's own limit of 100 KiB: the server has already checked the body against HttpLimits
 bottle.BaseRequest.MEMFILE_MAX = 1 << 30
 
 
 class UnusableResult(TypeError):
-    """A handler returned what is no answer."""
+    """A handler returned a value that cannot be converted to a response."""
 
 
 def request_body() -> bytes:
-    """The body of the request that is being handled, without a copy."""
+    """The body of the current request, without copying it."""
     body = bottle.request.environ[BODY_KEY]
     assert isinstance(body, bytes)
     return body
 
 
 def dispatch(app: bottle.Bottle, request: Request) -> Answer | Deferred:
-    """Call the handler of the request. Whatever a handler raises becomes an answer; raises BadMessage for a request
-    that names no path."""
+    """Calls the handler of a request. An exception of the handler becomes an error response. Raises BadMessage if the
+    target or the method of the request is invalid."""
     environ = build_environ(request)
     try:
         return _call(app, environ)
@@ -45,7 +45,7 @@
 
 
 def internal_error(request: Request) -> Answer:
-    """Log the exception that is being handled, and name the line's id to the client."""
+    """Logs the current exception under a random id. Returns an error response that contains the id."""
     error_id = secrets.token_hex(4)
     log.exception("handler_failed", error_id=error_id, method=request.method, path=request.path[:200])
     return error_answer(INTERNAL_ERROR, f"internal error {error_id}")
@@ -58,7 +58,7 @@
     try:
         route, arguments = app.match(environ)
     except bottle.HTTPError as error:
-        return _unrouted(error)
+        return _routing_error(error)
     environ["bottle.route"] = route
     environ["route.url_args"] = arguments
     result = route.call(**arguments)
@@ -66,7 +66,7 @@
     return _to_answer(result)
 
 
-def _unrouted(error: bottle.HTTPError) -> Answer:
+def _routing_error(error: bottle.HTTPError) -> Answer:
     if error.status_code == METHOD_NOT_ALLOWED:
         allow = error.get_header("Allow")
         return error_answer(METHOD_NOT_ALLOWED, "the path does not take this method", (("Allow", allow),))
@@ -90,7 +90,8 @@
 
 
 def _assemble(response: bottle.BaseResponse, body: object) -> Answer:
-    """The answer of a handler that uses bottle's own means: a text or bytes, and the fields of its response."""
+    """Converts a result in bottle's own form: a str or bytes body, with status and headers in bottle's response
+    object."""
     if body is None:
         body = b""
     elif isinstance(body, str):
@@ -98,14 +99,14 @@
     if not isinstance(body, bytes):
         raise UnusableResult(f"a handler returned {type(body).__name__}")
     content_type = response.content_type
-    dropped = {"content-type", "content-length"}
-    headers = tuple((name, value) for name, value in response.headerlist if name.lower() not in dropped)
+    excluded = {"content-type", "content-length"}
+    headers = tuple((name, value) for name, value in response.headerlist if name.lower() not in excluded)
     return Answer(response.status_code, body, content_type, headers)
 
 
 def build_environ(request: Request) -> Environ:
-    """What WSGI says of a request; its path is in Unicode, as bottle hands it to handlers. Raises BadMessage where the
-    target or the method cannot be served."""
+    """The WSGI environ of a request. Its path is decoded to Unicode, as bottle expects. Raises BadMessage if the target
+    or the method is invalid."""
     path, query = _split_target(request.target)
     if not request.method.isupper():
         raise BadMessage(400, "the method is not in upper case")
@@ -129,7 +130,7 @@
         BODY_KEY: body,
     }
     for name, value in request.fields.items():
-        if "_" not in name:  # it would pass for the field that is written with a hyphen
+        if "_" not in name:  # WSGI could not distinguish it from the field with hyphens
             environ["HTTP_" + name.upper().replace("-", "_")] = value
     if "content-type" in request.fields:
         environ["CONTENT_TYPE"] = request.fields["content-type"]
@@ -137,7 +138,7 @@
 
 
 def _split_target(target: str) -> tuple[str, str]:
-    """Path, decoded as handlers see it, and query."""
+    """Splits a request target into the percent-decoded path and the raw query."""
     if not target.startswith("/"):
         target = _origin_form(target)
     path, _, query = target.partition("?")
@@ -150,7 +151,7 @@
 
 
 def _origin_form(target: str) -> str:
-    """Path and query of a target that is a whole URL."""
+    """Converts a request target in absolute form (a URL) to path and query."""
     try:
         parts = urlsplit(target)
     except ValueError:
--- a/millethead/web/limits.py
+++ b/millethead/web/limits.py
@@ -1,4 +1,4 @@
-"""What a server grants its clients."""
+"""Limits of the HTTP server."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 @dataclass(slots=True)
 class HttpLimits:
-    """Sizes are in bytes, times in seconds. Header and body times start with the first byte of each; a connection on
-    which no request has begun is idle."""
+    """Sizes are in bytes, times in seconds. The header and body time-outs start with the first byte of the header and
+    of the body. A connection is idle while no request has started."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 262144
--- a/millethead/web/metrics.py
+++ b/millethead/web/metrics.py
@@ -1,7 +1,7 @@
-"""Figures of a program in Prometheus' text form, by `prometheus-client`, at `GET /-/metrics`.
+"""Metrics of a program in the Prometheus text format at `GET /-/metrics`, rendered by `prometheus-client`.
 
-Nothing is counted twice and nothing runs for it: what a program holds anyway is read when somebody asks. The library is
-imported by the first request, so that a start is not charged for it.
+There are no separate counters and no background work: each request reads values that the program keeps anyway. The
+library is imported on the first request, so that it does not slow down the start of the program.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 
 class FigureKind(enum.Enum):
-    """How a figure moves."""
+    """Prometheus metric type."""
 
-    GAUGE = "gauge"  # up and down
-    COUNTER = "counter"  # only up, from 0 at the start of the process
+    GAUGE = "gauge"  # may rise and fall
+    COUNTER = "counter"  # only rises, from 0 at the start of the process
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One line of a figure: the values of its labels, and its own."""
+    """One value of a metric, with the values of its labels."""
 
     labels: tuple[str, ...]
     value: float
@@ -36,7 +36,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """`name` is without the prefix, and a counter's without `_total`. `labels` names those of the samples."""
+    """A metric with its samples. `name` excludes PREFIX and, for counters, the suffix `_total`. `labels` are the label
+    names of the samples."""
 
     name: str
     help: str
@@ -46,17 +47,17 @@
 
 
 def gauge(name: str, help_text: str, value: float) -> Figure:
-    """A figure of one line that may go up and down."""
+    """A gauge with a single sample without labels."""
     return Figure(name, help_text, (Sample((), value),))
 
 
 def counter(name: str, help_text: str, value: float) -> Figure:
-    """A figure of one line that only goes up."""
+    """A counter with a single sample without labels."""
     return Figure(name, help_text, (Sample((), value),), kind=FigureKind.COUNTER)
 
 
 def render(figures: Iterable[Figure]) -> bytes:
-    """The page."""
+    """Renders metrics in the Prometheus text format."""
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
     from prometheus_client.registry import Collector
@@ -77,7 +78,7 @@
 
 
 def add_metrics(app: bottle.Bottle, figures: Callable[[], Iterable[Figure]]) -> None:
-    """Have an application answer METRICS_PATH with what `figures` gives at that moment."""
+    """Adds a handler for METRICS_PATH to an application. It calls `figures` for each request."""
 
     @app.get(METRICS_PATH)  # type: ignore[untyped-decorator]
     def metrics() -> Answer:
--- a/millethead/web/server.py
+++ b/millethead/web/server.py
@@ -1,5 +1,5 @@
-"""An HTTP/1.1 server for a bottle application: the connections of `net.accept`, requests handled one at a time on
-each, answers at once or when a deferred one is completed."""
+"""HTTP/1.1 server for a bottle application, based on the connection handling of `net.accept`. Each connection handles
+one request at a time; a handler responds at once or completes a deferred response later."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 
 log = structlog.get_logger()
 sparing_log = Sparing()
-BIND_RETRY_S = 0.1  # between two tries to bind a port that is taken
-BIND_PATIENCE_S = 10.0  # how long a predecessor's port may stay taken
-FIRST_REQUEST_GRACE_S = 1.0  # during a drain, for connections that have not yet brought a request
-WRITE_PIECE = 64 << 10  # bytes handed to a connection at once
+BIND_RETRY_S = 0.1  # pause between two attempts to bind a port that is in use
+BIND_TIMEOUT_S = 10.0  # how long to wait for a previous process to release the port
+FIRST_REQUEST_GRACE_S = 1.0  # during a drain, for connections that have not sent a request yet
+WRITE_CHUNK_BYTES = 64 << 10  # larger responses are written in chunks of this size
 
 
 class HttpServer:
-    """Serves `app` on every address it listens on. All calls belong on the loop's thread."""
+    """Serves `app` on one or more addresses. All methods must be called on the loop's thread."""
 
     def __init__(self, app: bottle.Bottle, limits: HttpLimits) -> None:
         self._connections = _Connections(app, limits)
 
     @property
     def limits(self) -> HttpLimits:
-        """The limits in force; replace them as a whole."""
+        """The current limits. Assign a new object to change them."""
         return self._connections.limits
 
     @limits.setter
@@ -50,13 +50,13 @@
 
     @property
     def open_connections(self) -> int:
-        """Connections that are open at this moment."""
+        """Number of open connections."""
         return len(self._connections.open)
 
     async def listen(self, host: str, port: int) -> None:
-        """Accept connections at `host`, an IP number. A port that is taken is tried for BIND_PATIENCE_S; raises OSError
-        after that, and at once for any other failure."""
-        until = time.monotonic() + BIND_PATIENCE_S
+        """Starts to accept connections at `host`, an IP address. Retries a port that is in use for BIND_TIMEOUT_S;
+        raises OSError after that, and at once for any other failure."""
+        until = time.monotonic() + BIND_TIMEOUT_S
         while True:
             try:
                 listener = socket.create_server((host, port), backlog=BACKLOG)
@@ -70,57 +70,58 @@
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
-        """Where it listens."""
+        """The addresses that the server listens on."""
         return self._connections.addresses
 
     async def stop_listening(self) -> None:
-        """Take no further connections; those that stand in the queue are served."""
+        """Stops accepting connections. Those already in the accept queue are served."""
         await self._connections.close_listeners()
 
     async def drain(self, timeout_s: float) -> None:
-        """Stop listening, answer every request that has begun, close each connection with its last answer, and idle
-        ones at once. Returns when no connection is left; after `timeout_s` the rest are cut."""
+        """Stops listening, responds to every request that has started, and closes each connection after its last
+        response, idle ones at once. Returns when no connection is left; after `timeout_s` it closes the remaining ones.
+        """
         await self._connections.drain(timeout_s)
 
 
 class _Connections(Server):
-    """The connections of a server, from accept to close."""
+    """The connections of a server, from accept to close. Overrides the hooks of `net.accept.Server`."""
 
     def __init__(self, app: bottle.Bottle, limits: HttpLimits) -> None:
         super().__init__(limits.max_connections)
         self.app, self.limits = app, limits
         self.closing = False
-        self._left = asyncio.Event()  # set whenever the last connection has gone
+        self._no_connections = asyncio.Event()  # set when the last connection closes
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
         return [listener.getsockname()[:2] for listener in self._sockets.values()]
 
-    # ---- the end -------------------------------------------------------------------------------------
+    # ---- drain ---------------------------------------------------------------------------------------
 
     async def drain(self, timeout_s: float) -> None:
         self.closing = True
         await self.close_listeners()
         self._interrupt(fresh=False)
-        await self._empty(min(timeout_s, FIRST_REQUEST_GRACE_S))
+        await self._wait_until_empty(min(timeout_s, FIRST_REQUEST_GRACE_S))
         self._interrupt(fresh=True)
-        await self._empty(timeout_s - FIRST_REQUEST_GRACE_S)
+        await self._wait_until_empty(timeout_s - FIRST_REQUEST_GRACE_S)
         self.close_all()
 
     def _interrupt(self, fresh: bool) -> None:
-        """End the connections on which nothing has come since their last answer; `fresh`: also those that have not
-        yet asked anything."""
+        """Closes the connections that have received nothing since their last response. `fresh`: also those that have
+        not sent a request yet."""
         for conn, (rank, _) in list(self.idle.items()):
             if (rank == USUAL or (fresh and rank == FRESH)) and not conn.midway and conn.unheard():
                 conn.interrupt()
 
-    async def _empty(self, seconds: float) -> None:
-        """Wait until no connection is left, so long at most."""
+    async def _wait_until_empty(self, seconds: float) -> None:
+        """Waits until no connection is left, but no longer than `seconds`."""
         try:
             async with asyncio.timeout(max(0.0, seconds)):
                 while self.open or self._coming:
-                    self._left.clear()
-                    await self._left.wait()
+                    self._no_connections.clear()
+                    await self._no_connections.wait()
         except TimeoutError:
             pass
 
@@ -131,7 +132,7 @@
             await super().handle_stream(stream, address)
         finally:
             if not self.open:
-                self._left.set()
+                self._no_connections.set()
 
     async def talk(self, conn: Connection) -> None:
         fresh = True
@@ -141,9 +142,9 @@
             try:
                 result = dispatch(self.app, request)
             except BadMessage as bad:
-                await self._turn_away(conn, bad)
+                await self._reject(conn, bad)
                 return
-            answer = result if isinstance(result, Answer) else await self._settled(conn, result)
+            answer = result if isinstance(result, Answer) else await self._wait_for_deferred(conn, result)
             if answer is None:
                 return
             if not await self._send(conn, request, answer):
@@ -152,35 +153,35 @@
             self.rest(conn, USUAL)
 
     async def _next_request(self, conn: Connection, fresh: bool) -> Request | None:
-        """The next request; None when the connection is done with."""
+        """Reads the next request; returns None if the connection is to be closed."""
         try:
             if not len(conn.buffer) and not await self._first_byte(conn, fresh):
                 return None
             return await read_request(conn, self.limits)
         except BadMessage as bad:
-            await self._turn_away(conn, bad)
+            await self._reject(conn, bad)
         except Interrupted:
             pass
         return None
 
     async def _first_byte(self, conn: Connection, fresh: bool) -> bool:
-        """Whether a request begins before the connection's idle time is over."""
+        """Whether a request starts before the idle time-out of the connection."""
         if self.closing and not fresh and conn.quiet():
             return False
         try:
             await within(self.limits.idle_timeout_s, conn.fill())
         except (Late, Interrupted):
-            return not conn.unheard()  # what stands at the socket came in time: the loop was busy elsewhere
+            return not conn.unheard()  # bytes in the socket arrived in time, the loop was only late to read them
         return True
 
-    async def _turn_away(self, conn: Connection, bad: BadMessage) -> None:
-        """Answer what cannot be served; the connection ends then."""
+    async def _reject(self, conn: Connection, bad: BadMessage) -> None:
+        """Responds to an invalid request with an error, after which the connection is closed."""
         sparing_log.warning("request_turned_away", status=bad.status, why=str(bad))
         self.rest(conn, LEAVING)
-        await _write(conn, format_answer(error_answer(bad.status, str(bad)), keep=False, head_only=False))
+        await _write(conn, format_answer(error_answer(bad.status, str(bad)), keep_alive=False, head_only=False))
 
-    async def _settled(self, conn: Connection, deferred: Deferred) -> Answer | None:
-        """The deferred answer once it is there; None if the client leaves before that."""
+    async def _wait_for_deferred(self, conn: Connection, deferred: Deferred) -> Answer | None:
+        """Waits for a deferred response; returns None if the client disconnects first."""
         if not deferred.done:
             settled = asyncio.get_running_loop().create_future()
             deferred.when_settled(lambda: settled.set_result(None))
@@ -194,21 +195,22 @@
         return deferred.answer
 
     async def _send(self, conn: Connection, request: Request, answer: Answer) -> bool:
-        """Send the answer; whether the connection lives on. In a drain it lives while further requests have come."""
-        keep = conn.keeps and not (self.closing and conn.quiet())
+        """Sends the response. Returns whether the connection stays open; during a drain, only if more requests are
+        buffered."""
+        keep_alive = conn.keeps and not (self.closing and conn.quiet())
         head_only = request.method == "HEAD"
         try:
-            message = format_answer(answer, keep, head_only)
+            message = format_answer(answer, keep_alive, head_only)
         except (ValueError, TypeError):
-            message = format_answer(internal_error(request), keep, head_only)
+            message = format_answer(internal_error(request), keep_alive, head_only)
         await _write(conn, message)
-        return keep
+        return keep_alive
 
 
 async def _write(conn: Connection, message: bytes) -> None:
-    """Write all of it; raises Late for a client that does not read, Closed for one that has left."""
-    if len(message) > WRITE_PIECE:
-        await within(WRITE_TIME, _write_pieces(conn, message))
+    """Writes the whole message. Raises Late if the client does not read it, Closed if the client has disconnected."""
+    if len(message) > WRITE_CHUNK_BYTES:
+        await within(WRITE_TIME, _write_chunks(conn, message))
         return
     written = conn.begin(message)
     if isinstance(written, asyncio.Future) and written.done():  # the usual case: no timer is needed
@@ -217,6 +219,6 @@
         await within(WRITE_TIME, written)
 
 
-async def _write_pieces(conn: Connection, message: bytes) -> None:
-    for start in range(0, len(message), WRITE_PIECE):
-        await conn.write(message[start : start + WRITE_PIECE])
+async def _write_chunks(conn: Connection, message: bytes) -> None:
+    for start in range(0, len(message), WRITE_CHUNK_BYTES):
+        await conn.write(message[start : start + WRITE_CHUNK_BYTES])
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -1,4 +1,4 @@
-"""The HTTP server on its sockets: byte exchanges, limits, deferred answers, drain, and whatever bytes may come."""
+"""The HTTP server on real sockets: exact exchanges, limits, deferred responses, drain and arbitrary input."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 from millethead.web.answers import format_answer
 from millethead.web.server import Answer, Deferred, HttpLimits, HttpServer, json_answer, request_body
 
-PATIENCE_S = 10.0  # a test that waits longer has failed
-SOON_S = 0.05  # a limit that a test wants to be reached
+TIMEOUT_S = 10.0  # a test that waits longer fails
+SHORT_LIMIT_S = 0.05  # for limits that a test is to reach
 GET = b"GET /state/1 HTTP/1.1\r\nHost: h\r\n\r\n"
 STATE = b'HTTP/1.1 200 OK\r\nContent-Length: 19\r\nContent-Type: application/json\r\n\r\n{"state":"running"}'
 
 
 class Site:
-    """An application with a handler of each kind, and its server."""
+    """An application with handlers of all kinds, its server and its clients."""
 
     def __init__(self, limits: HttpLimits) -> None:
         self.clients: list[Client] = []
         self.deferred: list[Deferred] = []
-        self.asked = asyncio.Event()
+        self.handler_called = asyncio.Event()
         self.app = bottle.Bottle()
         self.app.get("/state/<number:int>", callback=lambda number: json_answer(200, {"state": "running"}))
         self.app.post("/echo", callback=lambda: Answer(200, request_body(), "text/plain"))
@@ -53,7 +53,7 @@
 
     def _later(self) -> Deferred:
         self.deferred.append(Deferred())
-        self.asked.set()
+        self.handler_called.set()
         return self.deferred[-1]
 
     @property
@@ -64,13 +64,13 @@
         self.clients.append(Client(*await asyncio.open_connection("127.0.0.1", self.port)))
         return self.clients[-1]
 
-    async def converse(self, data: bytes) -> bytes:
-        """Everything the server says to `data` until it closes."""
+    async def exchange(self, data: bytes) -> bytes:
+        """Sends `data` and returns everything that the server sends until it closes the connection."""
         client = await self.connect()
         client.writer.write(data)
-        said = await client.rest()
+        received = await client.rest()
         client.writer.close()
-        return said
+        return received
 
 
 class Client:
@@ -82,8 +82,8 @@
         return await self.answer()
 
     async def answer(self) -> tuple[int, bytes]:
-        """Status and body of the next answer."""
-        async with asyncio.timeout(PATIENCE_S):
+        """Reads the next response and returns its status and body."""
+        async with asyncio.timeout(TIMEOUT_S):
             head = await self.reader.readuntil(b"\r\n\r\n")
             length = next((int(line[15:]) for line in head.split(b"\r\n") if line.startswith(b"Content-Length")), 0)
             return int(head.split()[1]), await self.reader.readexactly(length)
@@ -94,7 +94,7 @@
             await self.writer.wait_closed()
 
     async def rest(self) -> bytes:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             return await self.reader.read()
 
 
@@ -110,8 +110,8 @@
         await site.server.drain(0.0)
 
 
-def refused(status_line: str, why: str) -> bytes:
-    body = json.dumps({"error": why}, separators=(",", ":"))
+def error_bytes(status_line: str, message: str) -> bytes:
+    body = json.dumps({"error": message}, separators=(",", ":"))
     return (
         f"HTTP/1.1 {status_line}\r\nContent-Length: {len(body)}\r\nContent-Type: application/json\r\n"
         f"Connection: close\r\n\r\n{body}"
@@ -122,58 +122,61 @@
 LARGE = "413 Request Entity Too Large"
 POST = b"POST /echo HTTP/1.1\r\nHost: h\r\n"
 EXCHANGES = {
-    "zeros": (b"\0\0\0\0", refused(BAD, "a malformed request line")),
-    "tls": (b"\x16\x03\x01\x02\0\x01\0", refused(BAD, "a malformed request line")),
-    "words": (b"hello there\r\n", refused(BAD, "a malformed request line")),
-    "line feeds alone": (b"GET / HTTP/1.1\nHost: h\n\n", refused(BAD, "a malformed request line")),
-    "http/2": (b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", refused(BAD, "not HTTP/1.1")),
-    "no host": (b"GET / HTTP/1.1\r\n\r\n", refused(BAD, "no host")),
-    "two hosts": (b"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", refused(BAD, "host is given twice")),
-    "folded field": (b"GET / HTTP/1.1\r\nHost: a\r\n b\r\n\r\n", refused(BAD, "a malformed field")),
-    "control in a field": (b"GET / HTTP/1.1\r\nHost: a\0\r\n\r\n", refused(BAD, "a malformed field")),
-    "no path": (b"GET h HTTP/1.1\r\nHost: h\r\n\r\n", refused(BAD, "the target is neither a path nor a URL")),
-    "path not in utf-8": (b"GET /%ff HTTP/1.1\r\nHost: h\r\n\r\n", refused(BAD, "the path is not in UTF-8")),
-    "lower-case method": (b"get / HTTP/1.1\r\nHost: h\r\n\r\n", refused(BAD, "the method is not in upper case")),
-    "length of letters": (POST + b"Content-Length: x\r\n\r\n", refused(BAD, "a malformed content-length")),
-    "length below 0": (POST + b"Content-Length: -1\r\n\r\n", refused(BAD, "a malformed content-length")),
+    "zeros": (b"\0\0\0\0", error_bytes(BAD, "a malformed request line")),
+    "tls": (b"\x16\x03\x01\x02\0\x01\0", error_bytes(BAD, "a malformed request line")),
+    "words": (b"hello there\r\n", error_bytes(BAD, "a malformed request line")),
+    "line feeds alone": (b"GET / HTTP/1.1\nHost: h\n\n", error_bytes(BAD, "a malformed request line")),
+    "http/2": (b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", error_bytes(BAD, "not HTTP/1.1")),
+    "no host": (b"GET / HTTP/1.1\r\n\r\n", error_bytes(BAD, "no host")),
+    "two hosts": (b"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", error_bytes(BAD, "host is given twice")),
+    "folded field": (b"GET / HTTP/1.1\r\nHost: a\r\n b\r\n\r\n", error_bytes(BAD, "a malformed field")),
+    "control in a field": (b"GET / HTTP/1.1\r\nHost: a\0\r\n\r\n", error_bytes(BAD, "a malformed field")),
+    "no path": (b"GET h HTTP/1.1\r\nHost: h\r\n\r\n", error_bytes(BAD, "the target is neither a path nor a URL")),
+    "path not in utf-8": (b"GET /%ff HTTP/1.1\r\nHost: h\r\n\r\n", error_bytes(BAD, "the path is not in UTF-8")),
+    "lower-case method": (b"get / HTTP/1.1\r\nHost: h\r\n\r\n", error_bytes(BAD, "the method is not in upper case")),
+    "length of letters": (POST + b"Content-Length: x\r\n\r\n", error_bytes(BAD, "a malformed content-length")),
+    "length below 0": (POST + b"Content-Length: -1\r\n\r\n", error_bytes(BAD, "a malformed content-length")),
     "length and chunks": (
         POST + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
-        refused(BAD, "both content-length and transfer-encoding"),
+        error_bytes(BAD, "both content-length and transfer-encoding"),
     ),
     "unknown coding": (
         POST + b"Transfer-Encoding: gzip\r\n\r\n",
-        refused(BAD, "a transfer-encoding other than chunked"),
+        error_bytes(BAD, "a transfer-encoding other than chunked"),
     ),
-    "bad chunk size": (POST + b"Transfer-Encoding: chunked\r\n\r\nx\r\n", refused(BAD, "a malformed chunk size")),
+    "bad chunk size": (POST + b"Transfer-Encoding: chunked\r\n\r\nx\r\n", error_bytes(BAD, "a malformed chunk size")),
     "bad chunk end": (
         POST + b"Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
-        refused(BAD, "a chunk does not end where it says"),
+        error_bytes(BAD, "a chunk does not end where it says"),
     ),
-    "bad trailer": (POST + b"Transfer-Encoding: chunked\r\n\r\n0\r\nx y\r\n\r\n", refused(BAD, "a malformed field")),
-    "body too large": (POST + b"Content-Length: 1001\r\n\r\n", refused(LARGE, "the body exceeds 1000 bytes")),
+    "bad trailer": (
+        POST + b"Transfer-Encoding: chunked\r\n\r\n0\r\nx y\r\n\r\n",
+        error_bytes(BAD, "a malformed field"),
+    ),
+    "body too large": (POST + b"Content-Length: 1001\r\n\r\n", error_bytes(LARGE, "the body exceeds 1000 bytes")),
     "length beyond numbers": (
         POST + b"Content-Length: " + b"9" * 300 + b"\r\n\r\n",
-        refused(LARGE, "the body exceeds 1000 bytes"),
+        error_bytes(LARGE, "the body exceeds 1000 bytes"),
     ),
     "chunk too large": (
         POST + b"Transfer-Encoding: chunked\r\n\r\n3e9\r\n",
-        refused(LARGE, "the body exceeds 1000 bytes"),
+        error_bytes(LARGE, "the body exceeds 1000 bytes"),
     ),
     "chunks too large": (
         POST + b"Transfer-Encoding: chunked\r\n\r\n3e8\r\n" + b"x" * 1000 + b"\r\n1\r\n",
-        refused(LARGE, "the body exceeds 1000 bytes"),
+        error_bytes(LARGE, "the body exceeds 1000 bytes"),
     ),
     "head too large": (
         b"GET / HTTP/1.1\r\nX: " + b"x" * 2000,
-        refused("431 Request Header Fields Too Large", "the head of the request exceeds 2000 bytes"),
+        error_bytes("431 Request Header Fields Too Large", "the head of the request exceeds 2000 bytes"),
     ),
     "whole head too large": (
         b"GET / HTTP/1.1\r\nHost: h\r\nX: " + b"x" * 2000 + b"\r\n\r\n",
-        refused("431 Request Header Fields Too Large", "the head of the request exceeds 2000 bytes"),
+        error_bytes("431 Request Header Fields Too Large", "the head of the request exceeds 2000 bytes"),
     ),
     "expectation": (
         POST + b"Expect: more\r\nContent-Length: 1\r\n\r\n",
-        refused("417 Expectation Failed", "an expectation that cannot be met"),
+        error_bytes("417 Expectation Failed", "an expectation that cannot be met"),
     ),
     "old version": (
         b"GET /state/1 HTTP/1.0\r\nConnection: keep-alive\r\n\r\n",
@@ -187,12 +190,12 @@
 
 
 @pytest.mark.parametrize(("data", "expected"), EXCHANGES.values(), ids=EXCHANGES.keys())
-async def test_exchange_that_ends_the_connection(data: bytes, expected: bytes) -> None:
+async def test_exchange_that_closes_the_connection(data: bytes, expected: bytes) -> None:
     async with running(max_header_bytes=2000, max_body_bytes=1000) as site:
-        assert await site.converse(data) == expected
+        assert await site.exchange(data) == expected
 
 
-async def test_connection_is_kept_and_requests_in_a_row_are_answered_in_order() -> None:
+async def test_pipelined_requests_on_one_connection_are_answered_in_order() -> None:
     async with running() as site:
         client = await site.connect()
         client.writer.write(b"\r\n" + GET + GET + POST + b"Content-Length: 2\r\n\r\nhi" + GET)
@@ -200,7 +203,7 @@
         assert [body for _, body in answers] == [b'{"state":"running"}'] * 2 + [b"hi"] + [b'{"state":"running"}']
 
 
-async def test_request_may_come_byte_by_byte() -> None:
+async def test_request_may_arrive_byte_by_byte() -> None:
     async with running() as site:
         client = await site.connect()
         for at in range(len(GET)):
@@ -209,18 +212,18 @@
         assert await client.answer() == (200, b'{"state":"running"}')
 
 
-async def test_unknown_path_and_wrong_method_keep_the_connection() -> None:
+async def test_unknown_path_and_wrong_method_keep_the_connection_open() -> None:
     async with running() as site:
         client = await site.connect()
         assert await client.ask(GET.replace(b"state/1", b"x")) == (404, b'{"error":"no such path"}')
         client.writer.write(GET.replace(b"GET", b"PATCH"))
-        why = b'{"error":"the path does not take this method"}'
+        expected = b'{"error":"the path does not take this method"}'
         head = await client.reader.readuntil(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 405 ") and b"Allow: GET\r\n" in head
-        assert await client.reader.readexactly(len(why)) == why
+        assert await client.reader.readexactly(len(expected)) == expected
 
 
-async def test_head_tells_the_length_alone() -> None:
+async def test_response_to_head_request_has_the_length_but_no_body() -> None:
     async with running() as site:
         client = await site.connect()
         client.writer.write(GET.replace(b"GET", b"HEAD") + GET)
@@ -228,7 +231,7 @@
         assert await client.reader.readexactly(len(STATE)) == STATE
 
 
-async def test_chunked_body_is_put_together() -> None:
+async def test_chunked_body_is_assembled() -> None:
     async with running() as site:
         client = await site.connect()
         data = POST + b"Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n1\r\nd\r\n0\r\nT: 1\r\n\r\n"
@@ -236,7 +239,7 @@
         assert (await client.answer())[0] == 200
 
 
-async def test_body_of_the_greatest_size_comes_whole_and_as_json() -> None:
+async def test_body_of_the_maximum_size_is_read_and_parsed_as_json() -> None:
     async with running() as site:
         client = await site.connect()
         body = json.dumps("x" * (262144 - 2)).encode()
@@ -244,7 +247,7 @@
         assert await client.ask(head + body) == (200, body)
 
 
-async def test_expectation_is_met_before_the_body_comes() -> None:
+async def test_expect_100_continue_is_answered_before_the_body() -> None:
     async with running() as site:
         client = await site.connect()
         client.writer.write(POST + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
@@ -252,22 +255,22 @@
         assert await client.ask(b"hi") == (200, b"hi")
 
 
-async def test_expectation_of_a_body_too_large_is_refused_at_once() -> None:
+async def test_expect_100_continue_for_a_body_too_large_is_rejected_at_once() -> None:
     async with running(max_body_bytes=1) as site:
-        said = await site.converse(POST + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-        assert said.startswith(b"HTTP/1.1 413 ")
+        received = await site.exchange(POST + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+        assert received.startswith(b"HTTP/1.1 413 ")
 
 
-async def test_path_is_decoded_and_a_whole_url_is_understood() -> None:
+async def test_path_is_decoded_and_target_may_be_a_url() -> None:
     async with running() as site:
         client = await site.connect()
-        asked = b"GET /name/%C3%A4%2Bb?q=%2B HTTP/1.1\r\nHost: h\r\n\r\n"
-        assert await client.ask(asked) == (200, '["ä+b","+"]'.encode())
-        asked = b"GET http://h/name/n?q=1 HTTP/1.1\r\nHost: h\r\n\r\n"
-        assert await client.ask(asked) == (200, b'["n","1"]')
+        request = b"GET /name/%C3%A4%2Bb?q=%2B HTTP/1.1\r\nHost: h\r\n\r\n"
+        assert await client.ask(request) == (200, '["ä+b","+"]'.encode())
+        request = b"GET http://h/name/n?q=1 HTTP/1.1\r\nHost: h\r\n\r\n"
+        assert await client.ask(request) == (200, b'["n","1"]')
 
 
-async def test_field_with_an_underscore_does_not_pass_for_another() -> None:
+async def test_header_with_an_underscore_is_not_confused_with_one_with_a_hyphen() -> None:
     async with running() as site:
         client = await site.connect()
         environ: list[object] = []
@@ -276,7 +279,7 @@
         assert environ == [None]
 
 
-async def test_what_bottle_handlers_return_besides() -> None:
+async def test_other_results_of_bottle_handlers() -> None:
     async with running() as site:
         client = await site.connect()
         assert await client.ask(GET.replace(b"state/1", b"dict")) == (200, b'{"a": 1}')
@@ -287,7 +290,7 @@
 
 
 @pytest.mark.parametrize("path", [b"fails", b"odd", b"split"])
-async def test_failing_handler_is_answered_with_the_id_of_its_log_line(
+async def test_error_response_of_a_failing_handler_contains_the_id_of_its_log_line(
     path: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines: list[dict[str, object]] = []
@@ -305,33 +308,33 @@
         assert (await client.ask(GET))[0] == 200
 
 
-async def test_answer_larger_than_any_buffer_comes_whole() -> None:
+async def test_response_larger_than_any_buffer_is_complete() -> None:
     async with running() as site:
         client = await site.connect()
         assert await client.ask(GET.replace(b"state/1", b"big")) == (200, b"x" * (3 << 20))
         assert (await client.ask(GET))[0] == 200
 
 
-# ---- times and numbers -------------------------------------------------------------------------------
+# ---- time-outs and limits ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("data", [b"G", GET[:-2], b"\r"])
-async def test_head_that_does_not_end_in_time_is_told(data: bytes) -> None:
-    async with running(header_timeout_s=SOON_S) as site:
-        said = await site.converse(data)
-        assert said == refused("408 Request Timeout", "the head of the request came too slowly")
+async def test_incomplete_head_is_answered_with_a_timeout(data: bytes) -> None:
+    async with running(header_timeout_s=SHORT_LIMIT_S) as site:
+        received = await site.exchange(data)
+        assert received == error_bytes("408 Request Timeout", "the head of the request came too slowly")
 
 
-async def test_body_that_does_not_end_in_time_is_told() -> None:
-    async with running(body_timeout_s=SOON_S) as site:
-        said = await site.converse(POST + b"Content-Length: 2\r\n\r\nh")
-        assert said == refused("408 Request Timeout", "the body of the request came too slowly")
+async def test_incomplete_body_is_answered_with_a_timeout() -> None:
+    async with running(body_timeout_s=SHORT_LIMIT_S) as site:
+        received = await site.exchange(POST + b"Content-Length: 2\r\n\r\nh")
+        assert received == error_bytes("408 Request Timeout", "the body of the request came too slowly")
 
 
-async def test_idle_connection_ends_without_a_word() -> None:
-    async with running(idle_timeout_s=SOON_S) as site:
-        assert await site.converse(b"") == b""
-        assert await site.converse(GET) == STATE
+async def test_idle_connection_is_closed_without_a_response() -> None:
+    async with running(idle_timeout_s=SHORT_LIMIT_S) as site:
+        assert await site.exchange(b"") == b""
+        assert await site.exchange(GET) == STATE
 
 
 async def test_limits_can_be_replaced() -> None:
@@ -342,7 +345,7 @@
         assert (await client.ask(POST + b"Content-Length: 2\r\n\r\n"))[0] == 413
 
 
-async def test_connections_are_bounded_and_idle_ones_make_room() -> None:
+async def test_idle_connection_is_closed_for_a_new_one_at_the_limit() -> None:
     async with running(max_connections=2) as site:
         first, second = await site.connect(), await site.connect()
         assert (await first.ask(GET))[0] == (await second.ask(GET))[0] == 200
@@ -351,46 +354,46 @@
         assert await first.rest() == b"" and site.server.open_connections == 2
 
 
-async def test_no_room_is_made_where_all_wait_for_their_answers() -> None:
+async def test_connection_with_a_pending_response_is_not_closed_for_a_new_one() -> None:
     async with running(max_connections=1) as site:
         first = await site.connect()
         first.writer.write(GET.replace(b"state/1", b"later"))
-        await site.asked.wait()
-        assert await site.converse(b"") == b""
+        await site.handler_called.wait()
+        assert await site.exchange(b"") == b""
         site.deferred[0].complete(Answer(200, b"now"))
         assert await first.answer() == (200, b"now")
 
 
-async def test_port_that_is_taken_is_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_binding_a_port_in_use_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server_module, "BIND_RETRY_S", 0.0)
     async with running() as site:
         await site.server.stop_listening()
         predecessor = socket.create_server(("127.0.0.1", 0))
-        listening = asyncio.ensure_future(site.server.listen(*predecessor.getsockname()))
+        listen_task = asyncio.ensure_future(site.server.listen(*predecessor.getsockname()))
         await asyncio.sleep(0)
-        assert not listening.done()
+        assert not listen_task.done()
         predecessor.close()
-        await asyncio.wait_for(listening, PATIENCE_S)
+        await asyncio.wait_for(listen_task, TIMEOUT_S)
         assert (await (await site.connect()).ask(GET))[0] == 200
 
 
-async def test_port_that_stays_taken_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_module, "BIND_PATIENCE_S", 0.0)
+async def test_port_that_stays_in_use_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(server_module, "BIND_TIMEOUT_S", 0.0)
     with socket.create_server(("127.0.0.1", 0)) as other, pytest.raises(OSError):
         await Site(HttpLimits()).server.listen(*other.getsockname())
 
 
-# ---- deferred answers --------------------------------------------------------------------------------
+# ---- deferred responses ------------------------------------------------------------------------------
 
 
 LATER = GET.replace(b"state/1", b"later")
 
 
-async def test_deferred_answer_goes_out_when_it_is_complete() -> None:
+async def test_deferred_response_is_sent_when_it_is_complete() -> None:
     async with running() as site:
         client = await site.connect()
         client.writer.write(LATER + GET)
-        await site.asked.wait()
+        await site.handler_called.wait()
         deferred = site.deferred[0]
         deferred.complete(Answer(201, b"first"))
         deferred.complete(Answer(500, b"second"))
@@ -399,7 +402,7 @@
         assert (await client.answer())[0] == 200
 
 
-async def test_deferred_answer_that_is_complete_already() -> None:
+async def test_deferred_response_may_be_complete_when_it_is_returned() -> None:
     async with running() as site:
         deferred = Deferred()
         deferred.complete(Answer(202))
@@ -407,35 +410,35 @@
         assert (await (await site.connect()).ask(GET.replace(b"state/1", b"done")))[0] == 202
 
 
-async def test_client_that_leaves_is_told_to_the_handler() -> None:
+async def test_handler_is_notified_when_the_client_disconnects() -> None:
     async with running() as site:
         client = await site.connect()
         client.writer.write(LATER)
-        await site.asked.wait()
-        left = asyncio.Event()
-        site.deferred[0].on_gone = left.set
+        await site.handler_called.wait()
+        disconnected = asyncio.Event()
+        site.deferred[0].on_gone = disconnected.set
         client.writer.close()
-        await asyncio.wait_for(left.wait(), PATIENCE_S)
+        await asyncio.wait_for(disconnected.wait(), TIMEOUT_S)
         assert site.deferred[0].gone and not site.deferred[0].done
         site.deferred[0].complete(Answer(200))
         assert not site.deferred[0].done
 
 
-async def test_client_that_leaves_after_its_answer_is_not_told() -> None:
+async def test_handler_is_not_notified_when_the_client_disconnects_after_the_response() -> None:
     async with running() as site:
         client = await site.connect()
         client.writer.write(LATER)
-        await site.asked.wait()
+        await site.handler_called.wait()
         calls: list[bool] = []
         site.deferred[0].on_gone = lambda: calls.append(True)
         site.deferred[0].complete(Answer(200))
         await client.answer()
         client.writer.close()
-        await site.server.drain(PATIENCE_S)
+        await site.server.drain(TIMEOUT_S)
         assert not calls and not site.deferred[0].gone
 
 
-async def test_failing_on_gone_is_contained() -> None:
+async def test_exception_in_on_gone_does_not_propagate() -> None:
     deferred = Deferred(on_gone=lambda: [][0])
     settled: list[bool] = []
     deferred.when_settled(lambda: settled.append(True))
@@ -450,15 +453,15 @@
     async with running() as site:
         port, idle = site.port, await site.connect()
         assert (await idle.ask(GET))[0] == 200
-        drain = asyncio.ensure_future(site.server.drain(PATIENCE_S))
+        drain = asyncio.ensure_future(site.server.drain(TIMEOUT_S))
         assert await idle.rest() == b""
         idle.writer.close()
-        await asyncio.wait_for(drain, PATIENCE_S)
+        await asyncio.wait_for(drain, TIMEOUT_S)
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", port)
 
 
-async def test_listening_may_begin_again() -> None:
+async def test_server_may_listen_again() -> None:
     async with running() as site:
         client = await site.connect()
         await site.server.stop_listening()
@@ -467,8 +470,10 @@
         assert (await (await site.connect()).ask(GET))[0] == 200
 
 
-async def test_drain_resets_nobody_who_connects_as_the_listener_closes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The crossing, forced: requests to connect come before and after the last look at the queue."""
+async def test_drain_does_not_reset_clients_that_connect_while_the_listener_closes(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Forces the race: clients connect before and after the last check of the accept queue."""
     async with running() as site:
         address, late = ("127.0.0.1", site.port), list[socket.socket]()
         take_queue = Server._take_queue
@@ -487,114 +492,114 @@
 
         monkeypatch.setattr(Server, "_take_queue", crossed)
         early = connecting()
-        drain = asyncio.ensure_future(site.server.drain(PATIENCE_S))
+        drain = asyncio.ensure_future(site.server.drain(TIMEOUT_S))
         early.setblocking(True)
-        early.settimeout(PATIENCE_S)
+        early.settimeout(TIMEOUT_S)
         await asyncio.to_thread(early.sendall, GET)
         assert (await asyncio.to_thread(early.recv, 4096)).startswith(b"HTTP/1.1 200 ")
         early.close()
-        await asyncio.wait_for(drain, PATIENCE_S)
-        for client in late[1:]:  # neither is established: each is refused once it asks again
-            assert await asyncio.to_thread(select.select, [], [client], [], PATIENCE_S) == ([], [client], [])
+        await asyncio.wait_for(drain, TIMEOUT_S)
+        for client in late[1:]:  # not established: the connection is refused when the client retries
+            assert await asyncio.to_thread(select.select, [], [client], [], TIMEOUT_S) == ([], [client], [])
             assert client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == errno.ECONNREFUSED
             client.close()
 
 
-async def test_listener_that_another_process_has_too_goes_on_taking_connections() -> None:
-    """A predecessor that ends before its successor takes over must leave the shared listener as it is."""
+async def test_listener_shared_with_another_process_continues_to_accept() -> None:
+    """A process that stops before its successor takes over must not shut down the shared listener."""
     async with running() as site:
         connections = site.server._connections
         listener = next(iter(connections._sockets.values())).dup()
         connections.shared = True
         await site.server.stop_listening()
-        with listener, socket.create_connection(listener.getsockname(), timeout=PATIENCE_S):
-            listener.settimeout(PATIENCE_S)
+        with listener, socket.create_connection(listener.getsockname(), timeout=TIMEOUT_S):
+            listener.settimeout(TIMEOUT_S)
             taken, _ = await asyncio.to_thread(listener.accept)
             taken.close()
 
 
-async def test_drain_finishes_what_was_read_and_what_is_being_read() -> None:
+async def test_drain_completes_requests_that_were_read_or_are_being_read() -> None:
     async with running() as site:
         waiting, sending = await site.connect(), await site.connect()
         assert (await sending.ask(GET))[0] == 200
         sending.writer.write(GET[:20])
         waiting.writer.write(LATER)
-        await site.asked.wait()
-        drain = asyncio.ensure_future(site.server.drain(PATIENCE_S))
+        await site.handler_called.wait()
+        drain = asyncio.ensure_future(site.server.drain(TIMEOUT_S))
         await asyncio.sleep(0)
         sending.writer.write(GET[20:])
-        said = await sending.rest()
-        assert said.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in said
+        received = await sending.rest()
+        assert received.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in received
         sending.writer.close()
         assert not drain.done()
         site.deferred[0].complete(Answer(200, b"late"))
-        said = await waiting.rest()
-        assert said.endswith(b"late") and b"Connection: close" in said
+        received = await waiting.rest()
+        assert received.endswith(b"late") and b"Connection: close" in received
         waiting.writer.close()
-        await asyncio.wait_for(drain, PATIENCE_S)
+        await asyncio.wait_for(drain, TIMEOUT_S)
         assert site.server.open_connections == 0
 
 
-async def test_drain_serves_who_stands_in_the_queue() -> None:
+async def test_drain_serves_connections_in_the_accept_queue() -> None:
     async with running() as site:
         with socket.create_connection(("127.0.0.1", site.port)) as client:
             client.sendall(GET)
             client.setblocking(False)
-            drain = asyncio.ensure_future(site.server.drain(PATIENCE_S))
-            said = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(client, 4096), PATIENCE_S)
-            assert said.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in said
-        await asyncio.wait_for(drain, PATIENCE_S)
+            drain = asyncio.ensure_future(site.server.drain(TIMEOUT_S))
+            received = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(client, 4096), TIMEOUT_S)
+            assert received.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in received
+        await asyncio.wait_for(drain, TIMEOUT_S)
 
 
-async def test_drain_answers_every_request_in_a_row() -> None:
+async def test_drain_answers_all_pipelined_requests() -> None:
     async with running() as site:
         client = await site.connect()
         client.writer.write(LATER + GET)
-        await site.asked.wait()
-        drain = asyncio.ensure_future(site.server.drain(PATIENCE_S))
+        await site.handler_called.wait()
+        drain = asyncio.ensure_future(site.server.drain(TIMEOUT_S))
         await asyncio.sleep(0)
         site.deferred[0].complete(Answer(200, b"late"))
-        said = await client.rest()
-        assert said.count(b"HTTP/1.1 200 ") == 2 and said.count(b"Connection: close") == 1
+        received = await client.rest()
+        assert received.count(b"HTTP/1.1 200 ") == 2 and received.count(b"Connection: close") == 1
         client.writer.close()
-        await asyncio.wait_for(drain, PATIENCE_S)
+        await asyncio.wait_for(drain, TIMEOUT_S)
 
 
-async def test_drain_lets_new_connections_ask_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_module, "FIRST_REQUEST_GRACE_S", SOON_S)
+async def test_drain_waits_briefly_for_the_first_request_of_a_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(server_module, "FIRST_REQUEST_GRACE_S", SHORT_LIMIT_S)
     async with running() as site:
         silent = await site.connect()
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not site.server.open_connections:
                 await asyncio.sleep(0)
-        drain = asyncio.ensure_future(site.server.drain(PATIENCE_S))
+        drain = asyncio.ensure_future(site.server.drain(TIMEOUT_S))
         assert await silent.rest() == b""
         silent.writer.close()
-        await asyncio.wait_for(drain, PATIENCE_S)
+        await asyncio.wait_for(drain, TIMEOUT_S)
 
 
-async def test_drain_cuts_what_takes_too_long() -> None:
+async def test_drain_closes_connections_after_its_timeout() -> None:
     async with running() as site:
         client = await site.connect()
         client.writer.write(LATER)
-        await site.asked.wait()
-        left = asyncio.Event()
-        site.deferred[0].on_gone = left.set
-        await site.server.drain(SOON_S)
+        await site.handler_called.wait()
+        disconnected = asyncio.Event()
+        site.deferred[0].on_gone = disconnected.set
+        await site.server.drain(SHORT_LIMIT_S)
         assert await client.rest() == b""
-        await asyncio.wait_for(left.wait(), PATIENCE_S)
+        await asyncio.wait_for(disconnected.wait(), TIMEOUT_S)
 
 
-# ---- whatever may come -------------------------------------------------------------------------------
+# ---- arbitrary input ---------------------------------------------------------------------------------
 
 
-def test_answers_that_http_cannot_carry_are_refused() -> None:
+def test_invalid_responses_are_rejected() -> None:
     for answer in (Answer(100), Answer(999), Answer(200, headers=(("a b", "c"),))):
         with pytest.raises(ValueError):
-            format_answer(answer, keep=True, head_only=False)
+            format_answer(answer, keep_alive=True, head_only=False)
 
 
-PIECES = st.sampled_from(
+FRAGMENTS = st.sampled_from(
     [
         b"GET ",
         b"POST ",
@@ -620,23 +625,23 @@
         b"\0",
     ]
 )
-JUNK = st.lists(st.one_of(PIECES, st.binary(max_size=40)), max_size=12).map(b"".join)
+ARBITRARY_INPUT = st.lists(st.one_of(FRAGMENTS, st.binary(max_size=40)), max_size=12).map(b"".join)
 
 
 PREFIXES = st.sampled_from([b"", GET, GET[:20], POST, POST + b"Transfer-Encoding: chunked\r\n\r\n"])
 
 
-async def survives(data: bytes, prefix: bytes) -> None:
+async def check_server_survives(data: bytes, prefix: bytes) -> None:
     limits = {"header_timeout_s": 0.01, "body_timeout_s": 0.01, "idle_timeout_s": 0.01}
     async with running(max_header_bytes=2000, max_body_bytes=1000, **limits) as site:
-        said = await site.converse(prefix + data)
-        assert not said or said.startswith(b"HTTP/1.1 ")
-        assert b"HTTP/1.1 5" not in said
+        received = await site.exchange(prefix + data)
+        assert not received or received.startswith(b"HTTP/1.1 ")
+        assert b"HTTP/1.1 5" not in received
         site.server.limits = HttpLimits()
         assert await (await site.connect()).ask(GET) == (200, b'{"state":"running"}')
 
 
 @settings(max_examples=150, deadline=None)
-@given(JUNK, PREFIXES)
-def test_any_bytes_end_in_an_answer_or_a_close(data: bytes, prefix: bytes) -> None:
-    asyncio.run(survives(data, prefix))
+@given(ARBITRARY_INPUT, PREFIXES)
+def test_arbitrary_bytes_lead_to_a_response_or_a_close(data: bytes, prefix: bytes) -> None:
+    asyncio.run(check_server_survives(data, prefix))
