--- a/millethead/execution/shell.py
+++ b/millethead/execution/shell.py
@@ -29,7 +29,7 @@
 from millethead.execution.messages import AgentHello, WorkerInfo
 from millethead.execution.worker_calls import AgentLimits
 from millethead.rpc.codec import Record
-from millethead.web.metrics import Figure, add_metrics
+from millethead.web.metrics import MetricFamily, add_metrics
 from millethead.web.server import HttpLimits, HttpServer
 
 log = structlog.get_logger()
@@ -81,7 +81,7 @@
         if finder.done() and not finder.cancelled():
             finder.result()
 
-    def add_metrics(self, figures: Callable[[Agent, float], Iterable[Figure]]) -> None:
+    def add_metrics(self, figures: Callable[[Agent, float], Iterable[MetricFamily]]) -> None:
         """Have `figures(agent, steady seconds)` told at the address for heartbeats."""
         add_metrics(self._app_of_worker, lambda: figures(self._agent, self._loop.time()))
 
--- a/millethead/programs/agent_figures.py
+++ b/millethead/programs/agent_figures.py
@@ -7,10 +7,10 @@
 
 from millethead.execution.agent import Agent
 from millethead.execution.runs import RunState
-from millethead.web.metrics import Figure, Sample, gauge
+from millethead.web.metrics import MetricFamily, Sample, gauge
 
 
-def agent_figures(agent: Agent, now: float) -> Iterator[Figure]:
+def agent_figures(agent: Agent, now: float) -> Iterator[MetricFamily]:
     """Of an agent; `now`: its steady clock."""
     life = agent.life
     yield gauge("fence", "Epoch of the newest head that has welcomed this agent.", agent.epoch)
@@ -18,7 +18,7 @@
     yield gauge("worker_known", "1 while a life of the worker is known.", life is not None)
     yield gauge("worker_calls_under_way", "Calls to the worker that have not ended.", agent.calls_under_way)
     counts = Counter(run.state for run in life.runs) if life is not None else Counter[RunState]()
-    yield Figure(
+    yield MetricFamily(
         "runs",
         "Runs at the worker by state.",
         [Sample((state.value,), counts[state]) for state in RunState],
--- a/millethead/programs/control.py
+++ b/millethead/programs/control.py
@@ -36,7 +36,7 @@
 from millethead.rpc.loop_budget import IterationBudget
 from millethead.storage.log import Entry, Recovered, Snapshot
 from millethead.storage.sync_times import HELD_UP_S
-from millethead.web.metrics import Figure
+from millethead.web.metrics import MetricFamily
 from millethead.web.server import HttpLimits, HttpServer
 
 log = structlog.get_logger()
@@ -103,7 +103,7 @@
             self._random,
         )
 
-    def _figures(self) -> Iterator[Figure]:
+    def _figures(self) -> Iterator[MetricFamily]:
         scrubber = self._maintenance.scrubber if self._maintenance is not None else None
         yield from member_figures(self._replica, self._disk, scrubber)
         yield from head_figures(self._head)
--- a/millethead/programs/control_figures.py
+++ b/millethead/programs/control_figures.py
@@ -12,12 +12,12 @@
 from millethead.scheduling.health import Health, Standing
 from millethead.scheduling.model import WorkerState
 from millethead.storage.scrubber import Scrubber
-from millethead.web.metrics import Figure, Sample, counter, gauge
+from millethead.web.metrics import MetricFamily, Sample, counter, gauge
 
 MS = 1000
 
 
-def member_figures(replica: Replica, disk: CoreDisk | None, scrubber: Scrubber | None) -> Iterator[Figure]:
+def member_figures(replica: Replica, disk: CoreDisk | None, scrubber: Scrubber | None) -> Iterator[MetricFamily]:
     """Of a member of the core, whether or not it is the head."""
     chain, view = replica.chain, replica.view
     yield gauge("view_epoch", "Epoch of the view that this member has adopted.", view.epoch)
@@ -32,7 +32,7 @@
         yield counter("disk_scrubs", "Passes of the background scrub over the whole log.", scrubber.passes)
 
 
-def head_figures(head: Head | None) -> Iterator[Figure]:
+def head_figures(head: Head | None) -> Iterator[MetricFamily]:
     """Of the member that is the head; of the others only that they are not."""
     yield gauge("is_head", "1 on the member that answers calls and schedules.", head is not None)
     if head is None:
@@ -46,7 +46,7 @@
     yield gauge("dispatchers", "Dispatchers connected to the head.", len(status.dispatchers))
     yield gauge("dispatchers_behind", "Of these, with an older configuration in force.", behind)
     yield gauge("open_runs", "Runs that are assigned and have not ended.", status.open_runs)
-    yield Figure(
+    yield MetricFamily(
         "jobs",
         "Jobs by queue and state.",
         [Sample((queue.queue, state), count) for queue in status.queues for state, count in queue.jobs.items()],
@@ -55,9 +55,9 @@
     yield _workers(head.agents.workers, frozenset(head.agents.sessions), head.scheduler.health)
 
 
-def _workers(workers: Mapping[str, WorkerState], connected: frozenset[str], health: Health) -> Figure:
+def _workers(workers: Mapping[str, WorkerState], connected: frozenset[str], health: Health) -> MetricFamily:
     counts = Counter((worker.service, _worker_state(worker, connected, health)) for worker in workers.values())
-    return Figure(
+    return MetricFamily(
         "workers",
         "Workers by service and state.",
         [Sample(labels, count) for labels, count in sorted(counts.items())],
--- a/millethead/programs/dispatcher.py
+++ b/millethead/programs/dispatcher.py
@@ -23,7 +23,7 @@
 from millethead.programs.addresses import seed_addresses, split_address
 from millethead.programs.dispatcher_figures import dispatcher_figures
 from millethead.programs.signals import on_signals
-from millethead.web.metrics import Figure, add_metrics
+from millethead.web.metrics import MetricFamily, add_metrics
 from millethead.web.server import Answer, Deferred, HttpLimits, HttpServer, error_answer, json_answer, request_body
 
 log = structlog.get_logger()
@@ -108,7 +108,7 @@
         add_metrics(app, self._figures)
         return app
 
-    def _figures(self) -> Iterator[Figure]:
+    def _figures(self) -> Iterator[MetricFamily]:
         return dispatcher_figures(
             self._caller.configuration, self._caller.connected, self.ready(), len(self._tasks), self._answered
         )
--- a/millethead/programs/dispatcher_figures.py
+++ b/millethead/programs/dispatcher_figures.py
@@ -4,21 +4,21 @@
 
 from collections.abc import Iterator, Mapping
 
-from millethead.web.metrics import Figure, FigureKind, Sample, gauge
+from millethead.web.metrics import MetricFamily, MetricKind, Sample, gauge
 
 
 def dispatcher_figures(
     configuration: int, head_connected: bool, ready: bool, under_way: int, answers: Mapping[int, int]
-) -> Iterator[Figure]:
+) -> Iterator[MetricFamily]:
     """Of a dispatcher; `answers`: how many of each status it has given."""
     yield gauge("configuration_version", "Version of the configuration in force here.", configuration)
     yield gauge("head_connected", "1 while the head can be called.", head_connected)
     yield gauge("ready", "1 while new connections are wanted.", ready)
     yield gauge("requests_under_way", "Requests that wait for the core's answer.", under_way)
-    yield Figure(
+    yield MetricFamily(
         "requests",
         "Requests by the status of their answer.",
         [Sample((str(status),), count) for status, count in sorted(answers.items())],
         ("status",),
-        FigureKind.COUNTER,
+        MetricKind.COUNTER,
     )
--- a/millethead/programs/operator_api.py
+++ b/millethead/programs/operator_api.py
@@ -9,7 +9,7 @@
 
 from millethead.control.calls import ConfigurationCall
 from millethead.control.client import CallFailed, HeadCaller
-from millethead.web.metrics import Figure, add_metrics
+from millethead.web.metrics import MetricFamily, add_metrics
 from millethead.web.server import Answer, Deferred, error_answer, json_answer, request_body
 
 REACH_S = 0.8  # the operator goes to another member after a second of silence
@@ -20,7 +20,7 @@
 MakeCall = Callable[[int], ConfigurationCall]
 
 
-def operator_app(caller: HeadCaller, figures: Callable[[], Iterable[Figure]]) -> bottle.Bottle:
+def operator_app(caller: HeadCaller, figures: Callable[[], Iterable[MetricFamily]]) -> bottle.Bottle:
     """The application; `caller` finds the head, `figures` are this member's metrics."""
     app = bottle.Bottle()
     add_metrics(app, figures)
--- a/millethead/web/metrics.py
+++ b/millethead/web/metrics.py
@@ -19,7 +19,7 @@
 PREFIX = "millethead_"
 
 
-class FigureKind(enum.Enum):
+class MetricKind(enum.Enum):
     """Prometheus metric type."""
 
     GAUGE = "gauge"  # may rise and fall
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
+class MetricFamily:
     """A metric with its samples. `name` excludes PREFIX and, for counters, the suffix `_total`. `labels` are the label
     names of the samples."""
 
@@ -43,32 +43,32 @@
     help: str
     samples: Sequence[Sample]
     labels: tuple[str, ...] = ()
-    kind: FigureKind = FigureKind.GAUGE
+    kind: MetricKind = MetricKind.GAUGE
 
 
-def gauge(name: str, help_text: str, value: float) -> Figure:
+def gauge(name: str, help_text: str, value: float) -> MetricFamily:
     """A gauge with a single sample without labels."""
-    return Figure(name, help_text, (Sample((), value),))
+    return MetricFamily(name, help_text, (Sample((), value),))
 
 
-def counter(name: str, help_text: str, value: float) -> Figure:
+def counter(name: str, help_text: str, value: float) -> MetricFamily:
     """A counter with a single sample without labels."""
-    return Figure(name, help_text, (Sample((), value),), kind=FigureKind.COUNTER)
+    return MetricFamily(name, help_text, (Sample((), value),), kind=MetricKind.COUNTER)
 
 
-def render(figures: Iterable[Figure]) -> bytes:
+def render(metrics: Iterable[MetricFamily]) -> bytes:
     """Renders metrics in the Prometheus text format."""
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
     from prometheus_client.registry import Collector
 
-    families = {FigureKind.GAUGE: GaugeMetricFamily, FigureKind.COUNTER: CounterMetricFamily}
+    families = {MetricKind.GAUGE: GaugeMetricFamily, MetricKind.COUNTER: CounterMetricFamily}
 
     class Page(Collector):
         def collect(self) -> Iterable[Metric]:
-            for figure in figures:
-                family = families[figure.kind](PREFIX + figure.name, figure.help, labels=figure.labels)
-                for sample in figure.samples:
+            for metric in metrics:
+                family = families[metric.kind](PREFIX + metric.name, metric.help, labels=metric.labels)
+                for sample in metric.samples:
                     family.add_metric(sample.labels, sample.value)
                 yield family
 
@@ -77,7 +77,7 @@
     return generate_latest(registry)
 
 
-def add_metrics(app: bottle.Bottle, figures: Callable[[], Iterable[Figure]]) -> None:
+def add_metrics(app: bottle.Bottle, figures: Callable[[], Iterable[MetricFamily]]) -> None:
     """Adds a handler for METRICS_PATH to an application. It calls `figures` for each request."""
 
     @app.get(METRICS_PATH)  # type: ignore[untyped-decorator]
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -27,7 +27,7 @@
     CONTENT_TYPE,
     METRICS_PATH,
     PREFIX,
-    Figure,
+    MetricFamily,
     Sample,
     add_metrics,
     counter,
@@ -54,8 +54,8 @@
         [
             gauge("depth", "Deep.", 2.5),
             counter("seen", "Seen.", 3),
-            Figure("jobs", "Jobs.", [Sample((odd, "done"), 1)], ("queue", "state")),
-            Figure("none", "No line.", [], ("queue",)),
+            MetricFamily("jobs", "Jobs.", [Sample((odd, "done"), 1)], ("queue", "state")),
+            MetricFamily("none", "No line.", [], ("queue",)),
         ]
     )
     assert page == {("depth",): 2.5, ("seen_total",): 3.0, ("jobs", odd, "done"): 1.0}
@@ -136,7 +136,7 @@
 
 def test_every_figure_is_explained_and_no_other():
     code = "".join(path.read_text() for path in PROGRAMS.glob("*_figures.py"))
-    told = set(re.findall(r'gauge\("([a-z_]+)"', code)) | set(re.findall(r'Figure\(\s*"([a-z_]+)"', code))
+    told = set(re.findall(r'gauge\("([a-z_]+)"', code)) | set(re.findall(r'MetricFamily\(\s*"([a-z_]+)"', code))
     told |= {f"{name}_total" for name in re.findall(r'counter\("([a-z_]+)"', code)}
     told = {"requests_total" if name == "requests" else name for name in told}
     rows = [row.split("|")[1] for row in section("Metrics").splitlines() if row.startswith("| `")]
