--- a/millethead/execution/heartbeats.py
+++ b/millethead/execution/heartbeats.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from millethead.execution.messages import Resources, WorkerInfo
-from millethead.web.server import Answer, error_answer, json_answer, request_body
+from millethead.web.server import Response, error_response, json_response, request_body
 
 INSTANCES_PATH = "/-/instances/<instance>"
 DRAINING = "draining"
@@ -92,17 +92,17 @@
     """The application that takes a worker's calls and hands on what they say."""
     app = bottle.Bottle()
 
-    def put(instance: str) -> Answer:
+    def put(instance: str) -> Response:
         try:
             info, clock_ms = read_beat(instance, request_body())
         except MalformedBeat as error:
-            return error_answer(400, str(error))
+            return error_response(400, str(error))
         beat(info, clock_ms)
-        return json_answer(200, {})
+        return json_response(200, {})
 
-    def delete(instance: str) -> Answer:
+    def delete(instance: str) -> Response:
         leave(instance)
-        return json_answer(200, {})
+        return json_response(200, {})
 
     app.route(INSTANCES_PATH, "PUT", put)
     app.route(INSTANCES_PATH, "DELETE", delete)
--- a/millethead/lab/worker_server.py
+++ b/millethead/lab/worker_server.py
@@ -12,7 +12,7 @@
 import urllib3
 
 from millethead.lab.worker import MS, OK, WorkerModel
-from millethead.web.server import Answer, Deferred, HttpLimits, HttpServer, json_answer, request_body
+from millethead.web.server import DeferredResponse, HttpLimits, HttpServer, Response, json_response, request_body
 
 HEARTBEAT_TIMEOUT_S = 1.0
 
@@ -25,7 +25,7 @@
         self._control, self._heartbeat_s = control, heartbeat_s
         self._server = HttpServer(self._app(), HttpLimits())
         self._http = urllib3.PoolManager(retries=False)
-        self._waiting: dict[Deferred, int] = {}
+        self._waiting: dict[DeferredResponse, int] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._beats: asyncio.Task[None] | None = None
 
@@ -74,22 +74,22 @@
         app.route("/-/<call>", "POST", self._answer)
         return app
 
-    def _answer(self, call: str) -> Answer | Deferred:
+    def _answer(self, call: str) -> Response | DeferredResponse:
         body = msgspec.json.decode(request_body())
         expected = bottle.request.get_header("X-Expect-Instance")
         status, answer = self.model.call(f"/-/{call}", body, expected, time.monotonic())
         self._happen()
         if call != "hold" or status != OK or not self.model.hold_waits(body):
-            return json_answer(status, answer)
-        deferred = Deferred()
+            return json_response(status, answer)
+        deferred = DeferredResponse()
         self._waiting[deferred] = body.get("last_seen", 0)
         asyncio.get_running_loop().call_later(body["wait_ms"] / MS, self._complete, deferred)
         return deferred
 
-    def _complete(self, deferred: Deferred) -> None:
+    def _complete(self, deferred: DeferredResponse) -> None:
         last_seen = self._waiting.pop(deferred, None)
         if last_seen is not None:
-            deferred.complete(json_answer(OK, self.model.lists(last_seen, time.monotonic())))
+            deferred.complete(json_response(OK, self.model.lists(last_seen, time.monotonic())))
 
     def _happen(self) -> None:
         """Let what is due happen, answer the holds that waited for it, and wait for what comes next."""
--- a/millethead/programs/dispatcher.py
+++ b/millethead/programs/dispatcher.py
@@ -24,7 +24,15 @@
 from millethead.programs.dispatcher_figures import dispatcher_figures
 from millethead.programs.signals import on_signals
 from millethead.web.metrics import MetricFamily, add_metrics
-from millethead.web.server import Answer, Deferred, HttpLimits, HttpServer, error_answer, json_answer, request_body
+from millethead.web.server import (
+    DeferredResponse,
+    HttpLimits,
+    HttpServer,
+    Response,
+    error_response,
+    json_response,
+    request_body,
+)
 
 log = structlog.get_logger()
 
@@ -100,10 +108,10 @@
         app = bottle.Bottle()
 
         @app.get("/-/ready")  # type: ignore[untyped-decorator]
-        def ready() -> Answer:
+        def ready() -> Response:
             if self.ready():
-                return json_answer(200, {"ready": True})
-            return json_answer(503, {"ready": False})
+                return json_response(200, {"ready": True})
+            return json_response(503, {"ready": False})
 
         add_metrics(app, self._figures)
         return app
@@ -128,17 +136,17 @@
         app = bottle.Bottle()
 
         @app.route("<path:re:.*>", method=list(JOB_METHODS))  # type: ignore[untyped-decorator]
-        def request(path: str) -> Answer | Deferred:
+        def request(path: str) -> Response | DeferredResponse:
             if self._configuration is None:
-                return self._count(error_answer(503, "no configuration yet", (("Retry-After", str(RETRY_AFTER_S)),)))
+                return self._count(error_response(503, "no configuration yet", (("Retry-After", str(RETRY_AFTER_S)),)))
             return self._pass_on(path)
 
         return app
 
-    def _pass_on(self, path: str) -> Deferred:
+    def _pass_on(self, path: str) -> DeferredResponse:
         host = bottle.request.get_header("Host", "")
         method, body = bottle.request.method, request_body()
-        deferred = Deferred()
+        deferred = DeferredResponse()
         deadline_s = _deadline_s(bottle.request.get_header("X-Deadline-Ms"))
 
         def make(number: int) -> JobCall:
@@ -149,7 +157,7 @@
         task.add_done_callback(self._tasks.discard)
         return deferred
 
-    async def _answer(self, make_call: Callable[[int], JobCall], deadline_s: float, into: Deferred) -> None:
+    async def _answer(self, make_call: Callable[[int], JobCall], deadline_s: float, into: DeferredResponse) -> None:
         most = max(0.05, deadline_s - MARGIN_S)
         away_s = self._caller.away_s()
         if away_s > REACH_S:
@@ -162,7 +170,7 @@
             return
         into.complete(self._count(_from_head(answer)))
 
-    def _count(self, answer: Answer) -> Answer:
+    def _count(self, answer: Response) -> Response:
         self._answered[answer.status] += 1
         return answer
 
@@ -175,17 +183,17 @@
     return value / 1000 if math.isfinite(value) and value > 0 else DEADLINE_MS / 1000
 
 
-def _from_head(answer: CallAnswer) -> Answer:
+def _from_head(answer: CallAnswer) -> Response:
     headers = (("Retry-After", str(answer.retry_after_s)),) if answer.retry_after_s else ()
-    return Answer(answer.status, answer.body, headers=headers)
+    return Response(answer.status, answer.body, headers=headers)
 
 
-def _failed(failure: CallFailed) -> Answer:
+def _failed(failure: CallFailed) -> Response:
     """503 only where the request was certainly not taken."""
     if failure.sent:
-        return error_answer(504, "the core did not answer in time")
+        return error_response(504, "the core did not answer in time")
     return _unreached(RETRY_AFTER_S)
 
 
-def _unreached(retry_after_s: int) -> Answer:
-    return error_answer(503, "the core cannot be reached", (("Retry-After", str(retry_after_s)),))
+def _unreached(retry_after_s: int) -> Response:
+    return error_response(503, "the core cannot be reached", (("Retry-After", str(retry_after_s)),))
--- a/millethead/programs/operator_api.py
+++ b/millethead/programs/operator_api.py
@@ -10,7 +10,7 @@
 from millethead.control.calls import ConfigurationCall
 from millethead.control.client import CallFailed, HeadCaller
 from millethead.web.metrics import MetricFamily, add_metrics
-from millethead.web.server import Answer, Deferred, error_answer, json_answer, request_body
+from millethead.web.server import DeferredResponse, Response, error_response, json_response, request_body
 
 REACH_S = 0.8  # the operator goes to another member after a second of silence
 ANSWER_S = 0.9
@@ -27,10 +27,10 @@
     tasks: set[asyncio.Task[None]] = set()
 
     @app.route("/-/config", method=["GET", "PUT", "PATCH"])  # type: ignore[untyped-decorator]
-    def configuration() -> Answer | Deferred:
+    def configuration() -> Response | DeferredResponse:
         method, body = bottle.request.method, request_body()
         if_match = _version(bottle.request.get_header("If-Match"))
-        deferred = Deferred()
+        deferred = DeferredResponse()
         task = asyncio.get_running_loop().create_task(
             _answer(caller, lambda number: ConfigurationCall(number, method, if_match, body), deferred)
         )
@@ -39,8 +39,8 @@
         return deferred
 
     @app.get("/-/ready")  # type: ignore[untyped-decorator]
-    def ready() -> Answer:
-        return json_answer(200 if caller.connected else 503, {"head": caller.connected})
+    def ready() -> Response:
+        return json_response(200 if caller.connected else 503, {"head": caller.connected})
 
     return app
 
@@ -50,13 +50,13 @@
     return int(text) if text.isascii() and text.isdigit() and len(text) <= LONGEST_VERSION else None
 
 
-async def _answer(caller: HeadCaller, make: MakeCall, into: Deferred) -> None:
+async def _answer(caller: HeadCaller, make: MakeCall, into: DeferredResponse) -> None:
     try:
         answer = await caller.call(make, REACH_S, ANSWER_S)
     except CallFailed as failure:
         if failure.sent:
-            into.complete(error_answer(504, "the core did not answer in time"))
+            into.complete(error_response(504, "the core did not answer in time"))
         else:
-            into.complete(error_answer(503, "the core cannot be reached", (("Retry-After", str(RETRY_AFTER_S)),)))
+            into.complete(error_response(503, "the core cannot be reached", (("Retry-After", str(RETRY_AFTER_S)),)))
         return
-    into.complete(Answer(answer.status, answer.body))
+    into.complete(Response(answer.status, answer.body))
--- a/millethead/web/dispatch.py
+++ b/millethead/web/dispatch.py
@@ -11,7 +11,7 @@
 import structlog
 
 from millethead.net.parse import BadMessage, Request
-from millethead.web.answers import Answer, Deferred, error_answer
+from millethead.web.responses import DeferredResponse, Response, error_response
 
 log = structlog.get_logger()
 NOT_FOUND, METHOD_NOT_ALLOWED, INTERNAL_ERROR = 404, 405, 500
@@ -32,26 +32,26 @@
     return body
 
 
-def dispatch(app: bottle.Bottle, request: Request) -> Answer | Deferred:
+def dispatch(app: bottle.Bottle, request: Request) -> Response | DeferredResponse:
     """Calls the handler of a request. An exception of the handler becomes an error response. Raises BadMessage if the
     target or the method of the request is invalid."""
     environ = build_environ(request)
     try:
         return _call(app, environ)
     except bottle.HTTPResponse as response:
-        return _from_response(response)
+        return _from_bottle_response(response)
     except Exception:
         return internal_error(request)
 
 
-def internal_error(request: Request) -> Answer:
+def internal_error(request: Request) -> Response:
     """Logs the current exception under a random id. Returns an error response that contains the id."""
     error_id = secrets.token_hex(4)
     log.exception("handler_failed", error_id=error_id, method=request.method, path=request.path[:200])
-    return error_answer(INTERNAL_ERROR, f"internal error {error_id}")
+    return error_response(INTERNAL_ERROR, f"internal error {error_id}")
 
 
-def _call(app: bottle.Bottle, environ: Environ) -> Answer | Deferred:
+def _call(app: bottle.Bottle, environ: Environ) -> Response | DeferredResponse:
     bottle.request.bind(environ)
     bottle.response.bind()
     app.trigger_hook("before_request")
@@ -63,33 +63,33 @@
     environ["route.url_args"] = arguments
     result = route.call(**arguments)
     app.trigger_hook("after_request")
-    return _to_answer(result)
+    return _to_response(result)
 
 
-def _routing_error(error: bottle.HTTPError) -> Answer:
+def _routing_error(error: bottle.HTTPError) -> Response:
     if error.status_code == METHOD_NOT_ALLOWED:
         allow = error.get_header("Allow")
-        return error_answer(METHOD_NOT_ALLOWED, "the path does not take this method", (("Allow", allow),))
+        return error_response(METHOD_NOT_ALLOWED, "the path does not take this method", (("Allow", allow),))
     if error.status_code == NOT_FOUND:
-        return error_answer(NOT_FOUND, "no such path")
-    return _from_response(error)
+        return error_response(NOT_FOUND, "no such path")
+    return _from_bottle_response(error)
 
 
-def _to_answer(result: object) -> Answer | Deferred:
-    if isinstance(result, Answer | Deferred):
+def _to_response(result: object) -> Response | DeferredResponse:
+    if isinstance(result, Response | DeferredResponse):
         return result
     if isinstance(result, bottle.HTTPResponse):
-        return _from_response(result)
+        return _from_bottle_response(result)
     return _assemble(bottle.response, result)
 
 
-def _from_response(response: bottle.HTTPResponse) -> Answer:
+def _from_bottle_response(response: bottle.HTTPResponse) -> Response:
     if isinstance(response, bottle.HTTPError):
-        return error_answer(response.status_code, str(response.body))
+        return error_response(response.status_code, str(response.body))
     return _assemble(response, response.body)
 
 
-def _assemble(response: bottle.BaseResponse, body: object) -> Answer:
+def _assemble(response: bottle.BaseResponse, body: object) -> Response:
     """Converts a result in bottle's own form: a str or bytes body, with status and headers in bottle's response
     object."""
     if body is None:
@@ -101,7 +101,7 @@
     content_type = response.content_type
     excluded = {"content-type", "content-length"}
     headers = tuple((name, value) for name, value in response.headerlist if name.lower() not in excluded)
-    return Answer(response.status_code, body, content_type, headers)
+    return Response(response.status_code, body, content_type, headers)
 
 
 def build_environ(request: Request) -> Environ:
--- a/millethead/web/metrics.py
+++ b/millethead/web/metrics.py
@@ -12,7 +12,7 @@
 
 import bottle  # type: ignore[import-untyped]
 
-from millethead.web.answers import Answer
+from millethead.web.responses import Response
 
 METRICS_PATH = "/-/metrics"
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
@@ -81,5 +81,5 @@
     """Adds a handler for METRICS_PATH to an application. It calls `figures` for each request."""
 
     @app.get(METRICS_PATH)  # type: ignore[untyped-decorator]
-    def metrics() -> Answer:
-        return Answer(200, render(list(figures())), CONTENT_TYPE)
+    def metrics() -> Response:
+        return Response(200, render(list(figures())), CONTENT_TYPE)
--- a/millethead/web/answers.py
+++ b/millethead/web/responses.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """A complete response. The Content-Length and Connection headers are added when it is sent."""
 
     status: int
@@ -28,36 +28,36 @@
     headers: tuple[tuple[str, str], ...] = ()
 
 
-def json_answer(status: int, value: object) -> Answer:
+def json_response(status: int, value: object) -> Response:
     """A response with `value` as its JSON body; raises TypeError if msgspec cannot encode it."""
-    return Answer(status, _json_encoder.encode(value))
+    return Response(status, _json_encoder.encode(value))
 
 
-def error_answer(status: int, message: str, headers: tuple[tuple[str, str], ...] = ()) -> Answer:
+def error_response(status: int, message: str, headers: tuple[tuple[str, str], ...] = ()) -> Response:
     """A response with a JSON body that contains an error message."""
-    return Answer(status, _json_encoder.encode({"error": message}), headers=headers)
+    return Response(status, _json_encoder.encode({"error": message}), headers=headers)
 
 
-class Deferred:
+class DeferredResponse:
     """A response that a handler returns before it is complete. `complete` is called once, on the loop's thread, before
     or after the handler has returned.
 
     `done`: the response was completed. `gone`: the client disconnected before that; `on_gone` is called when it does.
     """
 
-    __slots__ = ("_wake", "answer", "done", "gone", "on_gone")
+    __slots__ = ("_wake", "response", "done", "gone", "on_gone")
 
     def __init__(self, on_gone: Callable[[], None] | None = None) -> None:
         self.done, self.gone = False, False
         self.on_gone = on_gone
-        self.answer: Answer | None = None
+        self.response: Response | None = None
         self._wake: Callable[[], None] | None = None
 
-    def complete(self, answer: Answer) -> None:
+    def complete(self, response: Response) -> None:
         """Sets the response. Does nothing if it is already set or the client has disconnected."""
         if self.done or self.gone:
             return
-        self.done, self.answer = True, answer
+        self.done, self.response = True, response
         self._settle()
 
     def client_left(self) -> None:
@@ -85,21 +85,21 @@
             wake()
 
 
-def format_answer(answer: Answer, keep_alive: bool, head_only: bool) -> bytes:
+def serialize_response(response: Response, keep_alive: bool, head_only: bool) -> bytes:
     """Serializes a response. `keep`: the connection stays open. `head_only`: response to a HEAD request, which has the
     length of the body but not the body. Raises ValueError for a status or header that HTTP does not allow."""
-    status = answer.status
+    status = response.status
     if status < 200 or status not in _STATUS_LINES:
         raise ValueError(f"no final status: {status}")
     head = _STATUS_LINES[status]
-    body = answer.body
+    body = response.body
     if status in (NO_CONTENT, NOT_MODIFIED):
         body = b""
     else:
         head += f"Content-Length: {len(body)}\r\n"
     if body:
-        head += _header_line("Content-Type", answer.content_type)
-    for name, value in answer.headers:
+        head += _header_line("Content-Type", response.content_type)
+    for name, value in response.headers:
         head += _header_line(name, value)
     head += "\r\n" if keep_alive else "Connection: close\r\n\r\n"
     return head.encode("latin-1") if head_only else head.encode("latin-1") + body
--- a/millethead/web/server.py
+++ b/millethead/web/server.py
@@ -17,12 +17,20 @@
 from millethead.net.answer import WRITE_TIME
 from millethead.net.connection import Connection, Interrupted, Late, within
 from millethead.net.parse import BadMessage, Request
-from millethead.web.answers import Answer, Deferred, error_answer, format_answer, json_answer
 from millethead.web.dispatch import dispatch, internal_error, request_body
 from millethead.web.limits import HttpLimits
 from millethead.web.reading import read_request
-
-__all__ = ["Answer", "Deferred", "HttpLimits", "HttpServer", "error_answer", "json_answer", "request_body"]
+from millethead.web.responses import DeferredResponse, Response, error_response, json_response, serialize_response
+
+__all__ = [
+    "DeferredResponse",
+    "HttpLimits",
+    "HttpServer",
+    "Response",
+    "error_response",
+    "json_response",
+    "request_body",
+]
 
 log = structlog.get_logger()
 sparing_log = Sparing()
@@ -144,10 +152,10 @@
             except BadMessage as bad:
                 await self._reject(conn, bad)
                 return
-            answer = result if isinstance(result, Answer) else await self._wait_for_deferred(conn, result)
-            if answer is None:
+            response = result if isinstance(result, Response) else await self._wait_for_deferred(conn, result)
+            if response is None:
                 return
-            if not await self._send(conn, request, answer):
+            if not await self._send(conn, request, response):
                 return
             conn.midway, fresh = False, False
             self.rest(conn, USUAL)
@@ -178,9 +186,9 @@
         """Responds to an invalid request with an error, after which the connection is closed."""
         sparing_log.warning("request_turned_away", status=bad.status, why=str(bad))
         self.rest(conn, LEAVING)
-        await _write(conn, format_answer(error_answer(bad.status, str(bad)), keep_alive=False, head_only=False))
+        await _write(conn, serialize_response(error_response(bad.status, str(bad)), keep_alive=False, head_only=False))
 
-    async def _wait_for_deferred(self, conn: Connection, deferred: Deferred) -> Answer | None:
+    async def _wait_for_deferred(self, conn: Connection, deferred: DeferredResponse) -> Response | None:
         """Waits for a deferred response; returns None if the client disconnects first."""
         if not deferred.done:
             settled = asyncio.get_running_loop().create_future()
@@ -192,17 +200,17 @@
             await settled
             conn.on_close(None)
             conn.read_ahead(False)
-        return deferred.answer
+        return deferred.response
 
-    async def _send(self, conn: Connection, request: Request, answer: Answer) -> bool:
+    async def _send(self, conn: Connection, request: Request, response: Response) -> bool:
         """Sends the response. Returns whether the connection stays open; during a drain, only if more requests are
         buffered."""
         keep_alive = conn.keeps and not (self.closing and conn.quiet())
         head_only = request.method == "HEAD"
         try:
-            message = format_answer(answer, keep_alive, head_only)
+            message = serialize_response(response, keep_alive, head_only)
         except (ValueError, TypeError):
-            message = format_answer(internal_error(request), keep_alive, head_only)
+            message = serialize_response(internal_error(request), keep_alive, head_only)
         await _write(conn, message)
         return keep_alive
 
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -19,8 +19,8 @@
 from millethead.net.accept import Server
 from millethead.web import dispatch as dispatch_module
 from millethead.web import server as server_module
-from millethead.web.answers import format_answer
-from millethead.web.server import Answer, Deferred, HttpLimits, HttpServer, json_answer, request_body
+from millethead.web.responses import serialize_response
+from millethead.web.server import DeferredResponse, HttpLimits, HttpServer, Response, json_response, request_body
 
 TIMEOUT_S = 10.0  # a test that waits longer fails
 SHORT_LIMIT_S = 0.05  # for limits that a test is to reach
@@ -33,26 +33,26 @@
 
     def __init__(self, limits: HttpLimits) -> None:
         self.clients: list[Client] = []
-        self.deferred: list[Deferred] = []
+        self.deferred: list[DeferredResponse] = []
         self.handler_called = asyncio.Event()
         self.app = bottle.Bottle()
-        self.app.get("/state/<number:int>", callback=lambda number: json_answer(200, {"state": "running"}))
-        self.app.post("/echo", callback=lambda: Answer(200, request_body(), "text/plain"))
-        self.app.post("/json", callback=lambda: json_answer(200, bottle.request.json))
+        self.app.get("/state/<number:int>", callback=lambda number: json_response(200, {"state": "running"}))
+        self.app.post("/echo", callback=lambda: Response(200, request_body(), "text/plain"))
+        self.app.post("/json", callback=lambda: json_response(200, bottle.request.json))
         self.app.get("/later", callback=self._later)
         self.app.get("/fails", callback=lambda: 1 // 0)
-        self.app.get("/split", callback=lambda: Answer(200, headers=(("X-A", "1\r\nX-B: 2"),)))
+        self.app.get("/split", callback=lambda: Response(200, headers=(("X-A", "1\r\nX-B: 2"),)))
         self.app.get("/odd", callback=lambda: object())
         self.app.get("/dict", callback=lambda: {"a": 1})
         self.app.get("/abort", callback=lambda: bottle.abort(422, "not so"))
-        self.app.get("/none", callback=lambda: Answer(204))
-        self.app.get("/name/<name>", callback=lambda name: json_answer(200, [name, bottle.request.query.q]))
-        self.app.get("/big", callback=lambda: Answer(200, b"x" * (3 << 20), "text/plain"))
-        self.app.get("/host", callback=lambda: Answer(200, bottle.request.get_header("Host").encode()))
+        self.app.get("/none", callback=lambda: Response(204))
+        self.app.get("/name/<name>", callback=lambda name: json_response(200, [name, bottle.request.query.q]))
+        self.app.get("/big", callback=lambda: Response(200, b"x" * (3 << 20), "text/plain"))
+        self.app.get("/host", callback=lambda: Response(200, bottle.request.get_header("Host").encode()))
         self.server = HttpServer(self.app, limits)
 
-    def _later(self) -> Deferred:
-        self.deferred.append(Deferred())
+    def _later(self) -> DeferredResponse:
+        self.deferred.append(DeferredResponse())
         self.handler_called.set()
         return self.deferred[-1]
 
@@ -274,7 +274,7 @@
     async with running() as site:
         client = await site.connect()
         environ: list[object] = []
-        site.app.get("/seen", callback=lambda: json_answer(200, environ.append(bottle.request.get_header("X-A"))))
+        site.app.get("/seen", callback=lambda: json_response(200, environ.append(bottle.request.get_header("X-A"))))
         await client.ask(b"GET /seen HTTP/1.1\r\nHost: h\r\nX_A: 1\r\n\r\n")
         assert environ == [None]
 
@@ -360,7 +360,7 @@
         first.writer.write(GET.replace(b"state/1", b"later"))
         await site.handler_called.wait()
         assert await site.exchange(b"") == b""
-        site.deferred[0].complete(Answer(200, b"now"))
+        site.deferred[0].complete(Response(200, b"now"))
         assert await first.answer() == (200, b"now")
 
 
@@ -395,8 +395,8 @@
         client.writer.write(LATER + GET)
         await site.handler_called.wait()
         deferred = site.deferred[0]
-        deferred.complete(Answer(201, b"first"))
-        deferred.complete(Answer(500, b"second"))
+        deferred.complete(Response(201, b"first"))
+        deferred.complete(Response(500, b"second"))
         assert deferred.done and not deferred.gone
         assert await client.answer() == (201, b"first")
         assert (await client.answer())[0] == 200
@@ -404,8 +404,8 @@
 
 async def test_deferred_response_may_be_complete_when_it_is_returned() -> None:
     async with running() as site:
-        deferred = Deferred()
-        deferred.complete(Answer(202))
+        deferred = DeferredResponse()
+        deferred.complete(Response(202))
         site.app.get("/done", callback=lambda: deferred)
         assert (await (await site.connect()).ask(GET.replace(b"state/1", b"done")))[0] == 202
 
@@ -420,7 +420,7 @@
         client.writer.close()
         await asyncio.wait_for(disconnected.wait(), TIMEOUT_S)
         assert site.deferred[0].gone and not site.deferred[0].done
-        site.deferred[0].complete(Answer(200))
+        site.deferred[0].complete(Response(200))
         assert not site.deferred[0].done
 
 
@@ -431,7 +431,7 @@
         await site.handler_called.wait()
         calls: list[bool] = []
         site.deferred[0].on_gone = lambda: calls.append(True)
-        site.deferred[0].complete(Answer(200))
+        site.deferred[0].complete(Response(200))
         await client.answer()
         client.writer.close()
         await site.server.drain(TIMEOUT_S)
@@ -439,7 +439,7 @@
 
 
 async def test_exception_in_on_gone_does_not_propagate() -> None:
-    deferred = Deferred(on_gone=lambda: [][0])
+    deferred = DeferredResponse(on_gone=lambda: [][0])
     settled: list[bool] = []
     deferred.when_settled(lambda: settled.append(True))
     deferred.client_left()
@@ -532,7 +532,7 @@
         assert received.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in received
         sending.writer.close()
         assert not drain.done()
-        site.deferred[0].complete(Answer(200, b"late"))
+        site.deferred[0].complete(Response(200, b"late"))
         received = await waiting.rest()
         assert received.endswith(b"late") and b"Connection: close" in received
         waiting.writer.close()
@@ -558,7 +558,7 @@
         await site.handler_called.wait()
         drain = asyncio.ensure_future(site.server.drain(TIMEOUT_S))
         await asyncio.sleep(0)
-        site.deferred[0].complete(Answer(200, b"late"))
+        site.deferred[0].complete(Response(200, b"late"))
         received = await client.rest()
         assert received.count(b"HTTP/1.1 200 ") == 2 and received.count(b"Connection: close") == 1
         client.writer.close()
@@ -594,9 +594,9 @@
 
 
 def test_invalid_responses_are_rejected() -> None:
-    for answer in (Answer(100), Answer(999), Answer(200, headers=(("a b", "c"),))):
+    for response in (Response(100), Response(999), Response(200, headers=(("a b", "c"),))):
         with pytest.raises(ValueError):
-            format_answer(answer, keep_alive=True, head_only=False)
+            serialize_response(response, keep_alive=True, head_only=False)
 
 
 FRAGMENTS = st.sampled_from(
