--- a/millethead/web/server.py
+++ b/millethead/web/server.py
@@ -19,7 +19,7 @@
 from millethead.net.parse import BadMessage, Request
 from millethead.web.dispatch import dispatch, internal_error, request_body
 from millethead.web.limits import HttpLimits
-from millethead.web.reading import read_request
+from millethead.web.request_reader import read_request
 from millethead.web.responses import DeferredResponse, Response, error_response, json_response, serialize_response
 
 __all__ = [
