--- a/millethead/control/feeder.py
+++ b/millethead/control/feeder.py
@@ -324,4 +324,4 @@
 def _work_left(job: Job, time: int) -> float:
     """What is not done yet of a job at a time K, in core-seconds by estimate."""
     steps = zip(job.description.steps, job.at_time(time).steps, strict=True)
-    return sum(state.left * step.estimate_ms / 1000 * cores(step.needs) for step, state in steps)
+    return sum(state.remaining_tasks * step.estimate_ms / 1000 * cores(step.needs) for step, state in steps)
--- a/millethead/jobs/snapshot.py
+++ b/millethead/jobs/snapshot.py
@@ -105,7 +105,7 @@
         Task(task.run, task.open, task.done, task.failures, task.saved, task.percent, task.node, task.instance)
         for task in step.tasks
     ]
-    state.left = sum(not task.done for task in state.tasks)
+    state.remaining_tasks = sum(not task.done for task in state.tasks)
 
 
 @dataclass(frozen=True, slots=True)
--- a/millethead/jobs/state.py
+++ b/millethead/jobs/state.py
@@ -66,7 +66,7 @@
     """The tasks of one step in one time (occurrence) of the job."""
 
     tasks: list[Task]
-    left: int  # number of tasks that are not done
+    remaining_tasks: int  # tasks that are not done
     failed_runs: int = 0  # gang only: failed runs, each counted once for all members
     last_failed_run: int = 0
     saved: str = ""  # gang only: the newest checkpoint of any member
@@ -74,7 +74,7 @@
 
     @property
     def done(self) -> bool:
-        return self.left == 0
+        return self.remaining_tasks == 0
 
 
 @dataclass(slots=True)
@@ -321,7 +321,7 @@
         for task in members:
             if not task.done:
                 task.done = True
-                step.left -= 1
+                step.remaining_tasks -= 1
         if step.done and members:
             outcome.finished_steps.append(FinishedStep(job.name, run.time, run.step))
             self._time_done(job, run.time, outcome, at_ms)
--- a/millethead/waiting/ageing.py
+++ b/millethead/waiting/ageing.py
@@ -18,7 +18,7 @@
 from millethead.waiting.entry import Entry
 from millethead.waiting.setup import WaitingSetup
 
-AGED_FLOW_WEIGHT = 0.1  # share of the unreserved capacity; low because the flow relies on its reservation
+AGED_FLOW_WEIGHT = 0.1  # for capacity that the reservations leave over; low, as the flow relies on its reservation
 MIN_TIME_LEFT_MS = 100.0  # a job this close to its deadline is not offered again
 ANSWER_MARGIN_MS = 20.0  # the answer leaves this long before the client's own time-out, to arrive in time
 QUICK_REFUSAL_MS = 50.0  # a refusal within this time means that the next offer would be refused too
--- a/millethead/web/responses.py
+++ b/millethead/web/responses.py
@@ -42,32 +42,32 @@
     """A response that a handler returns before it is complete. `complete` is called once, on the loop's thread, before
     or after the handler has returned.
 
-    `done`: the response was completed. `gone`: the client disconnected before that; `on_gone` is called when it does.
+    `done`: the response was completed. `disconnected`: the client disconnected before that; `on_disconnect` is called when it does.
     """
 
-    __slots__ = ("_wake", "response", "done", "gone", "on_gone")
+    __slots__ = ("_wake", "response", "done", "disconnected", "on_disconnect")
 
-    def __init__(self, on_gone: Callable[[], None] | None = None) -> None:
-        self.done, self.gone = False, False
-        self.on_gone = on_gone
+    def __init__(self, on_disconnect: Callable[[], None] | None = None) -> None:
+        self.done, self.disconnected = False, False
+        self.on_disconnect = on_disconnect
         self.response: Response | None = None
         self._wake: Callable[[], None] | None = None
 
     def complete(self, response: Response) -> None:
         """Sets the response. Does nothing if it is already set or the client has disconnected."""
-        if self.done or self.gone:
+        if self.done or self.disconnected:
             return
         self.done, self.response = True, response
         self._settle()
 
-    def client_left(self) -> None:
+    def client_disconnected(self) -> None:
         """Called by the server when the client disconnects. Does nothing after `complete`."""
-        if self.done or self.gone:
+        if self.done or self.disconnected:
             return
-        self.gone = True
-        if self.on_gone is not None:
+        self.disconnected = True
+        if self.on_disconnect is not None:
             try:
-                self.on_gone()
+                self.on_disconnect()
             except Exception:
                 log.exception("on_gone_failed")
         self._settle()
@@ -76,7 +76,7 @@
         """Calls `wake` when the response is complete or the client has disconnected; immediately if that is already
         so."""
         self._wake = wake
-        if self.done or self.gone:
+        if self.done or self.disconnected:
             self._settle()
 
     def _settle(self) -> None:
--- a/millethead/web/server.py
+++ b/millethead/web/server.py
@@ -193,10 +193,10 @@
         if not deferred.done:
             settled = asyncio.get_running_loop().create_future()
             deferred.when_settled(lambda: settled.set_result(None))
-            conn.on_close(deferred.client_left)
+            conn.on_close(deferred.client_disconnected)
             conn.read_ahead(True)
             if conn.stream.closed():
-                deferred.client_left()
+                deferred.client_disconnected()
             await settled
             conn.on_close(None)
             conn.read_ahead(False)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -457,7 +457,7 @@
         count = 0
         for time, state in job.times.items():
             for number, step in enumerate(state.steps):
-                assert step.left == sum(not task.done for task in step.tasks)
+                assert step.remaining_tasks == sum(not task.done for task in step.tasks)
                 for index, task in enumerate(step.tasks):
                     if task.open:
                         count += 1
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -397,7 +397,7 @@
         deferred = site.deferred[0]
         deferred.complete(Response(201, b"first"))
         deferred.complete(Response(500, b"second"))
-        assert deferred.done and not deferred.gone
+        assert deferred.done and not deferred.disconnected
         assert await client.answer() == (201, b"first")
         assert (await client.answer())[0] == 200
 
@@ -416,10 +416,10 @@
         client.writer.write(LATER)
         await site.handler_called.wait()
         disconnected = asyncio.Event()
-        site.deferred[0].on_gone = disconnected.set
+        site.deferred[0].on_disconnect = disconnected.set
         client.writer.close()
         await asyncio.wait_for(disconnected.wait(), TIMEOUT_S)
-        assert site.deferred[0].gone and not site.deferred[0].done
+        assert site.deferred[0].disconnected and not site.deferred[0].done
         site.deferred[0].complete(Response(200))
         assert not site.deferred[0].done
 
@@ -430,20 +430,20 @@
         client.writer.write(LATER)
         await site.handler_called.wait()
         calls: list[bool] = []
-        site.deferred[0].on_gone = lambda: calls.append(True)
+        site.deferred[0].on_disconnect = lambda: calls.append(True)
         site.deferred[0].complete(Response(200))
         await client.answer()
         client.writer.close()
         await site.server.drain(TIMEOUT_S)
-        assert not calls and not site.deferred[0].gone
+        assert not calls and not site.deferred[0].disconnected
 
 
-async def test_exception_in_on_gone_does_not_propagate() -> None:
-    deferred = DeferredResponse(on_gone=lambda: [][0])
+async def test_exception_in_on_disconnect_does_not_propagate() -> None:
+    deferred = DeferredResponse(on_disconnect=lambda: [][0])
     settled: list[bool] = []
     deferred.when_settled(lambda: settled.append(True))
-    deferred.client_left()
-    assert deferred.gone and settled == [True]
+    deferred.client_disconnected()
+    assert deferred.disconnected and settled == [True]
 
 
 # ---- drain -------------------------------------------------------------------------------------------
@@ -584,7 +584,7 @@
         client.writer.write(LATER)
         await site.handler_called.wait()
         disconnected = asyncio.Event()
-        site.deferred[0].on_gone = disconnected.set
+        site.deferred[0].on_disconnect = disconnected.set
         await site.server.drain(SHORT_LIMIT_S)
         assert await client.rest() == b""
         await asyncio.wait_for(disconnected.wait(), TIMEOUT_S)
