--- a/millethead/web/responses.py
+++ b/millethead/web/responses.py
@@ -42,10 +42,10 @@
     """A response that a handler returns before it is complete. `complete` is called once, on the loop's thread, before
     or after the handler has returned.
 
-    `done`: the response was completed. `disconnected`: the client disconnected before that; `on_disconnect` is called when it does.
-    """
+    `done`: the response was completed. `disconnected`: the client disconnected before that. `on_disconnect` is called
+    when it does."""
 
-    __slots__ = ("_wake", "response", "done", "disconnected", "on_disconnect")
+    __slots__ = ("_wake", "disconnected", "done", "on_disconnect", "response")
 
     def __init__(self, on_disconnect: Callable[[], None] | None = None) -> None:
         self.done, self.disconnected = False, False
@@ -73,8 +73,7 @@
         self._settle()
 
     def when_settled(self, wake: Callable[[], None]) -> None:
-        """Calls `wake` when the response is complete or the client has disconnected; immediately if that is already
-        so."""
+        """Calls `wake` when the response is complete or the client has disconnected, at once if either has happened."""
         self._wake = wake
         if self.done or self.disconnected:
             self._settle()
@@ -86,8 +85,8 @@
 
 
 def serialize_response(response: Response, keep_alive: bool, head_only: bool) -> bytes:
-    """Serializes a response. `keep`: the connection stays open. `head_only`: response to a HEAD request, which has the
-    length of the body but not the body. Raises ValueError for a status or header that HTTP does not allow."""
+    """Serializes a response. `keep_alive`: the connection stays open. `head_only`: response to a HEAD request, which
+    has the length of the body but not the body. Raises ValueError for a status or header that HTTP does not allow."""
     status = response.status
     if status < 200 or status not in _STATUS_LINES:
         raise ValueError(f"no final status: {status}")
