--- a/millethead/control/agents.py
+++ b/millethead/control/agents.py
@@ -8,7 +8,7 @@
 from millethead.control.commit import Committed, CommittedLink
 from millethead.control.failure_detector import FailureDetector
 from millethead.execution.messages import AgentHello, DesiredRuns, LeaseGrant, RunKey, RunOrder, WorkerInfo
-from millethead.jobs.commands import TaskRun, task_run
+from millethead.jobs.commands import TaskRun, parse_task_name
 from millethead.jobs.state import JobTable, Task
 from millethead.scheduling.model import WorkerState
 from millethead.scheduling.polling import LONG_RUNNING_POLL_INTERVAL_S, run_poll_interval_s
@@ -188,7 +188,7 @@
         gap_s = (
             LONG_RUNNING_POLL_INTERVAL_S
             if step.long_running
-            else run_poll_interval_s(job.spare_ms / 1000, job.description.chain_length())
+            else run_poll_interval_s(job.slack_ms / 1000, job.description.chain_length())
         )
         return RunOrder(RunKey(run.task_name, run.run), job.description.spec, saved, step.needs, int(gap_s * 1000))
 
@@ -203,7 +203,7 @@
                 continue
             order = None if run in self.stopping else self.run_order(run, task)
             job = self._jobs.find(run.job)
-            if order is None or job is None or (job.phase.over and not task.done):
+            if order is None or job is None or (job.phase.is_final and not task.done):
                 stops.append(RunKey(run.task_name, run.run))
             else:
                 orders.append(order)
@@ -227,11 +227,11 @@
         return True
 
     def _still_desired(self, orders: tuple[RunOrder, ...]) -> tuple[RunOrder, ...]:
-        return tuple(order for order in orders if self._is_desired(task_run(order.key.task, order.key.run)))
+        return tuple(order for order in orders if self._is_desired(parse_task_name(order.key.task, order.key.run)))
 
     def _is_desired(self, run: TaskRun | None) -> bool:
         job = self._jobs.find(run.job) if run is not None else None
-        if run is None or job is None or job.phase.over or run in self.stopping:
+        if run is None or job is None or job.phase.is_final or run in self.stopping:
             return False
         task = self._jobs.task(run)
         return task is not None and task.open and task.run == run.run
--- a/millethead/control/call_handler.py
+++ b/millethead/control/call_handler.py
@@ -155,7 +155,7 @@
         if job is None:
             self._reply_when_confirmed(reply, _error(call.number, 410, "no such job"))
             return
-        if job.phase.over:
+        if job.phase.is_final:
             self._reply_when_confirmed(reply, _answer(call.number, 200, {"state": job.phase.name.lower()}))
             return
         outcome = self._gate.propose(CancelJob(name, self._wall_ms()))
--- a/millethead/control/inspect.py
+++ b/millethead/control/inspect.py
@@ -310,7 +310,7 @@
 
 def _next_due_ms(job: Job) -> int | None:
     next_time = max(job.times, default=-1) + 1
-    if job.phase.over or not job.description.repeats or next_time >= job.time_count():
+    if job.phase.is_final or not job.description.repeats or next_time >= job.time_count():
         return None
     return job.description.due_ms(next_time)
 
@@ -327,7 +327,7 @@
     for index, task in enumerate(state.tasks):
         if task.open:
             running.append(RunReport(index, task.run, task.node, task.instance, task.percent))
-        elif not task.done and not job.phase.over:
+        elif not task.done and not job.phase.is_final:
             waiting[_wait_reason(head, job, key, index)] += 1
     return StepReport(
         key.time,
--- a/millethead/control/scheduler_sync.py
+++ b/millethead/control/scheduler_sync.py
@@ -88,7 +88,7 @@
 
     def job_submitted(self, job: Job, moment: Moment) -> None:
         """Add a job: its ready steps go to the scheduler, and its next time is put on the calendar if it repeats."""
-        if job.phase.over:
+        if job.phase.is_final:
             return
         if not job.description.repeats:
             self._add_ready_steps(job, 0, moment)
@@ -136,11 +136,11 @@
             description.long_running,
             description.checkpoints,
             moment.to_monotonic(start_ms + job.objective_ms),
-            tail_s=job.description.tails_ms()[key.step] / 1000,
+            tail_s=job.description.longest_successor_chain_ms()[key.step] / 1000,
             work_left=_work_left(job, key.time),
         )
         for index, task in enumerate(state.tasks):
-            if not task.open and not task.done and not job.phase.over:
+            if not task.open and not task.done and not job.phase.is_final:
                 pending.tasks[index] = PendingTask(index, self._checkpoint(job, key, task), moment.now)
         self._scheduler.put_step(pending)
 
@@ -216,7 +216,7 @@
         estimate_s = job.description.steps[run.step].estimate_ms / 1000
         self._latency.run_ended(key, run.index, ended.how, estimate_s, moment.now)
         task = self._jobs.task(run)
-        if task is None or task.done or job.phase.over:
+        if task is None or task.done or job.phase.is_final:
             self._forget_task(key, run.index)
             return
         if job.description.steps[run.step].gang:
@@ -276,7 +276,7 @@
 
     def _step_finished(self, job: Job, key: StepKey, moment: Moment) -> None:
         self._remove(key)
-        if not job.phase.over:
+        if not job.phase.is_final:
             self._add_ready_steps(job, key.time, moment)
 
     def job_ended(self, job: Job) -> None:
@@ -308,14 +308,14 @@
             any_due = True
             _, name, time = heapq.heappop(self._calendar)
             job = self._jobs.find(name)
-            if job is not None and not job.phase.over:
+            if job is not None and not job.phase.is_final:
                 self._add_ready_steps(job, time, moment)
                 self._schedule_time(job, time + 1)
         while self._backing_off and self._backing_off[0][0] <= moment.now:
             any_due = True
             _, key, index = heapq.heappop(self._backing_off)
             job = self._jobs.find(key.job)
-            if job is None or job.phase.over:
+            if job is None or job.phase.is_final:
                 continue
             task = job.at_time(key.time).steps[key.step].tasks[index]
             if not task.open and not task.done:
@@ -332,4 +332,4 @@
 def _work_left(job: Job, time: int) -> float:
     """Return the estimated work that remains of a job at one time, in core-seconds."""
     steps = zip(job.description.steps, job.at_time(time).steps, strict=True)
-    return sum(state.left * step.estimate_ms / 1000 * core_equivalents(step.needs) for step, state in steps)
+    return sum(state.remaining_tasks * step.estimate_ms / 1000 * core_equivalents(step.needs) for step, state in steps)
--- a/millethead/control/state.py
+++ b/millethead/control/state.py
@@ -122,7 +122,7 @@
 
     def restoring(self, payload: bytes) -> Iterator[None]:
         """Like `restore`, but in small steps: each iteration does a part of the work."""
-        self._encoder.give_up()
+        self._encoder.discard()
         self.configuration, self.jobs, self.drained = ConfigurationState(), JobTable(), DrainedNodes()
         self._encoder = TableEncoder(self.jobs)
         if payload:
--- a/millethead/web/metrics.py
+++ b/millethead/web/metrics.py
@@ -1,7 +1,7 @@
-"""Figures of a program in Prometheus' text form, by `prometheus-client`, at `GET /-/metrics`.
+"""Metrics of a program in the Prometheus text format at `GET /-/metrics`, rendered by `prometheus-client`.
 
-Nothing is counted twice and nothing runs for it: what a program holds anyway is read when somebody asks. The library is
-imported by the first request, so that a start is not charged for it.
+There are no separate counters and no background work: each request reads values that the program keeps anyway. The
+library is imported on the first request, so that it does not slow down the start of the program.
 """
 
 from __future__ import annotations
@@ -12,62 +12,63 @@
 
 import bottle  # type: ignore[import-untyped]
 
-from millethead.web.answers import Answer
+from millethead.web.responses import Response
 
 METRICS_PATH = "/-/metrics"
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 PREFIX = "millethead_"
 
 
-class FigureKind(enum.Enum):
-    """How a figure moves."""
+class MetricKind(enum.Enum):
+    """Prometheus metric type."""
 
-    GAUGE = "gauge"  # up and down
-    COUNTER = "counter"  # only up, from 0 at the start of the process
+    GAUGE = "gauge"  # may rise and fall
+    COUNTER = "counter"  # only rises, from 0 at the start of the process
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One line of a figure: the values of its labels, and its own."""
+    """One value of a metric, with the values of its labels."""
 
     labels: tuple[str, ...]
     value: float
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
-    """`name` is without the prefix, and a counter's without `_total`. `labels` names those of the samples."""
+class MetricFamily:
+    """A metric with its samples. `name` excludes PREFIX and, for counters, the suffix `_total`. `labels` are the label
+    names of the samples."""
 
     name: str
     help: str
     samples: Sequence[Sample]
     labels: tuple[str, ...] = ()
-    kind: FigureKind = FigureKind.GAUGE
+    kind: MetricKind = MetricKind.GAUGE
 
 
-def gauge(name: str, help_text: str, value: float) -> Figure:
-    """A figure of one line that may go up and down."""
-    return Figure(name, help_text, (Sample((), value),))
+def gauge(name: str, help_text: str, value: float) -> MetricFamily:
+    """A gauge with a single sample without labels."""
+    return MetricFamily(name, help_text, (Sample((), value),))
 
 
-def counter(name: str, help_text: str, value: float) -> Figure:
-    """A figure of one line that only goes up."""
-    return Figure(name, help_text, (Sample((), value),), kind=FigureKind.COUNTER)
+def counter(name: str, help_text: str, value: float) -> MetricFamily:
+    """A counter with a single sample without labels."""
+    return MetricFamily(name, help_text, (Sample((), value),), kind=MetricKind.COUNTER)
 
 
-def render(figures: Iterable[Figure]) -> bytes:
-    """The page."""
+def render(metrics: Iterable[MetricFamily]) -> bytes:
+    """Renders metrics in the Prometheus text format."""
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
     from prometheus_client.registry import Collector
 
-    families = {FigureKind.GAUGE: GaugeMetricFamily, FigureKind.COUNTER: CounterMetricFamily}
+    families = {MetricKind.GAUGE: GaugeMetricFamily, MetricKind.COUNTER: CounterMetricFamily}
 
     class Page(Collector):
         def collect(self) -> Iterable[Metric]:
-            for figure in figures:
-                family = families[figure.kind](PREFIX + figure.name, figure.help, labels=figure.labels)
-                for sample in figure.samples:
+            for metric in metrics:
+                family = families[metric.kind](PREFIX + metric.name, metric.help, labels=metric.labels)
+                for sample in metric.samples:
                     family.add_metric(sample.labels, sample.value)
                 yield family
 
@@ -76,9 +77,9 @@
     return generate_latest(registry)
 
 
-def add_metrics(app: bottle.Bottle, figures: Callable[[], Iterable[Figure]]) -> None:
-    """Have an application answer METRICS_PATH with what `figures` gives at that moment."""
+def add_metrics(app: bottle.Bottle, figures: Callable[[], Iterable[MetricFamily]]) -> None:
+    """Adds a handler for METRICS_PATH to an application. It calls `figures` for each request."""
 
     @app.get(METRICS_PATH)  # type: ignore[untyped-decorator]
-    def metrics() -> Answer:
-        return Answer(200, render(list(figures())), CONTENT_TYPE)
+    def metrics() -> Response:
+        return Response(200, render(list(figures())), CONTENT_TYPE)
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -131,8 +131,8 @@
 
 
 def test_number_of_drained_nodes_is_limited(monkeypatch):
-    monkeypatch.setattr(drained, "MOST_DRAINED", 1)
-    monkeypatch.setattr("millethead.control.drains.MOST_DRAINED", 1)
+    monkeypatch.setattr(drained, "MAX_DRAINED_NODES", 1)
+    monkeypatch.setattr("millethead.control.drains.MAX_DRAINED_NODES", 1)
     harness = HeadHarness()
     for node in ("n-1", "n-2"):
         harness.agent(node, worker(f"i-{node}"))
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -27,7 +27,7 @@
     CONTENT_TYPE,
     METRICS_PATH,
     PREFIX,
-    Figure,
+    MetricFamily,
     Sample,
     add_metrics,
     counter,
@@ -54,8 +54,8 @@
         [
             gauge("depth", "Deep.", 2.5),
             counter("seen", "Seen.", 3),
-            Figure("jobs", "Jobs.", [Sample((special, "done"), 1)], ("queue", "state")),
-            Figure("none", "No line.", [], ("queue",)),
+            MetricFamily("jobs", "Jobs.", [Sample((special, "done"), 1)], ("queue", "state")),
+            MetricFamily("none", "No line.", [], ("queue",)),
         ]
     )
     assert page == {("depth",): 2.5, ("seen_total",): 3.0, ("jobs", special, "done"): 1.0}
@@ -136,7 +136,7 @@
 
 def test_documentation_lists_exactly_the_metrics():
     code = "".join(path.read_text() for path in PROGRAMS.glob("*_figures.py"))
-    metrics = set(re.findall(r'gauge\("([a-z_]+)"', code)) | set(re.findall(r'Figure\(\s*"([a-z_]+)"', code))
+    metrics = set(re.findall(r'gauge\("([a-z_]+)"', code)) | set(re.findall(r'MetricFamily\(\s*"([a-z_]+)"', code))
     metrics |= {f"{name}_total" for name in re.findall(r'counter\("([a-z_]+)"', code)}
     metrics = {"requests_total" if name == "requests" else name for name in metrics}
     rows = [row.split("|")[1] for row in section("Metrics").splitlines() if row.startswith("| `")]
