--- a/millethead/door/door.py
+++ b/millethead/door/door.py
@@ -19,7 +19,16 @@
 from millethead.door.window import Window
 from millethead.exchange.model import Answer, Cancellable, Clock, Final, Order
 from millethead.exchange.records import Record, Records, ended_unsent
-from millethead.exchange.stage import Amendment, Finished, Reply, Stage, Unusable, no_plan, one_by_one, repeated
+from millethead.exchange.stage import (
+    Amendment,
+    Finished,
+    Reply,
+    Stage,
+    Unusable,
+    arrive_individually,
+    reject_deferred,
+    reject_repeated,
+)
 from millethead.logs import Sparing
 
 LOOK = 5.0  # ms between two looks while jobs stand at the door
@@ -141,9 +150,9 @@
 
     def arrive(self, order: Order, reply: Reply) -> int:
         now, name = self.clock.now(), (order.origin, order.id)
-        no_plan(order, now)
+        reject_deferred(order, now)
         if name in self._standing or (self._records.get(name) is not None and not order.again):
-            return repeated(order, reply)
+            return reject_repeated(order, reply)
         if self._leaving:
             reply(Answer(Final.REFUSED))
             return 0  # not counted: the figures are of a door that is open
@@ -177,7 +186,7 @@
         return guest.number
 
     def arrive_all(self, orders: Sequence[tuple[Order, Reply]]) -> list[int | Unusable]:
-        return one_by_one(self, orders)
+        return arrive_individually(self, orders)
 
     def withdraw(self, number: int) -> None:
         guest = self._guests.get(number)
--- a/millethead/exchange/__init__.py
+++ b/millethead/exchange/__init__.py
@@ -1,4 +1,4 @@
-"""The core: the one object that joins client side and server side. It knows no wire."""
+"""The exchange: connects the front ends with the worker transports. It is independent of any wire protocol."""
 
 from millethead.exchange.core import Exchange
 from millethead.exchange.model import Answer, Attempt, Final, Listed, Order, Worker
--- a/millethead/exchange/carry.py
+++ b/millethead/exchange/carry.py
@@ -1,4 +1,4 @@
-"""A held job goes from one process to its successor: all that is known of it, as plain values and its body."""
+"""Hands a held job over from one process to its successor, as plain values and the body of the job."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from millethead.decide import carry
 from millethead.decide.interface import NEVER_RAN, Outcome, WorkerState
-from millethead.exchange.core import OVERDUE, Exchange
+from millethead.exchange.core import OVERDUE_GRACE_MS, Exchange
 from millethead.exchange.held import HeldJob
 from millethead.exchange.model import Attempt, Listed, Order, ServerSide, Worker
 from millethead.exchange.records import Record
@@ -17,38 +17,44 @@
 
 
 class MovingSide(ServerSide, Protocol):
-    """A server side whose attempts can go on under another process."""
+    """A transport whose attempts can continue in another process."""
 
-    def movable(self, attempt: Attempt) -> bool: ...
+    def movable(self, attempt: Attempt) -> bool:
+        """Whether the attempt can be handed over now."""
 
-    def let_go(self, attempt: Attempt) -> None: ...
+    def let_go(self, attempt: Attempt) -> None:
+        """Stops tracking an attempt that was handed over."""
 
-    def take_over(self, attempt: Attempt) -> None: ...
+    def take_over(self, attempt: Attempt) -> None:
+        """Starts tracking an attempt that the predecessor started."""
 
 
 def release(exchange: Exchange, side: MovingSide, number: int) -> tuple[dict[str, Any], bytes] | None:
-    """Drop a job here and return what its new owner needs. None if it cannot go (now): it has ended, or an attempt
-    is just being written or not yet confirmed. Its client is owed the answer by the other process from now on."""
+    """Removes a job from this process and returns its state and its body, for the process that takes it over.
+
+    From then on, the other process answers the client. Returns None if the job cannot be handed over (now): it has
+    ended, or an attempt is being written or is not acknowledged yet.
+    """
     held = exchange.jobs.get(number)
     if held is None or held.closed:
         return None
-    out = [attempt for attempt in held.attempts if attempt.outcome is None]
-    if not all(attempt.worker.side is side and side.movable(attempt) for attempt in out):
+    in_progress = [attempt for attempt in held.attempts if attempt.outcome is None]
+    if not all(attempt.worker.side is side and side.movable(attempt) for attempt in in_progress):
         return None
     module = carry.release(exchange._module, number)
     if module is None:
         return None
     order = {name: value for name, value in asdict(held.order).items() if name not in ("body", "peer", "plan")}
-    said = {
+    state = {
         "order": order,
         "module": module,
         "came": held.came,
         "may_have_run": held.record.may_have_run,
         "attempts": [(a.worker.name, a.sent, a.end, a.earlier_here, a.whole, a.outcome) for a in held.attempts],
     }
-    for attempt in out:
+    for attempt in in_progress:
         side.let_go(attempt)
-        attempt.outcome = Outcome.CANCELLED  # whatever still comes of it here says nothing
+        attempt.outcome = Outcome.CANCELLED  # further reports on it in this process are ignored
         if attempt.timer is not None:
             attempt.timer.cancel()
     if held.timer is not None:
@@ -56,28 +62,31 @@
     held.closed, held.reply, held.out = True, None, 0
     exchange.jobs.handed_over(held)
     exchange.jobs.forget(held)
-    exchange._empty()
-    return said, held.order.body
+    exchange._call_if_empty()
+    return state, held.order.body
 
 
 def adopt(
-    exchange: Exchange, side: MovingSide, said: dict[str, Any], body: bytes, peer: tuple[str, int] | None, reply: Reply
+    exchange: Exchange, side: MovingSide, state: dict[str, Any], body: bytes, peer: tuple[str, int] | None, reply: Reply
 ) -> int:
-    """Take in a job that the process before this one has dropped; returns its number here. `reply` as in `arrive`."""
+    """Takes over a job that the predecessor released, and returns its number in this process.
+
+    `reply` is called as in `Exchange.arrive`.
+    """
     now = exchange.clock.now()
-    order = Order(**said["order"], body=body, peer=peer)
+    order = Order(**state["order"], body=body, peer=peer)
     number = exchange.jobs.next_number()
-    end = min(float(said["came"]) + order.left, exchange.ends)
+    end = min(float(state["came"]) + order.left, exchange.ends)
     record = Record(
-        now, may_have_run=bool(said["may_have_run"]), came=float(said["came"]), attempts=len(said["attempts"])
+        now, may_have_run=bool(state["may_have_run"]), came=float(state["came"]), attempts=len(state["attempts"])
     )
     held = HeldJob(number, order, reply, end, record.came, record)
-    for n, (name, sent, until, earlier, whole, outcome) in enumerate(said["attempts"]):
+    for index, (name, sent, until, earlier, whole, outcome) in enumerate(state["attempts"]):
         worker = exchange.worker(name) or Worker(crc32(name.encode()), Listed(name, state=WorkerState.GONE), side)
         attempt = Attempt(
             order,
             number,
-            n,
+            index,
             worker,
             sent,
             until,
@@ -93,7 +102,7 @@
         elif attempt.outcome not in NEVER_RAN:
             record.may_have_run = True
     exchange.jobs.add(held)
-    held.timer = exchange.clock.later(end - now + OVERDUE, partial(exchange._overdue, held))
-    module = {**said["module"], "end": end}  # the other process may have cut it short for its own end
-    exchange._queue.put("adopt", lambda at: carry.adopt(exchange._module, number, module, at))
+    held.timer = exchange.clock.later(end - now + OVERDUE_GRACE_MS, partial(exchange._overdue, held))
+    module = {**state["module"], "end": end}  # the predecessor may have shortened the deadline for its own shutdown
+    exchange._queue.put("adopt", lambda now: carry.adopt(exchange._module, number, module, now))
     return number
--- a/millethead/exchange/core.py
+++ b/millethead/exchange/core.py
@@ -1,8 +1,9 @@
-"""The exchange: owns each job from arrival to its one final answer, with its attempts and what may have run.
+"""The exchange: owns each job from its arrival to its one final answer, and tracks the attempts to run it.
 
-Client side calls `arrive` and `withdraw` and is called back once with the answer. Server side is told to
-`start`, `give_up` or `probe` and calls `ended`, `probed` and `listed`. What to do is said by the decision
-module alone: each of these calls becomes one of its events, and its actions are carried out in order.
+Front ends call `arrive` and `withdraw`, and get one callback with the answer. The exchange calls `start`,
+`give_up` and `probe` of the worker transports, which report back with `ended`, `probed` and `listed`. The decision
+module alone decides what to do: each of these calls becomes one event for it, and the exchange executes the
+actions that it returns, in order.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 from millethead.decide import interface as api
 from millethead.decide.balance import Balancer
-from millethead.exchange.held import HELD, HeldJob, HeldJobs
+from millethead.exchange.held import MAX_HELD_JOBS, HeldJob, HeldJobs
 from millethead.exchange.model import (
     Answer,
     Attempt,
@@ -30,64 +31,76 @@
 )
 from millethead.exchange.module_queue import ModuleQueue
 from millethead.exchange.records import WITHDRAWN, Record
-from millethead.exchange.stage import Amendment, Finished, Reply, Unusable, no_plan, one_by_one, repeated
+from millethead.exchange.stage import (
+    Amendment,
+    Finished,
+    Reply,
+    Unusable,
+    arrive_individually,
+    reject_deferred,
+    reject_repeated,
+)
 from millethead.exchange.tally import Tally
-from millethead.exchange.workers import Nowhere, WorkerTable
+from millethead.exchange.workers import UnlistedTransport, WorkerTable
 
-OVERDUE = 8.0  # ms past the deadline after which the exchange answers without waiting for the module
+OVERDUE_GRACE_MS = 8.0  # after this time past the deadline the exchange answers without the decision module
 
 log = structlog.get_logger()
 
 
 class Exchange:
-    """The last stage. `flows` are put behind those of the tenants, for stages that hold jobs back (`Order.flow`
-    counts from 0 through both)."""
+    """The last stage of the pipeline.
+
+    `flows` are additional flows of the decision module, for stages that hold jobs back. They follow the flows of
+    the tenants: `Order.flow` is an index into both, counted from 0.
+    """
 
     def __init__(self, settings: api.Settings, seed: int, clock: Clock, flows: tuple[api.Tenant, ...] = ()) -> None:
         self.settings, self.clock, self.flows = settings, clock, flows
-        self._fleet: dict[str, Any] = {}  # what membership says of this node's place, over what the settings do
+        self._fleet: dict[str, Any] = {}  # fields of `settings` that the cluster membership overrides
         self.roster: Roster | None = None
         self.finished: Finished | None = None
         self._on_empty: Callable[[], None] | None = None
         self.closing = self.leaving = False
-        self.most = HELD  # jobs that owe their answer at once
-        self.ends = float("inf")
+        self.max_unanswered = MAX_HELD_JOBS
+        self.ends = float("inf")  # ms of the clock by which every job must be answered
         self._module = Balancer(self._with_flows(settings), seed)
-        self._queue = ModuleQueue(clock, self._act)
+        self._queue = ModuleQueue(clock, self._execute)
         self.jobs = HeldJobs()
         self._workers = WorkerTable()
-        self.on_attempt: Callable[[Attempt, api.Outcome, float], None] | None = None  # told of each end, with its ms
+        # called at the end of each attempt, with its duration in ms, and of each probe, with the worker's name
+        self.on_attempt: Callable[[Attempt, api.Outcome, float], None] | None = None
         self.on_probe: Callable[[str, api.Outcome], None] | None = None
         self.tally = Tally(len(settings.classes))
 
-    # ---- client side -------------------------------------------------------------------------------
+    # ---- calls of the front ends -------------------------------------------------------------------
 
     @property
     def ready(self) -> bool:
-        """Whether some worker is known to which work could go."""
+        """Whether some worker is in service and the exchange is not shutting down."""
         return not (self.closing or self.leaving) and any(w.open for w in self._workers)
 
     @property
     def held(self) -> int:
-        """Jobs that still owe their final answer."""
-        return self.jobs.owing
+        """The number of jobs without a final answer."""
+        return self.jobs.unanswered
 
     def record(self, origin: str, job_id: str) -> Record | None:
-        """What is known of a job by its id: held (no answer yet), or ended not long ago."""
+        """Returns the record of a job that is unanswered or ended recently."""
         return self.jobs.record(origin, job_id)
 
     def counts(self) -> dict[str, int]:
         return {}
 
     def arrive(self, order: Order, reply: Reply) -> int:
-        """Take a job in; `reply` is called once with its final answer unless it is withdrawn first."""
+        """Accepts a job. `reply` is called once with its final answer, unless the job is withdrawn before."""
         now = self.clock.now()
-        no_plan(order, now)
+        reject_deferred(order, now)
         known = self.record(order.origin, order.id)
-        if known is not None and not self._offered_again(order, known):
+        if known is not None and not self._may_be_resubmitted(order, known):
             self.tally.final(order.job_class, Final.FAILED)
-            return repeated(order, reply)
-        if self.closing or not self.jobs.has_room(order, self.most):
+            return reject_repeated(order, reply)
+        if self.closing or not self.jobs.has_room(order, self.max_unanswered):
             log.warning("job_not_taken", job=order.id, closing=self.closing, held=len(self.jobs.by_number))
             self.tally.final(order.job_class, Final.REFUSED)
             reply(Answer(Final.REFUSED))
@@ -96,7 +109,7 @@
         end = min(now + order.left, self.ends)
         held = HeldJob(number, order, reply, end, now, Record(now, came=now))
         self.jobs.add(held)
-        held.timer = self.clock.later(end - now + OVERDUE, lambda: self._overdue(held))
+        held.timer = self.clock.later(end - now + OVERDUE_GRACE_MS, lambda: self._overdue(held))
         self._feed(
             api.JobArrived(
                 number,
@@ -113,37 +126,37 @@
         )
         return number
 
-    def _offered_again(self, order: Order, known: Record) -> bool:
-        """Whether a job that comes once more was refused, and has not run or may be repeated."""
+    def _may_be_resubmitted(self, order: Order, known: Record) -> bool:
+        """Whether a stage submits a refused job again that has not run or is safe to repeat."""
         safe = self.settings.classes[order.job_class].effect is api.Effect.SAFE
         return order.again and known.final is Final.REFUSED and (safe or not known.may_have_run)
 
     def arrive_all(self, orders: Sequence[tuple[Order, Reply]]) -> list[int | Unusable]:
-        return one_by_one(self, orders)
+        return arrive_individually(self, orders)
 
     def amend(self, amendment: Amendment) -> None:
-        """Nothing is held back here: a job waits for a worker, or has started."""
+        """Does nothing: the exchange holds no jobs back, they wait for a worker or have started."""
 
     def withdraw(self, number: int) -> None:
-        """The client is gone: nothing more is owed."""
+        """Drops a job whose client has disconnected."""
         held = self.jobs.get(number)
         if held is not None and not held.closed:
             log.info("job_withdrawn", job=held.order.id)
             self._close(held, None)
             for attempt in held.attempts:
-                if not attempt.whole:  # nothing has begun: to drop it needs nobody's leave
+                if not attempt.whole:  # the worker cannot have started it, so cancelling needs no permission
                     self._give_up(attempt, api.Outcome.NEVER_SENT)
             self._feed(api.JobWithdrawn(number))
             self.jobs.forget(held)
 
     def reconfigure(self, settings: api.Settings) -> None:
-        """New figures for the same classes and tenants; what is held keeps the deadline it came with."""
+        """Applies new settings for the same classes and tenants. Jobs already held keep their deadlines."""
         self.settings = settings
         self._module.reconfigure(self._with_flows(settings))
 
     def in_fleet(self, share: float, until: float, nodes: int, node: int) -> None:
-        """From now on this node is number `node` of `nodes`, and may use `share` of fleet-wide limits until the
-        clock says `until`."""
+        """Sets this node's place in the fleet: index `node` of `nodes`. It may use the fraction `share` of
+        fleet-wide limits until the time `until`."""
         self._fleet = {"share": share, "share_until": until, "nodes": nodes, "node": node}
         self.reconfigure(self.settings)
 
@@ -155,7 +168,7 @@
         return replace(settings, tenants=(settings.tenants or (api.Tenant(),)) + self.flows)
 
     def leave(self, left: float | None) -> None:
-        """Go on, but with everything answered in `left` ms, since the program may be killed after that."""
+        """Continues, but answers every job within `left` ms, since the process may be killed after that."""
         if left is None:
             return
         self.leaving, self.ends = True, self.clock.now() + left
@@ -164,55 +177,61 @@
                 held.end = self.ends
                 if held.timer is not None:
                     held.timer.cancel()
-                held.timer = self.clock.later(left + OVERDUE, partial(self._overdue, held))
+                held.timer = self.clock.later(left + OVERDUE_GRACE_MS, partial(self._overdue, held))
         self._feed(api.Closing(left))
 
     def close(self, empty: Callable[[], None]) -> None:
-        """Take nothing more; `empty` is called when all that is held has its answer."""
+        """Accepts no more jobs; `empty` is called once all held jobs are answered."""
         self.closing, self._on_empty = True, empty
-        self._empty()
+        self._call_if_empty()
 
-    # ---- server side -------------------------------------------------------------------------------
+    # ---- calls of the worker transports ------------------------------------------------------------
 
     def worker(self, name: str) -> Worker | None:
         return self._workers.named(name)
 
     @property
     def workers(self) -> list[Worker]:
-        """All workers that stand in a list now."""
+        """All listed workers."""
         return list(self._workers)
 
     @property
     def down(self) -> int:
-        """How many of them get nothing new now, by hand or by the module's choice."""
+        """The number of workers that get no new work now, by the operator's or the decision module's choice."""
         return self._module.down(self.clock.now())
 
     @property
     def out(self) -> frozenset[str]:
-        """The names of workers that an operator has taken out, whether they are listed or not."""
+        """The names of workers that an operator has taken out of service, listed or not."""
         return self._workers.out
 
     def take_out(self, names: Iterable[str]) -> None:
-        """Nothing new goes to workers of these names until they are put back, whatever lists say; what stands
-        there goes on."""
-        self._marked(self._workers.take_out(names))
+        """Sends no new work to these workers until they are put back into service, whatever the worker lists
+        contain. Attempts in progress continue."""
+        self._report_marked(self._workers.take_out(names))
 
     def put_back(self, names: Iterable[str]) -> None:
-        self._marked(self._workers.put_back(names))
+        self._report_marked(self._workers.put_back(names))
 
     def fleet_out(self, names: frozenset[str]) -> None:
-        """These, and no others, are out since the fleet has agreed on it; who is out by hand stays out."""
-        self._marked(self._workers.fleet_out(names))
+        """Replaces the set of workers that the fleet has agreed to take out of service.
+
+        Workers that an operator has taken out stay out.
+        """
+        self._report_marked(self._workers.fleet_out(names))
 
-    def _marked(self, entries: list[api.WorkerEntry]) -> None:
+    def _report_marked(self, entries: list[api.WorkerEntry]) -> None:
         if entries:
             self._feed(api.WorkerList(api.ListForm.BY_HAND, tuple(entries)))
 
     def listed(
         self, side: ServerSide, form: api.ListForm, lines: Iterable[Listed] = (), within: float = float("inf")
     ) -> None:
-        """A list, or changes of it, from one server side. A whole list speaks for that side alone. `within`: ms until
-        the next call for one begins at the latest."""
+        """Applies a worker list, or changes to it, from one transport.
+
+        A complete list replaces only the workers of that transport. `within` is the longest time in ms until the
+        next list is requested.
+        """
         self._feed(api.WorkerList(form, self._workers.listed(side, form, lines), within=within))
 
     def ended(
@@ -223,8 +242,10 @@
         report: api.Report | None = None,
         unusable: bool = False,
     ) -> None:
-        """An attempt's outcome; only the first that is told counts. `unusable`: the worker finds fault with
-        the job itself."""
+        """Records the outcome of an attempt; only the first report counts.
+
+        `unusable` means that the worker rejected the job itself as invalid.
+        """
         if attempt.outcome is not None:
             return
         attempt.outcome = outcome
@@ -256,12 +277,12 @@
         self.jobs.forget(held)
 
     def written(self, attempt: Attempt) -> None:
-        """The last byte of an attempt was written: it may run from now on."""
+        """Records that the request of an attempt was written completely; from now on the job may have run."""
         attempt.whole = True
         self.tally.written[attempt.order.job_class] += 1
 
     def taken(self, attempt: Attempt) -> None:
-        """A worker that confirms says that it has the job."""
+        """Records that a worker has acknowledged a job."""
         if attempt.outcome is None:
             self._feed(api.AttemptTaken(attempt.job, attempt.number))
 
@@ -272,12 +293,12 @@
             self.on_probe(worker.name, outcome)
         self._feed(api.ProbeEnded(worker.number, outcome, elapsed, report))
 
-    # ---- the module's events and actions -----------------------------------------------------------
+    # ---- events and actions of the decision module -------------------------------------------------
 
     def _feed(self, event: api.Event) -> None:
         self._queue.put(type(event).__name__, lambda now: self._module.handle(now, event))
 
-    def _act(self, action: api.Action) -> None:
+    def _execute(self, action: api.Action) -> None:
         match action:
             case api.SetTimer(token=token, delay=delay):
                 self.clock.later(delay, lambda: self._feed(api.TimerFired(token)))
@@ -301,7 +322,7 @@
             case api.ListWorkers():
                 if self.roster is not None:
                     self.roster.ask()
-            case _:  # pragma: no cover - TellPeers: this deployment has no peer messages
+            case _:  # pragma: no cover - TellPeers, which needs peer messages that do not exist here
                 log.error("action_unknown", action=type(action).__name__)
 
     def _send(self, action: api.Send) -> None:
@@ -313,7 +334,7 @@
         end = min(held.end, now + action.timeout) if action.timeout else held.end
         if worker is None:
             log.error("send_to_unknown_worker", job=held.order.id, worker=action.worker)
-            worker = Worker(action.worker, Listed("unknown"), Nowhere())
+            worker = Worker(action.worker, Listed("unknown"), UnlistedTransport())
         attempt = Attempt(
             held.order,
             held.number,
@@ -333,10 +354,10 @@
             held.closed
             or end <= now
             or attempt.number >= self.settings.max_attempts
-            or isinstance(worker.side, Nowhere)
+            or isinstance(worker.side, UnlistedTransport)
         ):
             self.ended(attempt, api.Outcome.NEVER_SENT)
-        elif effect is api.Effect.UNSAFE and again:  # the last guard of the rule that matters most
+        elif effect is api.Effect.UNSAFE and again:  # never run an unsafe job twice, whatever the module decides
             log.error("unsafe_resend_stopped", job=held.order.id)
             self.ended(attempt, api.Outcome.NEVER_SENT)
         else:
@@ -348,7 +369,7 @@
             attempt.worker.side.give_up(attempt)
             self.ended(attempt, outcome)
 
-    # ---- the one final answer ----------------------------------------------------------------------
+    # ---- the final answer --------------------------------------------------------------------------
 
     def _answer(self, number: int, answer: Answer) -> None:
         held = self.jobs.get(number)
@@ -357,7 +378,7 @@
             self.jobs.forget(held)
 
     def _close(self, held: HeldJob, answer: Answer | None) -> None:
-        """The one place where a job gets its answer (None: its client is gone)."""
+        """Closes a job with its only answer (None: its client withdrew it). Every job is closed here."""
         held.closed = True
         if held.timer is not None:
             held.timer.cancel()
@@ -380,15 +401,15 @@
         if self.finished is not None:
             self.finished(held.order, answer, held.came, now)
         held.reply = None
-        self._empty()
+        self._call_if_empty()
 
     def _overdue(self, held: HeldJob) -> None:
-        if not held.closed:  # the module's own timer comes sooner: only its failure leads here
+        if not held.closed:  # the decision module's timer fires earlier, unless the module has failed
             log.error("job_overdue", job=held.order.id)
             self._answer(held.number, Answer(Final.FAILED))
             self._feed(api.JobWithdrawn(held.number))
 
-    def _empty(self) -> None:
-        if self.closing and not self.jobs.owing and self._on_empty is not None:
-            call, self._on_empty = self._on_empty, None
-            call()
+    def _call_if_empty(self) -> None:
+        if self.closing and not self.jobs.unanswered and self._on_empty is not None:
+            on_empty, self._on_empty = self._on_empty, None
+            on_empty()
--- a/millethead/exchange/model.py
+++ b/millethead/exchange/model.py
@@ -1,4 +1,4 @@
-"""What client side and server side say to the exchange, and what it says to them."""
+"""The data types and interfaces that the exchange shares with the front ends and the worker transports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Final(Enum):
-    """The three final answers. A job gets exactly one."""
+    """The kind of final answer that a job gets. Each job gets exactly one."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -20,20 +20,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """A job's final answer: `result` is what a worker made, `pause` (ms) when a refused client may return."""
+    """A job's final answer.
+
+    `result` is the worker's result. `pause` is the time in ms after which a refused client may retry;
+    0 if there is no estimate.
+    """
 
     final: Final
     result: bytes = b""
     pause: float = 0.0
 
 
-PARENTS = 64  # jobs that one job may wait for
+MAX_PARENTS = 64  # jobs that one job may depend on
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """When a job may run: not before `at` (Unix time in ms by the wall clock, 0: at once), and only after the
-    jobs named in `after` have ended: served, or in any way if `any_end`."""
+    """When a job may run.
+
+    It does not start before `at` (Unix time in ms of the wall clock; 0 means at once), and only after every job
+    in `after` (its parents) has ended. Each parent must have been served, unless `any_end` is set: then any
+    outcome of a parent will do.
+    """
 
     at: float = 0.0
     after: tuple[str, ...] = ()
@@ -42,13 +50,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Order:
-    """One job as a client handed it in. The core does not read its content: `target`, `body`, and how its
-    client names its type and queue.
+    """One job as its client submitted it.
+
+    The exchange does not interpret the content: `target`, `body`, `jobtype` and `queue`.
 
-    `left` is the longest that it may take once it can run (ms), `asked` what its client itself allows, `waits`
-    that the client counts that from now on and not from when the job is due. `client`: who hands it in, if more is
-    known than `peer`. `flow`: the flow of the module
-    that it waits in, if not its tenant's. `again`: it was refused before, and a stage hands it in once more."""
+    left: the time in ms within which the job must be answered, counted from when it can run.
+    asked: the timeout in ms that the client asked for.
+    waits: the client's timeout runs from the submission, not from the time at which the job is due.
+    once_key: the client's idempotency key.
+    repeat: the client marked this request as a retry.
+    origin: the front end through which the job came; with `id` it identifies the job.
+    client: the name of the submitter, where more than its address (`peer`) is known.
+    flow: the decision module's flow in which the job waits, if that is not the flow of its tenant.
+    again: the job was refused before, and a stage now submits it again.
+    """
 
     id: str
     job_class: int
@@ -65,7 +80,7 @@
     fresh: bool = False
     jobtype: str = ""
     queue: str = ""
-    reserve: float = float("inf")  # ms that one worker may hold it
+    reserve: float = float("inf")  # ms for which one worker may hold the job
     origin: str = ""
     peer: tuple[str, int] | None = None
     asked: float = float("inf")
@@ -78,7 +93,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Listed:
-    """One line of a worker list, by name. `started` is Unix time in ms, 0 for long ago."""
+    """One entry of a worker list.
+
+    `started` is Unix time in ms, 0 if the worker started long ago. `takes` are the job classes that the worker
+    accepts (None: all). `confirms`: the worker acknowledges a job before it runs it.
+    """
 
     name: str
     address: tuple[str, int] | None = None
@@ -93,7 +112,7 @@
 
 
 class Worker:
-    """A worker that some list has named, with the server side that reaches it."""
+    """A listed worker, with the transport that reaches it."""
 
     __slots__ = ("address", "entry", "name", "number", "open", "side")
 
@@ -103,7 +122,7 @@
 
     @property
     def wanted(self) -> bool:
-        """Whether something new may be sent to it: it is in service, and no operator has taken it out."""
+        """Whether it may be sent new work: it is in service and has not been taken out of service."""
         return self.open and not self.entry.out
 
     def take(self, listed: Listed, out: bool = False) -> None:
@@ -125,8 +144,15 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of a job to a worker, which ends at `end` at the latest. `begin_by`: after that its last byte is not
-    written any more. `whole`: it was written, so the job may have run."""
+    """One attempt to run a job on a worker.
+
+    sent, end: the start, and the latest end, in ms of the exchange's clock.
+    earlier_here: an earlier attempt of this job went to the same worker.
+    begin_by: the transport does not write the last byte of the request after this time.
+    whole: the request was written completely, so the job may have run.
+    outcome: None while the attempt is in progress.
+    channel: private to the transport.
+    """
 
     order: Order
     job: int
@@ -147,7 +173,7 @@
 
 
 class Clock(Protocol):
-    """Time as the core sees it: milliseconds, Unix time at the start, never backwards."""
+    """The exchange's clock: milliseconds, Unix time at the start of the process, never running backwards."""
 
     def now(self) -> float: ...
 
@@ -155,7 +181,11 @@
 
 
 class ServerSide(Protocol):
-    """What the exchange asks of those who reach workers. Each call returns at once; ends come as `ended`."""
+    """A transport that reaches workers.
+
+    Each call returns at once. The transport reports the end of an attempt with `Exchange.ended`, and that of a
+    probe with `Exchange.probed`.
+    """
 
     def start(self, attempt: Attempt) -> None: ...
 
@@ -165,11 +195,13 @@
 
 
 class Roster(Protocol):
-    """What the exchange asks of discovery; the answer comes as `listed`."""
+    """The service discovery client; it reports worker lists with `Exchange.listed`."""
 
-    def watch(self, on: bool) -> None: ...
+    def watch(self, on: bool) -> None:
+        """Subscribes to changes of the worker list, or unsubscribes."""
 
-    def ask(self) -> None: ...
+    def ask(self) -> None:
+        """Requests the complete worker list."""
 
 
 __all__ = [
--- a/millethead/exchange/module_queue.py
+++ b/millethead/exchange/module_queue.py
@@ -1,4 +1,4 @@
-"""Calls of the decision module in order: each one's actions are carried out before the next call is made."""
+"""Serializes the calls to the decision module: the actions of one call are executed before the next call."""
 
 from __future__ import annotations
 
@@ -11,34 +11,38 @@
 from millethead.exchange.model import Clock
 
 log = structlog.get_logger()
-ModuleCall = Callable[[float], list[Action]]  # takes the time
+ModuleCall = Callable[[float], list[Action]]  # takes the current time in ms
 
 
 class ModuleQueue:
-    """`act` carries one action out. It may bring further calls: these wait until all actions before them are done."""
+    """A queue of calls to the decision module.
 
-    def __init__(self, clock: Clock, act: Callable[[Action], None]) -> None:
-        self._clock, self._act = clock, act
+    `execute` carries out one action. It may queue further calls, which wait until all actions before them have
+    been executed.
+    """
+
+    def __init__(self, clock: Clock, execute: Callable[[Action], None]) -> None:
+        self._clock, self._execute = clock, execute
         self._calls: deque[tuple[str, ModuleCall]] = deque()
-        self._busy = False
+        self._running = False
 
-    def put(self, what: str, call: ModuleCall) -> None:
-        """Make a call as soon as those before it are done. One that raises is logged under `what`, and left out."""
-        self._calls.append((what, call))
-        if self._busy:
+    def put(self, name: str, call: ModuleCall) -> None:
+        """Makes a call once all earlier calls are done. A call that raises is logged under `name` and skipped."""
+        self._calls.append((name, call))
+        if self._running:
             return
-        self._busy = True
+        self._running = True
         try:
             while self._calls:
-                self._make(*self._calls.popleft())
+                self._run(*self._calls.popleft())
         finally:
-            self._busy = False
+            self._running = False
 
-    def _make(self, what: str, call: ModuleCall) -> None:
+    def _run(self, name: str, call: ModuleCall) -> None:
         try:
             actions = call(self._clock.now())
         except Exception:
-            log.exception("module_failed", event_type=what)
+            log.exception("module_failed", event_type=name)
             return
         for action in actions:
-            self._act(action)
+            self._execute(action)
--- a/millethead/exchange/records.py
+++ b/millethead/exchange/records.py
@@ -1,4 +1,4 @@
-"""What is remembered of jobs by their ids, for a bounded time and number."""
+"""Records of jobs by id. The records of ended jobs are kept for a bounded time, up to a bounded number."""
 
 from __future__ import annotations
 
@@ -7,15 +7,22 @@
 
 from millethead.exchange.model import Answer, Final
 
-KEPT = 32768  # outcomes remembered
-KEPT_FOR = 600_000.0  # ms that an outcome is remembered
+MAX_RECORDS = 32768
+RECORD_LIFETIME_MS = 600_000.0
 WITHDRAWN = "withdrawn"
 
 
 @dataclass(slots=True)
 class Record:
-    """A job by its id. `ended` with no `final`: its client withdrew it. `state` is a stage's word for a job
-    that it holds back, or why it ended there."""
+    """The state of one job.
+
+    at: when the record last changed (ms).
+    final: the kind of answer; None while the job is held, and for a job that its client withdrew (`ended` is
+        then set).
+    may_have_run: some attempt may have executed the job.
+    came: when the job arrived (ms).
+    state: the name of the state in which a stage holds the job back, or why the job ended in that stage.
+    """
 
     at: float
     final: Final | None = None
@@ -27,7 +34,10 @@
 
 
 def ended_unsent(answer: Answer | None, came: float, now: float) -> Record:
-    """The outcome of a job that a stage ended before any worker had it (None: it was withdrawn)."""
+    """Returns the record of a job that ended in a stage before it was sent to a worker.
+
+    `answer` is None if the client withdrew the job.
+    """
     return Record(
         now,
         answer.final if answer is not None else None,
@@ -38,20 +48,23 @@
 
 
 class Records:
-    """Outcomes by (origin, id): the oldest go first, by number and by age."""
+    """Records of ended jobs by (origin, id).
+
+    `put` evicts the oldest records beyond MAX_RECORDS, and those older than RECORD_LIFETIME_MS.
+    """
 
     def __init__(self) -> None:
-        self._kept: OrderedDict[tuple[str, str], Record] = OrderedDict()
+        self._records: OrderedDict[tuple[str, str], Record] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._records)
 
-    def get(self, name: tuple[str, str]) -> Record | None:
-        return self._kept.get(name)
+    def get(self, key: tuple[str, str]) -> Record | None:
+        return self._records.get(key)
 
-    def put(self, name: tuple[str, str], record: Record, now: float) -> None:
-        kept = self._kept
-        kept[name] = record
-        kept.move_to_end(name)
-        while kept and (len(kept) > KEPT or next(iter(kept.values())).at < now - KEPT_FOR):
-            kept.popitem(last=False)
+    def put(self, key: tuple[str, str], record: Record, now: float) -> None:
+        records = self._records
+        records[key] = record
+        records.move_to_end(key)
+        while records and (len(records) > MAX_RECORDS or next(iter(records.values())).at < now - RECORD_LIFETIME_MS):
+            records.popitem(last=False)
--- a/millethead/exchange/stage.py
+++ b/millethead/exchange/stage.py
@@ -1,7 +1,8 @@
-"""The seam between fronts and the exchange: stages that a job passes on its way in.
+"""The interface between the front ends and the exchange: pipeline stages that each job passes through.
 
-A front holds one `Stage` and cannot tell how many stand behind it. The exchange is the last one; `program.py`
-alone puts them together. A stage that holds jobs back owes them what the exchange owes: one final answer.
+A front end holds the first `Stage`, and does not depend on how many follow. The exchange is the last one;
+`program.py` connects them. A stage that holds jobs back has to give each of them exactly one final answer, as the
+exchange does.
 """
 
 from __future__ import annotations
@@ -15,21 +16,25 @@
 from millethead.exchange.records import Record
 from millethead.logs import Sparing
 
-sparing_log = Sparing()
+limited_log = Sparing()
 Reply = Callable[[Answer], None]
 Finished = Callable[[Order, Answer | None, float, float], None]  # (order, answer, came, ended), ms
 
 
 class Unusable(Exception):
-    """An order that cannot be taken as it stands; the text says why in one line. Nothing of it is kept, and
-    the front tells its client so in the words of its own protocol."""
+    """An invalid order. The text is a one-line reason.
+
+    Nothing of the order is stored, and the front end reports the error to the client in its own protocol.
+    """
 
 
 @dataclass(slots=True, frozen=True)
 class Amendment:
-    """What a client wants done with jobs of its front that wait in some stage: those in `state` (as `Record`
-    names it), and if given, only those with one of the ids or of the jobtype. `hasten`: due now, instead of
-    withdrawn."""
+    """A client's request to withdraw jobs that wait in some stage, or to make them due now (`hasten`).
+
+    It selects the jobs of the front end `origin` that are in `state` (see `Record.state`); if `ids` or `jobtype`
+    is given, only those that match.
+    """
 
     origin: str
     state: str
@@ -39,75 +44,81 @@
 
 
 class Stage(Protocol):
-    """What fronts ask of whatever stands before the workers. All times are ms."""
+    """A pipeline stage, as the front ends use it. All times are in ms."""
 
     @property
     def settings(self) -> Settings:
-        """The figures that hold now."""
+        """The current settings."""
 
-    finished: Finished | None
+    finished: Finished | None  # called when a job has been answered or withdrawn
 
     @property
     def ready(self) -> bool:
-        """Whether some worker is known to which work could go."""
+        """Whether some worker is in service and the stage is not shutting down."""
 
     @property
     def held(self) -> int:
-        """Jobs that still owe their final answer."""
+        """The number of jobs without a final answer."""
 
     @property
     def closing(self) -> bool:
-        """Whether nothing more is taken."""
+        """Whether no more jobs are accepted."""
 
     def record(self, origin: str, job_id: str) -> Record | None:
-        """What is known of a job by its id: held (no answer yet), or ended not long ago."""
+        """Returns the record of a job that is unanswered or ended recently."""
 
     def counts(self) -> dict[str, int]:
-        """How many jobs wait in which state, besides those that wait for a worker."""
+        """The number of jobs held back, by state. Jobs that wait for a worker are not included."""
 
     def arrive(self, order: Order, reply: Reply) -> int:
-        """Take a job in; `reply` is called once with its final answer unless it is withdrawn first. Returns
-        its number, or 0 where it had its answer at once. Raises Unusable."""
+        """Accepts a job. `reply` is called once with its final answer, unless the job is withdrawn before.
+
+        Returns the number of the job, or 0 if it was answered at once. Raises Unusable.
+        """
 
     def arrive_all(self, orders: Sequence[tuple[Order, Reply]]) -> list[int | Unusable]:
-        """Take in several, which may name one another in any order; the results stand in the order given."""
+        """Accepts several jobs, which may depend on each other in any order. Returns the results in the order
+        of `orders`."""
 
     def withdraw(self, number: int) -> None:
-        """The client is gone: nothing more is owed."""
+        """Drops a job whose client has disconnected."""
 
     def amend(self, amendment: Amendment) -> None:
-        """Withdraw or hasten jobs that wait; those that have started are left alone."""
+        """Withdraws waiting jobs or makes them due. Jobs that have started are not affected."""
 
     def reconfigure(self, settings: Settings) -> None:
-        """New figures for the same classes and tenants."""
+        """Applies new settings for the same classes and tenants."""
 
     def leave(self, left: float | None) -> None:
-        """The program was told to end: have everything answered in `left` ms (None: by its own deadline)."""
+        """Starts the shutdown: every job is answered within `left` ms (None: by its own deadline)."""
 
     def close(self, empty: Callable[[], None]) -> None:
-        """Take nothing more; `empty` is called when all that is held has its answer."""
+        """Accepts no more jobs; `empty` is called once all held jobs are answered."""
+
 
+def reject_repeated(order: Order, reply: Reply) -> int:
+    """Answers a job with a known id with FAILED, and returns 0.
 
-def repeated(order: Order, reply: Reply) -> int:
-    """The answer to an id that is known. Ids are never reused, a client's retry included: this is the same job
-    again, which could charge twice, or somebody else's under its name, which workers turn away."""
-    sparing_log.warning("job_id_repeated", job=order.id)
+    Ids are never reused, not even by a client's retry. So this is either the same job again, which could charge
+    a customer twice, or another client's job under the same id, which workers reject.
+    """
+    limited_log.warning("job_id_repeated", job=order.id)
     reply(Answer(Final.FAILED))
     return 0
 
 
-def no_plan(order: Order, now: float) -> None:
-    """Raises Unusable where a job that must wait reaches a stage that holds none back."""
+def reject_deferred(order: Order, now: float) -> None:
+    """Raises Unusable for a job that must wait, in a stage that does not hold jobs back."""
     if order.plan is not None and (order.plan.after or order.plan.at > now):
         raise Unusable("jobs for a later time, or after others, are not taken here")
 
 
-def one_by_one(stage: Stage, orders: Sequence[tuple[Order, Reply]]) -> list[int | Unusable]:
-    """`arrive_all` of a stage to which jobs that come together are nothing special."""
-    out: list[int | Unusable] = []
+def arrive_individually(stage: Stage, orders: Sequence[tuple[Order, Reply]]) -> list[int | Unusable]:
+    """Implements `arrive_all` for a stage that handles each job on its own."""
+    results: list[int | Unusable] = []
     for order, reply in orders:
         try:
-            out.append(stage.arrive(order, reply))
-        except Unusable as why:
-            out.append(why)
-    return out
+            results.append(stage.arrive(order, reply))
+        except Unusable as error:
+            results.append(error)
+    return results
--- a/millethead/exchange/tally.py
+++ b/millethead/exchange/tally.py
@@ -1,4 +1,4 @@
-"""Counts by job class since the start of the process. Each is raised at the one place where the thing happens."""
+"""Counters by job class since the start of the process."""
 
 from __future__ import annotations
 
@@ -6,7 +6,11 @@
 
 
 class Tally:
-    """`served`, `refused` and `failed` count final answers, `written` attempts whose last byte was written."""
+    """Counters by job class.
+
+    `served`, `refused` and `failed` count final answers. `written` counts attempts whose request was written
+    completely.
+    """
 
     __slots__ = ("failed", "refused", "served", "written")
 
@@ -14,5 +18,6 @@
         self.served, self.refused, self.failed, self.written = ([0] * classes for _ in range(4))
 
     def final(self, job_class: int, final: Final) -> None:
+        """Counts one final answer."""
         counts = self.served if final is Final.SERVED else self.refused if final is Final.REFUSED else self.failed
         counts[job_class] += 1
--- a/millethead/exchange/workers.py
+++ b/millethead/exchange/workers.py
@@ -1,4 +1,4 @@
-"""The workers that lists have named, and which of them an operator, or the fleet, has taken out."""
+"""The table of listed workers, and which of them are taken out of service by an operator or by the fleet."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class WorkerTable:
-    """Calls that change what the module must know return the entries to tell it."""
+    """The listed workers by name and number.
+
+    Methods that change the table return the entries that the decision module must be informed of.
+    """
 
     def __init__(self) -> None:
         self._by_number: dict[int, Worker] = {}
@@ -32,32 +35,35 @@
     def numbered(self, number: int) -> Worker | None:
         return self._by_number.get(number)
 
-    # ---- out by hand, or by what the fleet has agreed on ---------------------------------------------
+    # ---- taken out of service ------------------------------------------------------------------------
 
     @property
     def out(self) -> frozenset[str]:
-        """The names that an operator has taken out, whether they are listed or not."""
+        """The names of workers that an operator has taken out of service, listed or not."""
         return frozenset(self._out)
 
     def take_out(self, names: Iterable[str]) -> list[WorkerEntry]:
         names = list(names)
         self._out.update(names)
-        return self._mark(names)
+        return self._update_marks(names)
 
     def put_back(self, names: Iterable[str]) -> list[WorkerEntry]:
         names = list(names)
         self._out.difference_update(names)
-        return self._mark(names)
+        return self._update_marks(names)
 
     def fleet_out(self, names: frozenset[str]) -> list[WorkerEntry]:
-        """These, and no others, are out since the fleet has agreed on it; who is out by hand stays out."""
+        """Replaces the set of workers that the fleet has agreed to take out of service.
+
+        Workers that an operator has taken out stay out.
+        """
         changed, self._fleet_out = self._fleet_out ^ names, names
-        return self._mark(changed)
+        return self._update_marks(changed)
 
     def _is_out(self, name: str) -> bool:
         return name in self._out or name in self._fleet_out
 
-    def _mark(self, names: Iterable[str]) -> list[WorkerEntry]:
+    def _update_marks(self, names: Iterable[str]) -> list[WorkerEntry]:
         entries = []
         for name in names:
             worker, out = self._by_name.get(name), self._is_out(name)
@@ -68,60 +74,67 @@
 
     # ---- lists ---------------------------------------------------------------------------------------
 
-    def listed(self, side: ServerSide, form: ListForm, lines: Iterable[Listed]) -> tuple[WorkerEntry, ...]:
-        """A list, or changes of it, from one server side. A whole list speaks for that side alone."""
+    def listed(self, side: ServerSide, form: ListForm, listing: Iterable[Listed]) -> tuple[WorkerEntry, ...]:
+        """Applies a worker list, or changes to it, from one transport.
+
+        A complete list replaces only the workers of that transport.
+        """
         entries: list[WorkerEntry] = []
-        named: set[str] = set()
-        for line in lines:
-            named.add(line.name)
-            worker = self._take(line, side)
+        listed_names: set[str] = set()
+        for entry in listing:
+            listed_names.add(entry.name)
+            worker = self._update(entry, side)
             if worker is None:
                 continue
             entries.append(worker.entry)
-            if line.state is WorkerState.GONE:
-                self._drop(worker)
+            if entry.state is WorkerState.GONE:
+                self._remove(worker)
         if form in (ListForm.FULL, ListForm.CACHED):
             for worker in list(self._by_number.values()):
                 if worker.side is not side:
                     entries.append(worker.entry)
-                elif worker.name not in named:
-                    self._drop(worker)
+                elif worker.name not in listed_names:
+                    self._remove(worker)
         return tuple(entries)
 
-    def _take(self, line: Listed, side: ServerSide) -> Worker | None:
-        """The worker of a line, brought up to date; None if the line says nothing of one that is known here."""
-        worker = self._by_name.get(line.name)
+    def _update(self, entry: Listed, side: ServerSide) -> Worker | None:
+        """Updates or adds the worker of a list entry.
+
+        Returns None if the worker belongs to another transport, or is unknown and already gone.
+        """
+        worker = self._by_name.get(entry.name)
         if worker is not None and worker.side is not side:
-            log.warning("worker_name_taken", worker=line.name)
+            log.warning("worker_name_taken", worker=entry.name)
             return None
         if worker is None:
-            return None if line.state is WorkerState.GONE else self._add(line, side)
-        if worker.entry.state is not line.state:
-            log.info("worker_state", worker=line.name, state=line.state.name.lower())
-        worker.take(line, self._is_out(line.name))
+            return None if entry.state is WorkerState.GONE else self._add(entry, side)
+        if worker.entry.state is not entry.state:
+            log.info("worker_state", worker=entry.name, state=entry.state.name.lower())
+        worker.take(entry, self._is_out(entry.name))
         return worker
 
-    def _add(self, line: Listed, side: ServerSide) -> Worker:
-        """Numbers come from names: every node deals out the turns of a cold worker by them alike."""
-        number = crc32(line.name.encode())
+    def _add(self, entry: Listed, side: ServerSide) -> Worker:
+        """Adds a worker. Its number is a hash of its name, so that it is the same on every node: the nodes
+        share out the slots of a cold worker by these numbers."""
+        number = crc32(entry.name.encode())
         while number in self._by_number:
             number = (number + 1) & 0xFFFFFFFF
-        worker = self._by_number[number] = self._by_name[line.name] = Worker(
-            number, line, side, self._is_out(line.name)
+        worker = self._by_number[number] = self._by_name[entry.name] = Worker(
+            number, entry, side, self._is_out(entry.name)
         )
         return worker
 
-    def _drop(self, worker: Worker) -> None:
+    def _remove(self, worker: Worker) -> None:
         worker.open = False
         self._by_number.pop(worker.number, None)
         self._by_name.pop(worker.name, None)
 
 
-class Nowhere:
-    """Stands in for the side of a worker that no list has named: nothing is ever started there."""
+class UnlistedTransport:
+    """The transport of a worker that is not listed. No attempt is ever started on it."""
 
     def start(self, attempt: object) -> None:
-        raise AssertionError("nothing is sent to a worker that no list named")
+        raise AssertionError("attempt started on a worker that is not listed")
 
     def give_up(self, attempt: object) -> None:
         pass
--- a/millethead/fronts/faktory/jobs.py
+++ b/millethead/fronts/faktory/jobs.py
@@ -8,7 +8,7 @@
 from math import inf
 from typing import Any
 
-from millethead.exchange.model import PARENTS, Attempt, Order, Plan
+from millethead.exchange.model import MAX_PARENTS, Attempt, Order, Plan
 from millethead.fronts.faktory.resp import BadCommand
 from millethead.fronts.faktory.setup import FaktorySetup
 from millethead.fronts.times import read_rfc3339
@@ -124,10 +124,10 @@
     after = [] if after is None else after
     if (
         not isinstance(after, list)
-        or len(after) > PARENTS
+        or len(after) > MAX_PARENTS
         or not all(isinstance(parent, str) and 0 < len(parent) <= 128 for parent in after)
     ):
-        raise BadCommand(f"custom.after: a list of up to {PARENTS} jids is wanted")
+        raise BadCommand(f"custom.after: a list of up to {MAX_PARENTS} jids is wanted")
     try:
         return Plan(read_rfc3339(str(at)) if at else 0.0, tuple(dict.fromkeys(after)), fails == "run")
     except ValueError as error:
--- a/millethead/fronts/platform.py
+++ b/millethead/fronts/platform.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from millethead.decide import interface as api
-from millethead.exchange.model import PARENTS, Answer, Final, Order, Plan
+from millethead.exchange.model import MAX_PARENTS, Answer, Final, Order, Plan
 from millethead.exchange.stage import Stage, Unusable
 from millethead.fronts.times import read_time
 from millethead.net.accept import Reply
@@ -148,8 +148,8 @@
     if fails not in (None, "fail", "run"):
         raise BadMessage(400, "X-When-Parent-Fails: run or fail is wanted")
     parents = tuple(dict.fromkeys(text.strip() for text in after.split(","))) if after is not None else ()
-    if len(parents) > PARENTS or not all(_ID.fullmatch(parent) for parent in parents):
-        raise BadMessage(400, f"X-Run-After: up to {PARENTS} ids with commas between are wanted")
+    if len(parents) > MAX_PARENTS or not all(_ID.fullmatch(parent) for parent in parents):
+        raise BadMessage(400, f"X-Run-After: up to {MAX_PARENTS} ids with commas between are wanted")
     try:
         return Plan(read_time(at) if at is not None else 0.0, parents, fails == "run")
     except ValueError as error:
--- a/millethead/program.py
+++ b/millethead/program.py
@@ -336,7 +336,7 @@
         room = sockets * 6 // 10 - (CALLERS if self.config.console is not None else 0)
         setup = self.operator.faktory
         if setup is None:  # each job holds its client's connection: some stay for workers that tell of them
-            self.exchange.most = max(1, room - max(CALL_BACKS, room // 16))
+            self.exchange.max_unanswered = max(1, room - max(CALL_BACKS, room // 16))
         return room - (min(setup.connections, room // 2) if setup is not None else 0)
 
     def stop(self) -> None:
--- a/millethead/waiting/room.py
+++ b/millethead/waiting/room.py
@@ -18,7 +18,7 @@
 from millethead.decide.interface import Settings
 from millethead.exchange.model import Answer, Cancellable, Final, Order
 from millethead.exchange.records import Record, Records, ended_unsent
-from millethead.exchange.stage import Amendment, Finished, Reply, Stage, Unusable, repeated
+from millethead.exchange.stage import Amendment, Finished, Reply, Stage, Unusable, reject_repeated
 from millethead.logs import Sparing
 from millethead.waiting.batch import in_order
 from millethead.waiting.book import Book
@@ -103,7 +103,7 @@
 
     def arrive(self, order: Order, reply: Reply) -> int:
         if self.record(order.origin, order.id) is not None:
-            return repeated(order, reply)
+            return reject_repeated(order, reply)
         try:
             entry = self.book.arrive(order, reply, self._known, self.clock.now(), self.clock.wall())
         except Full as full:
--- a/tests/test_send_races.py
+++ b/tests/test_send_races.py
@@ -269,7 +269,7 @@
     writer.write(TAKEN)
     await soon(lambda: bench.attempt.channel is None)
     bench.pool.stop()
-    bench.exchange._act(api.CancelAttempt(number, 0))
+    bench.exchange._execute(api.CancelAttempt(number, 0))
     reader, canceller = await bench.peer()
     await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE)
     await soon(lambda: len(bench.held.attempts) == 2)  # the module sends it there once more
