--- a/millethead/door/__init__.py
+++ b/millethead/door/__init__.py
@@ -1,1 +1,1 @@
-"""Fair queues before the exchange, and honest times to come back for those who are turned away."""
+"""Admission control before the exchange: fair queues, and retry times for the jobs that are refused."""
--- a/millethead/door/promises.py
+++ b/millethead/door/promises.py
@@ -1,8 +1,8 @@
-"""Times to come back: given so that they can be kept, and held to account.
+"""Retry times for refused clients, reserved so that the clients can be served when they return.
 
-The drain (ms of work done in a ms) is measured. Time ahead is cut into slots; a promise takes room in the first slot
-after the work ahead of it, and a slot that is full passes it on to the next. So those who are turned away together are
-told different times, and come back as fast as they can be served.
+The service rate (ms of work done per ms) is measured. Future time is divided into slots. A reservation takes capacity
+in the first slot with room, after the work that is queued ahead of it. So clients that are refused together get
+different retry times, and return as fast as they can be served.
 """
 
 from __future__ import annotations
@@ -11,131 +11,148 @@
 from dataclasses import dataclass
 from math import floor
 
-SLOT = 100.0  # ms
-HORIZON = 600  # slots: what lies beyond is told the last one, and counted as unsure
-GRACE = 250.0  # ms after the stated time within which a promise is called in
-EARLY = 20.0  # ms before it: clocks and ways differ
-EACH = 2  # promises that one client may hold
-SHARE = 0.8  # of the drain that is promised: the rest is for newcomers
-SMOOTH = 2000.0  # ms over which the drain is measured
+SLOT_MS = 100.0
+HORIZON_SLOTS = 600  # a later retry time is cut to the last slot, and is not guaranteed
+LATE_TOLERANCE_MS = 250.0  # a client may return this much after its reserved time
+EARLY_TOLERANCE_MS = 20.0  # or this much before it, since clocks and network delays differ
+MAX_PER_CLIENT = 2  # reservations that one client may hold
+RESERVABLE_SHARE = 0.8  # of the service rate; the rest is left for new jobs
+RATE_WINDOW_MS = 2000.0  # time constant of the moving average of the service rate
 
 
 class Drain:
-    """Work done in a ms, as a moving mean."""
+    """The service rate: work done in ms per ms, as a moving average."""
 
-    def __init__(self, first: float) -> None:
-        self.rate = first
+    def __init__(self, initial_rate: float) -> None:
+        self.rate = initial_rate
         self._done, self._since = 0.0, -1.0
 
     def done(self, now: float, work: float, busy: bool) -> None:
-        """So much work ended; `busy`: there was more to do, so that it says what can be done."""
+        """Records `work` ms of finished work.
+
+        The rate falls only while `busy` (more jobs are queued): otherwise little work shows a lack of jobs, and not
+        a lack of capacity.
+        """
         if self._since < 0:
             self._since = now
         self._done += work
         span = now - self._since
-        if span >= SLOT:
+        if span >= SLOT_MS:
             rate = self._done / span
             if busy or rate > self.rate:
-                self.rate += (rate - self.rate) * min(1.0, span / SMOOTH)
+                self.rate += (rate - self.rate) * min(1.0, span / RATE_WINDOW_MS)
             self._done, self._since = 0.0, now
 
 
 @dataclass(slots=True, eq=False)
-class Promise:
+class Reservation:
+    """A reserved retry time. `at` is in ms; `guaranteed` means that capacity is reserved for it."""
+
     at: float
-    sure: bool = True
+    guaranteed: bool = True
     open: bool = True
 
 
 class Promises:
-    """Who was told to come back when. `most` are remembered; the oldest are forgotten first."""
+    """The reserved retry times. Beyond `maximum` open ones, the oldest are dropped.
+
+    counts: the number of reservations by how they were made and ended; logged at the end of the process.
+    by_tenant: the counters for the metrics, by ("promised", "kept" or "broken"; tenant).
+    """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, maximum: int) -> None:
+        self.maximum = maximum
         self.counts: Counter[str] = Counter()
-        self.by_tenant: Counter[tuple[str, int]] = Counter()  # (promised, kept or broken; tenant)
-        self._by_client: dict[tuple[int, str], deque[Promise]] = {}
-        self._given: deque[tuple[tuple[int, str], Promise]] = deque()  # in the order given
-        self._out = 0
-        self._slots: dict[tuple[int, int], float] = {}  # (tenant, slot) -> ms of work promised
-        self._full: dict[tuple[int, int], int] = {}  # (tenant, slot) -> a later one, up to which all are full
+        self.by_tenant: Counter[tuple[str, int]] = Counter()
+        self._by_client: dict[tuple[int, str], deque[Reservation]] = {}
+        self._in_order: deque[tuple[tuple[int, str], Reservation]] = deque()  # in the order of creation
+        self._open = 0
+        self._slots: dict[tuple[int, int], float] = {}  # (tenant, slot) -> reserved work in ms
+        self._full: dict[tuple[int, int], int] = {}  # (tenant, full slot) -> a later slot; all in between are full
 
     def __len__(self) -> int:
-        return self._out
-
-    def give(self, now: float, tenant: int, client: str, cost: float, ahead: float, rate: float) -> float:
-        """ms from now after which this client may come back; `rate` is its tenant's part of the drain."""
-        self._forget(now)
-        mine = self._by_client.get((tenant, client))
-        if mine is not None and len(mine) >= EACH:
-            # one client must not buy up the time of the others: it is told a time after its own, without a claim
+        return self._open
+
+    def reserve(self, now: float, tenant: int, client: str, cost: float, ahead: float, rate: float) -> float:
+        """Reserves a retry time for `cost` ms of work and returns the time until then in ms.
+
+        `ahead` is the work of the same tenant in ms that is served before, `rate` the tenant's share of the
+        service rate.
+        """
+        self._expire(now)
+        own = self._by_client.get((tenant, client))
+        if own is not None and len(own) >= MAX_PER_CLIENT:
+            # no capacity is reserved: one client must not take that of the others
             self.counts["unsure"] += 1
-            return max(SLOT, max(promise.at for promise in mine) - now) + SLOT
-        room = max(rate * SHARE * SLOT, 1e-9)
-        first = floor(now / SLOT) + 1
-        number = first + min(HORIZON, floor(ahead / max(rate, 1e-9) / SLOT))
-        last = first + HORIZON
-        # a slot takes one promise however dear, so that a dear job can be promised at all
+            return max(SLOT_MS, max(reservation.at for reservation in own) - now) + SLOT_MS
+        capacity = max(rate * RESERVABLE_SHARE * SLOT_MS, 1e-9)
+        first = floor(now / SLOT_MS) + 1
+        slot = first + min(HORIZON_SLOTS, floor(ahead / max(rate, 1e-9) / SLOT_MS))
+        last = first + HORIZON_SLOTS
+        # an empty slot accepts any job, so that also jobs larger than a slot get a time
         while (
-            (number := self._open(tenant, number)) < last
-            and (taken := self._slots.get((tenant, number), 0.0))
-            and taken + cost > room
+            (slot := self._skip_full(tenant, slot)) < last
+            and (reserved := self._slots.get((tenant, slot), 0.0))
+            and reserved + cost > capacity
         ):
-            if 2 * taken > room:  # the next ones need not look at it again
-                self._full[tenant, number] = number + 1
-            number += 1
-        number = min(number, last)
-        self._slots[tenant, number] = self._slots.get((tenant, number), 0.0) + cost
-        promise = Promise(number * SLOT, number < last)
+            if 2 * reserved > capacity:  # nearly full: later reservations skip this slot
+                self._full[tenant, slot] = slot + 1
+            slot += 1
+        slot = min(slot, last)
+        self._slots[tenant, slot] = self._slots.get((tenant, slot), 0.0) + cost
+        reservation = Reservation(slot * SLOT_MS, slot < last)
         key = (tenant, client)
-        self._by_client.setdefault(key, deque()).append(promise)
-        self._given.append((key, promise))
-        self._out += 1
-        while self._out > self.most or len(self._given) > 2 * self.most:
-            self._end(*self._given.popleft(), "forgotten")
-        self.counts["given" if promise.sure else "unsure"] += 1
-        self.by_tenant["promised", tenant] += promise.sure
-        return promise.at - now
-
-    def _open(self, tenant: int, number: int) -> int:
-        """The first slot from `number` on that is not full; the way there is shortened for those who come after."""
+        self._by_client.setdefault(key, deque()).append(reservation)
+        self._in_order.append((key, reservation))
+        self._open += 1
+        while self._open > self.maximum or len(self._in_order) > 2 * self.maximum:
+            self._end(*self._in_order.popleft(), "forgotten")
+        self.counts["given" if reservation.guaranteed else "unsure"] += 1
+        self.by_tenant["promised", tenant] += reservation.guaranteed
+        return reservation.at - now
+
+    def _skip_full(self, tenant: int, slot: int) -> int:
+        """The first slot from `slot` on that is not marked full.
+
+        All marks on the way are set to the result (path compression), so that later searches are short.
+        """
         passed = list[tuple[int, int]]()
-        while (following := self._full.get((tenant, number))) is not None:
-            passed.append((tenant, number))
-            number = following
-        for slot in passed:
-            self._full[slot] = number
-        return number
-
-    def call_in(self, now: float, tenant: int, client: str) -> bool:
-        """Whether this client was told to come back now; a promise is called in once."""
-        for promise in self._by_client.get((tenant, client), ()):
-            if promise.at - EARLY <= now <= promise.at + GRACE:
-                self._end((tenant, client), promise, "called")
+        while (following := self._full.get((tenant, slot))) is not None:
+            passed.append((tenant, slot))
+            slot = following
+        for key in passed:
+            self._full[key] = slot
+        return slot
+
+    def redeem(self, now: float, tenant: int, client: str) -> bool:
+        """Whether this client has a reservation for the current time. A reservation is redeemed only once."""
+        for reservation in self._by_client.get((tenant, client), ()):
+            if reservation.at - EARLY_TOLERANCE_MS <= now <= reservation.at + LATE_TOLERANCE_MS:
+                self._end((tenant, client), reservation, "called")
                 return True
         return False
 
-    def _end(self, key: tuple[int, str], promise: Promise, how: str) -> None:
-        """It is called in, over or forgotten; each ends once."""
-        if promise.open:
-            promise.open = False
-            mine = self._by_client[key]
-            mine.remove(promise)
-            if not mine:
+    def _end(self, key: tuple[int, str], reservation: Reservation, cause: str) -> None:
+        """Ends a reservation that was redeemed, has expired or is dropped; does nothing if it has ended before."""
+        if reservation.open:
+            reservation.open = False
+            own = self._by_client[key]
+            own.remove(reservation)
+            if not own:
                 del self._by_client[key]
-            self._out -= 1
-            self.counts[how] += 1
-
-    def kept(self, tenant: int, well: bool, cause: str = "") -> None:
-        """How one that was called in went."""
-        self.counts["kept" if well else f"broken_{cause}"] += 1
-        self.by_tenant["kept" if well else "broken", tenant] += 1
-
-    def _forget(self, now: float) -> None:
-        present = floor(now / SLOT)
-        # given later may be due sooner: some stay a little longer than they need to
-        while self._given and (not self._given[0][1].open or self._given[0][1].at + GRACE < now):
-            self._end(*self._given.popleft(), "not_called")
-        if len(self._slots) > 4 * HORIZON:
-            self._slots = {n: cost for n, cost in self._slots.items() if n[1] >= present}
-            self._full = {n: then for n, then in self._full.items() if n[1] >= present}
+            self._open -= 1
+            self.counts[cause] += 1
+
+    def count_kept(self, tenant: int, kept: bool, cause: str = "") -> None:
+        """Counts whether a client that redeemed its reservation was served, or refused for this cause."""
+        self.counts["kept" if kept else f"broken_{cause}"] += 1
+        self.by_tenant["kept" if kept else "broken", tenant] += 1
+
+    def _expire(self, now: float) -> None:
+        present = floor(now / SLOT_MS)
+        # a reservation may be due before one that was made earlier, and then stays longer than necessary
+        while self._in_order and (not self._in_order[0][1].open or self._in_order[0][1].at + LATE_TOLERANCE_MS < now):
+            self._end(*self._in_order.popleft(), "not_called")
+        if len(self._slots) > 4 * HORIZON_SLOTS:
+            self._slots = {key: cost for key, cost in self._slots.items() if key[1] >= present}
+            self._full = {key: following for key, following in self._full.items() if key[1] >= present}
--- a/millethead/door/setup.py
+++ b/millethead/door/setup.py
@@ -1,4 +1,4 @@
-"""The table [door] of the operator's file."""
+"""The table [door] of the operator's settings file."""
 
 from __future__ import annotations
 
@@ -10,10 +10,16 @@
 
 
 class DoorSetup(Table, frozen=True, kw_only=True):
-    """What stands at the door at most: `jobs`, `bytes` of their bodies. `lanes`: queues of one tenant, into which
-    its clients are hashed. `wait_ms`: the longest that a job is expected to stand there; who would wait longer is
-    told when to come back. `header`: the HTTP field that names a client, else its address does. `target_ms`: the
-    wait for a worker inside that the window is steered to, between `window_least` and `window_most` jobs."""
+    """The settings of the admission queue.
+
+    jobs, bytes: the maximum number of queued jobs, and of bytes of their bodies.
+    lanes: the number of lanes (queues) per tenant, to which its clients are assigned by a hash.
+    wait_ms: the longest expected wait; a job that would wait longer is refused, with a time to retry.
+    promises: the maximum number of reserved retry times.
+    header: the HTTP header that names the client; without it the client's address does.
+    target_ms: the intended wait of an admitted job for a worker.
+    window_least, window_most: the bounds of the admission window, in jobs.
+    """
 
     jobs: Annotated[int, Meta(ge=1, le=65536)] = 1024
     bytes: Annotated[int, Meta(ge=1, le=1 << 30)] = 8 << 20
--- a/millethead/door/window.py
+++ b/millethead/door/window.py
@@ -1,41 +1,45 @@
-"""How many jobs may wait for a worker inside at once: as few as keep every free slot used.
+"""The admission window: how many admitted jobs may wait for a worker at once. It is as small as keeps every slot busy.
 
-Jobs inside that have started do not count: the module sends them when a slot is free. If jobs wait inside longer than
-the target over a whole interval, the window is too wide and shrinks (multiplicative); if the window was empty while
-others stood at the door, slots may have been idle, and it grows. Weighed: a limit on all jobs inside (gradient, Vegas)
-would have to learn the number of slots, which the module knows and changes with every worker that comes or goes.
+Admitted jobs that have started do not count, since the decision module sends a job as soon as a slot is free. If
+admitted jobs wait longer than the target for a whole interval, the window is too large and shrinks by a factor. If no
+admitted job is waiting while others are queued, slots may have been idle, and the window grows by one.
+
+Alternative considered: a limit on all admitted jobs (gradient, Vegas). It would have to learn the number of slots,
+which the decision module knows already and which changes whenever a worker joins or leaves.
 """
 
 from __future__ import annotations
 
 from math import inf
 
-INTERVAL = 100.0  # ms, as CoDel (RFC 8289, section 4.2) has it
+INTERVAL_MS = 100.0  # as in CoDel (RFC 8289, section 4.2)
 
 
 class Window:
-    def __init__(self, least: int, most: int, target: float) -> None:
-        self.least, self.most, self.target = least, most, target
-        self.size = float(least)
-        self.why = "start"
-        self._over_since = inf
+    """The window size, between `minimum` and `maximum` jobs. `target` is the intended wait for a worker in ms."""
+
+    def __init__(self, minimum: int, maximum: int, target: float) -> None:
+        self.minimum, self.maximum, self.target = minimum, maximum, target
+        self._size = float(minimum)
+        self.reason = "start"
+        self._over_target_since = inf
 
     def waited(self, now: float, wait: float) -> None:
-        """A job was sent to a worker after `wait` ms inside."""
+        """Records that an admitted job was sent to a worker after `wait` ms."""
         if wait < self.target:
-            self._over_since = inf
-        elif self._over_since == inf:
-            self._over_since = now
-        elif now - self._over_since >= INTERVAL:
-            self.size = max(float(self.least), self.size * 0.8)
-            self._over_since, self.why = now, "waits inside are over the target"
-
-    def ran_dry(self) -> None:
-        """All that had been let in had started, while more stood at the door."""
-        if self.size < self.most:
-            self.size = min(float(self.most), self.size + 1)
-            self.why = "all inside had started"
+            self._over_target_since = inf
+        elif self._over_target_since == inf:
+            self._over_target_since = now
+        elif now - self._over_target_since >= INTERVAL_MS:
+            self._size = max(float(self.minimum), self._size * 0.8)
+            self._over_target_since, self.reason = now, "waits inside are over the target"
+
+    def ran_empty(self) -> None:
+        """Records that all admitted jobs had started while others were queued."""
+        if self._size < self.maximum:
+            self._size = min(float(self.maximum), self._size + 1)
+            self.reason = "all inside had started"
 
     @property
-    def room(self) -> int:
-        return int(self.size)
+    def size(self) -> int:
+        return int(self._size)
