--- a/benchmarks/door/flood.py
+++ b/benchmarks/door/flood.py
@@ -25,9 +25,9 @@
 import structlog
 from docopt import docopt
 
+from millethead.admission.queue import AdmissionQueue
+from millethead.admission.setup import AdmissionSetup
 from millethead.decide import interface as api
-from millethead.door.door import Door
-from millethead.door.setup import DoorSetup
 from millethead.exchange import Answer, Exchange, Final, Order
 from millethead.exchange.stage import Stage
 from millethead.lab.clock import VirtualClock
@@ -55,7 +55,7 @@
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     clock, rng = VirtualClock(), np.random.default_rng(seed)
     exchange = Exchange(SETTINGS, seed, clock)
-    door = Door(exchange, DoorSetup(), clock, seed) if with_door else None
+    door = AdmissionQueue(exchange, AdmissionSetup(), clock, seed) if with_door else None
     stage: Stage = door if door is not None else exchange
     fleet = Fleet(exchange, clock, [WORK], seed, machines=MACHINES)
     start = clock.now()
@@ -111,7 +111,7 @@
             }
         else:
             row |= {f"{who}_served": "", f"{who}_in_time": "", f"{who}_wait_p99_ms": ""}
-    counts = door.promises.counts if door is not None else {}
+    counts = door.reservations.counts if door is not None else {}
     told = counts.get("called", 0) + counts.get("not_called", 0)
     row |= {
         "promises": counts.get("given", 0) + counts.get("unsure", 0),
--- a/benchmarks/door/identities.py
+++ b/benchmarks/door/identities.py
@@ -6,7 +6,7 @@
 time, each case in a process of its own. Tenant A sends 1,667 jobs a second, under as many names as the case says, each
 in turn; tenant B has 20 usual clients at 0.6 of its share, and A has 20 such besides the others. Memory is the most
 that Python had allocated above what stood before the first job (tracemalloc, in a run that is not timed), and resident;
-a decision's time is that of `Door.arrive`.
+a decision's time is that of `AdmissionQueue.arrive`.
 
 Options:
   --seconds=N   simulated seconds [default: 60]
@@ -28,8 +28,8 @@
 from docopt import docopt
 from flood import CLASS, MACHINES, SETTINGS, SHARE, WORK
 
-from millethead.door.door import Door
-from millethead.door.setup import DoorSetup
+from millethead.admission.queue import AdmissionQueue
+from millethead.admission.setup import AdmissionSetup
 from millethead.exchange import Answer, Exchange, Final, Order
 from millethead.lab.clock import VirtualClock
 from millethead.lab.fleet import Fleet, poisson
@@ -43,7 +43,7 @@
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     clock, rng = VirtualClock(), np.random.default_rng(1)
     exchange = Exchange(SETTINGS, 1, clock)
-    door = Door(exchange, DoorSetup(), clock, 1)
+    door = AdmissionQueue(exchange, AdmissionSetup(), clock, 1)
     Fleet(exchange, clock, [WORK], 1, machines=MACHINES)
     served, asked, took, numbers = {"a": 0, "b": 0}, {"a": 0, "b": 0}, list[float](), 0
 
--- a/millethead/door/door.py
+++ b/millethead/admission/queue.py
@@ -14,12 +14,12 @@
 import structlog
 from xxhash import xxh3_64_intdigest
 
+from millethead.admission.fair_queue import FairQueue, Item
+from millethead.admission.retry_times import RetryReservations, ServiceRate
+from millethead.admission.setup import AdmissionSetup
+from millethead.admission.window import AdmissionWindow
 from millethead.console.figures import More
 from millethead.decide.interface import Settings
-from millethead.door.fair import FairQueue, Item
-from millethead.door.promises import Drain, Promises
-from millethead.door.setup import DoorSetup
-from millethead.door.window import Window
 from millethead.exchange.model import Answer, Cancellable, Clock, Final, Order
 from millethead.exchange.records import Record, Records, ended_unsent
 from millethead.exchange.stage import (
@@ -74,23 +74,25 @@
     record: Record | None = None
 
 
-class Door:
+class AdmissionQueue:
     """A `Stage` that queues jobs by tenant and client, and admits them to the next stage `inner`.
 
     `seed` keys the hash that assigns clients to lanes, so that a client cannot choose its lane.
     """
 
-    def __init__(self, inner: Stage, setup: DoorSetup, clock: Clock, seed: int, tenants: Sequence[str] = ()) -> None:
+    def __init__(
+        self, inner: Stage, setup: AdmissionSetup, clock: Clock, seed: int, tenants: Sequence[str] = ()
+    ) -> None:
         """`tenants` are the names for the metrics. A tenant without a name is reported by its index."""
         self.inner, self.setup, self.clock = inner, setup, clock
         settings = inner.settings
         count = max(1, len(settings.tenants))
         self.tenants = [*tenants[:count], *(str(n) for n in range(len(tenants), count))]
-        self.counters: Counter[tuple[str, int]] = Counter()  # by (name in METRICS, tenant); `promises` has the rest
+        self.counters: Counter[tuple[str, int]] = Counter()  # by (name in METRICS, tenant); `reservations` has the rest
         self.mean_work = [c.deadline / 10 for c in settings.classes]  # ms of work by class: moving averages
         self.queue = FairQueue(_weights(settings), setup.lanes, partial(hash_client, seed & 0xFFFFFFFFFFFFFFFF))
-        self.window = Window(setup.window_least, setup.window_most, setup.target_ms)
-        self.promises, self.drain = Promises(setup.promises), Drain(1.0)
+        self.window = AdmissionWindow(setup.window_least, setup.window_most, setup.target_ms)
+        self.reservations, self.service_rate = RetryReservations(setup.promises), ServiceRate(1.0)
         self._finished: Finished | None = None
         self._pending: dict[int, PendingJob] = {}
         self._queued: dict[tuple[str, str], PendingJob] = {}
@@ -138,7 +140,7 @@
 
     def figures(self) -> list[More]:
         """The metrics of this stage."""
-        counts = self.counters + self.promises.by_tenant
+        counts = self.counters + self.reservations.by_tenant
         return [
             *(
                 (
@@ -156,7 +158,7 @@
                 "Jobs that may wait for a worker inside, and why so many.",
                 [("why", self.window.reason, self.window.size)],
             ),
-            ("door_drain", "gauge", "Work done, in ms a ms.", [("", "", round(self.drain.rate, 3))]),
+            ("door_drain", "gauge", "Work done, in ms a ms.", [("", "", round(self.service_rate.rate, 3))]),
         ]
 
     # ---- events --------------------------------------------------------------------------------------
@@ -176,7 +178,7 @@
         self.counters["offered", tenant] += 1
         job = PendingJob(self._last_number, order, reply, Item(tenant, client, cost, None, now), now + order.left)
         job.item.payload = job
-        job.returned = self.promises.redeem(now, tenant, client)
+        job.returned = self.reservations.redeem(now, tenant, client)
         self._update_started()
         if not self.queue and self._has_room():
             self._pending[job.number] = job
@@ -184,9 +186,9 @@
             return job.number if job.number in self._pending else 0
         ahead = self.queue.ahead(tenant, client)
         full = len(self.queue) >= self.setup.jobs or self._queued_bytes + len(order.body) > self.setup.bytes
-        if full or (not job.returned and ahead > self.setup.wait_ms * self.drain.rate):
+        if full or (not job.returned and ahead > self.setup.wait_ms * self.service_rate.rate):
             if job.returned:
-                self.promises.count_kept(job.item.tenant, False, "full")
+                self.reservations.count_kept(job.item.tenant, False, "full")
             pause = self._reserve_retry(job, ahead)
             self.counters["turned_away", tenant] += 1
             limited_log.warning("door_turned_away", job=order.id, tenant=tenant, full=full, back_in_ms=round(pause))
@@ -231,8 +233,8 @@
                 queued=len(self.queue),
                 window=self.window.size,
                 why=self.window.reason,
-                drain=round(self.drain.rate, 2),
-                **self.promises.counts,
+                drain=round(self.service_rate.rate, 2),
+                **self.reservations.counts,
             )
         self._leaving = True
         for job in list(self._queued.values()):
@@ -278,12 +280,12 @@
         self._waiting_inside.pop(job.number, None)
         now, served = self.clock.now(), answer.final is Final.SERVED
         if served:
-            self.drain.done(now, job.item.cost, bool(self.queue))
+            self.service_rate.done(now, job.item.cost, bool(self.queue))
             if job.order.expected_work is None:
                 mean = self.mean_work[job.order.job_class]
                 self.mean_work[job.order.job_class] = mean + 0.03 * (min(now - job.admitted_at, 5 * mean) - mean)
         if job.returned:
-            self.promises.count_kept(job.item.tenant, answer.final is not Final.REFUSED, "refused_inside")
+            self.reservations.count_kept(job.item.tenant, answer.final is not Final.REFUSED, "refused_inside")
         if answer.final is Final.REFUSED and not answer.pause and not self._leaving:
             answer = replace(answer, pause=self._reserve_retry(job, self.queue.cost))
         if job.reply is not None:
@@ -326,8 +328,8 @@
         """
         item = job.item
         share = self.queue.share(item.tenant)
-        return self.promises.reserve(
-            self.clock.now(), item.tenant, item.client, item.cost, ahead * share, self.drain.rate * share
+        return self.reservations.reserve(
+            self.clock.now(), item.tenant, item.client, item.cost, ahead * share, self.service_rate.rate * share
         )
 
     def _remove_queued(self, job: PendingJob) -> None:
@@ -340,7 +342,7 @@
         self._pending.pop(job.number, None)
         reply, job.reply = job.reply, None
         if job.returned and answer is not None:
-            self.promises.count_kept(job.item.tenant, False, "stopping" if self._leaving else "too_late")
+            self.reservations.count_kept(job.item.tenant, False, "stopping" if self._leaving else "too_late")
         order, now = job.order, self.clock.now()
         self.counters["turned_away", job.item.tenant] += answer is not None
         self._records.put((order.origin, order.id), ended_unsent(answer, job.item.arrived, now), now)
--- a/millethead/door/promises.py
+++ b/millethead/admission/retry_times.py
@@ -20,7 +20,7 @@
 RATE_WINDOW_MS = 2000.0  # time constant of the moving average of the service rate
 
 
-class Drain:
+class ServiceRate:
     """The service rate: work done in ms per ms, as a moving average."""
 
     def __init__(self, initial_rate: float) -> None:
@@ -53,7 +53,7 @@
     open: bool = True
 
 
-class Promises:
+class RetryReservations:
     """The reserved retry times. Beyond `maximum` open ones, the oldest are dropped.
 
     counts: the number of reservations by how they were made and ended; logged at the end of the process.
--- a/millethead/door/setup.py
+++ b/millethead/admission/setup.py
@@ -9,7 +9,7 @@
 from millethead.tables import Table
 
 
-class DoorSetup(Table, frozen=True, kw_only=True):
+class AdmissionSetup(Table, frozen=True, kw_only=True):
     """The settings of the admission queue.
 
     jobs, bytes: the maximum number of queued jobs, and of bytes of their bodies.
--- a/millethead/door/window.py
+++ b/millethead/admission/window.py
@@ -15,7 +15,7 @@
 INTERVAL_MS = 100.0  # as in CoDel (RFC 8289, section 4.2)
 
 
-class Window:
+class AdmissionWindow:
     """The window size, between `minimum` and `maximum` jobs. `target` is the intended wait for a worker in ms."""
 
     def __init__(self, minimum: int, maximum: int, target: float) -> None:
--- a/millethead/operators.py
+++ b/millethead/operators.py
@@ -11,7 +11,7 @@
 from millethead.config import ConfigError
 
 if TYPE_CHECKING:  # what is not set up is not imported
-    from millethead.door.setup import DoorSetup
+    from millethead.admission.setup import AdmissionSetup
     from millethead.flows.setup import FlowSetup
     from millethead.fronts.faktory.setup import FaktorySetup
     from millethead.members.setup import MembersSetup
@@ -27,7 +27,7 @@
     faktory: FaktorySetup | None = None
     flows: FlowSetup | None = None
     waiting: WaitingSetup | None = None
-    door: DoorSetup | None = None
+    door: AdmissionSetup | None = None
     members: MembersSetup | None = None
     rollout: RolloutSetup | None = None
 
@@ -35,7 +35,7 @@
 def load_operator(path: str, classes: list[str], zones: list[str]) -> Operator:
     """Read the file strictly, and each table by its owner's record; raises ConfigError, which names the file,
     the key and what is wanted."""
-    from millethead.door.setup import DoorSetup
+    from millethead.admission.setup import AdmissionSetup
     from millethead.flows.setup import FlowSetup
     from millethead.fronts.faktory.setup import faktory_setup
     from millethead.tables import read_table
@@ -57,7 +57,7 @@
             faktory_setup(raw["faktory"], Path(path).parent, classes, zones) if "faktory" in raw else None,
             read_table(raw["ipfix"], FlowSetup, "ipfix") if "ipfix" in raw else None,
             waiting_setup(raw["waiting"], classes) if "waiting" in raw else None,
-            read_table(raw["door"], DoorSetup, "door") if "door" in raw else None,
+            read_table(raw["door"], AdmissionSetup, "door") if "door" in raw else None,
             _members(raw["members"]) if "members" in raw else None,
             _rollout(raw["rollout"]) if "rollout" in raw else None,
         )
--- a/millethead/program.py
+++ b/millethead/program.py
@@ -78,11 +78,13 @@
         self.exchange = Exchange(config.settings, config.seed, clock, flows)
         # the stages that a job passes, from the last to the first
         self.stage: Stage = self.exchange
-        door = self.operator.door
-        if door is not None:
-            from millethead.door.door import Door
+        admission_setup = self.operator.door
+        if admission_setup is not None:
+            from millethead.admission.queue import AdmissionQueue
 
-            at_door = self.stage = Door(self.stage, door, clock, config.seed, config.names("tenants"))
+            admission = self.stage = AdmissionQueue(
+                self.stage, admission_setup, clock, config.seed, config.names("tenants")
+            )
         if waiting is not None:
             from millethead.waiting.room import WaitingRoom
 
@@ -98,7 +100,7 @@
             config.names("tenants"),
             self.workers.news,
             report,
-            door.header if door is not None else "",
+            admission_setup.header if admission_setup is not None else "",
         )
         setup = self.operator.faktory
         self.faktory: FaktoryServer | None = None
@@ -162,8 +164,8 @@
             )
             self.console = Console(Calls(self.desk), CALLERS)
             self.desk.more.append(front.figures)
-            if door is not None:
-                self.desk.more.append(at_door.figures)
+            if admission_setup is not None:
+                self.desk.more.append(admission.figures)
         self.goes_on = GOES_ON
         self._leaving: asyncio.Task[None] | None = None
         self._until = math.inf  # steady clock, s: when it has to end, once it was told to
--- a/tests/test_door.py
+++ b/tests/test_admission.py
@@ -10,13 +10,19 @@
 from prometheus_client.parser import text_string_to_metric_families
 from test_waiting import Inner
 
+from millethead.admission.fair_queue import FairQueue, Item
+from millethead.admission.queue import AdmissionQueue, hash_client
+from millethead.admission.retry_times import (
+    EARLY_TOLERANCE_MS,
+    LATE_TOLERANCE_MS,
+    SLOT_MS,
+    RetryReservations,
+    ServiceRate,
+)
+from millethead.admission.setup import AdmissionSetup
+from millethead.admission.window import INTERVAL_MS, AdmissionWindow
 from millethead.console.figures import Figures, render
 from millethead.decide.interface import Tenant
-from millethead.door.door import Door, hash_client
-from millethead.door.fair import FairQueue, Item
-from millethead.door.promises import EARLY_TOLERANCE_MS, LATE_TOLERANCE_MS, SLOT_MS, Drain, Promises
-from millethead.door.setup import DoorSetup
-from millethead.door.window import INTERVAL_MS, Window
 from millethead.exchange import Final, Order
 from millethead.exchange.model import Plan
 from millethead.exchange.stage import Unusable
@@ -97,14 +103,14 @@
 
 class RetryTimesTest(unittest.TestCase):
     def test_clients_refused_together_get_different_retry_times(self):
-        reservations = Promises(1000)
+        reservations = RetryReservations(1000)
         pauses = [reservations.reserve(1000.0, 0, str(n), 100.0, 5000.0, 1.0) for n in range(100)]
         self.assertGreater(min(pauses), 4900)
         for bucket, count in Counter(p // 1000 for p in pauses).items():
             self.assertLessEqual(count, 10, bucket)  # ten jobs are done in a second, and a part is kept free
 
     def test_a_reservation_is_redeemed_once_and_only_at_its_time(self):
-        reservations = Promises(10)
+        reservations = RetryReservations(10)
         at = 1000.0 + reservations.reserve(1000.0, 0, "a", 100.0, 0.0, 1.0)
         for tenant, client, when in (
             (0, "a", at - EARLY_TOLERANCE_MS - 1),
@@ -117,13 +123,13 @@
         self.assertFalse(reservations.redeem(at, 0, "a"))
 
     def test_one_client_cannot_reserve_the_capacity_of_the_others(self):
-        reservations = Promises(1000)
+        reservations = RetryReservations(1000)
         for _ in range(100):
             reservations.reserve(1000.0, 0, "greedy", 100.0, 0.0, 1.0)
         self.assertLess(reservations.reserve(1000.0, 0, "other", 100.0, 0.0, 1.0), 500.0)
 
     def test_the_number_of_reservations_is_bounded(self):
-        reservations = Promises(50)
+        reservations = RetryReservations(50)
         for n in range(100_000):
             reservations.reserve(float(n), 0, f"c{n}", 100.0, 60_000.0, 0.5)
         self.assertLessEqual(len(reservations), 50)
@@ -133,7 +139,7 @@
     def test_reservations_of_many_new_clients_do_not_search_all_full_slots_again(self):
         """With 100,000 client names in a minute a decision took five times as long as with 100, since each searched up
         to 600 full slots."""
-        reservations = Promises(100_000)
+        reservations = RetryReservations(100_000)
         lookups = Counter()
 
         class Slots(dict):
@@ -147,16 +153,16 @@
         self.assertLess(sum(lookups.values()), 10 * 2000)
 
     def test_the_service_rate_follows_the_work_done_but_not_idle_time(self):
-        drain = Drain(1.0)
+        service_rate = ServiceRate(1.0)
         for n in range(100):
-            drain.done(n * SLOT_MS, 400.0, True)
-        self.assertAlmostEqual(drain.rate, 4.0, delta=0.3)
+            service_rate.done(n * SLOT_MS, 400.0, True)
+        self.assertAlmostEqual(service_rate.rate, 4.0, delta=0.3)
         for n in range(100, 200):
-            drain.done(n * SLOT_MS, 10.0, False)
-        self.assertAlmostEqual(drain.rate, 4.0, delta=0.3)
+            service_rate.done(n * SLOT_MS, 10.0, False)
+        self.assertAlmostEqual(service_rate.rate, 4.0, delta=0.3)
 
     def test_the_window_shrinks_while_admitted_jobs_wait_and_grows_when_none_is_left(self):
-        window = Window(4, 64, 100.0)
+        window = AdmissionWindow(4, 64, 100.0)
         for _ in range(20):
             window.ran_empty()
         self.assertEqual(window.size, 24)
@@ -168,8 +174,8 @@
 class AdmissionQueueTest(unittest.TestCase):
     def setUp(self):
         self.clock, self.inner, self.answers = VirtualClock(), Inner(), []
-        setup = DoorSetup(jobs=50, wait_ms=2000.0, window_least=2, window_most=2)
-        self.admission = Door(self.inner, setup, self.clock, 1)
+        setup = AdmissionSetup(jobs=50, wait_ms=2000.0, window_least=2, window_most=2)
+        self.admission = AdmissionQueue(self.inner, setup, self.clock, 1)
 
     def submit(self, job_id, client="c", tenant=0, left=5000.0):
         order = Order(job_id, 0, left, tenant, expected_work=500.0, origin="http", client=client)
@@ -199,7 +205,7 @@
         self.submit("back", "c" + job_id[1:])
         self.inner.end("j0")
         self.assertIn("back", self.inner.taken)  # before the jobs that are queued
-        self.assertEqual(self.admission.promises.counts["called"], 1)
+        self.assertEqual(self.admission.reservations.counts["called"], 1)
 
     def test_a_queued_job_is_refused_before_its_deadline(self):
         self.submit("a")
@@ -247,9 +253,9 @@
 
     def test_metrics_by_tenant_match_what_clients_saw_and_parse_as_prometheus_text(self):
         self.inner.settings = replace(self.inner.settings, tenants=(Tenant(9.0, 1.0, "a"), Tenant(9.0, 1.0, "b")))
-        self.admission = Door(
+        self.admission = AdmissionQueue(
             self.inner,
-            DoorSetup(jobs=50, wait_ms=2000.0, window_least=2, window_most=2),
+            AdmissionSetup(jobs=50, wait_ms=2000.0, window_least=2, window_most=2),
             self.clock,
             1,
             ['rustaveli "desks"'],
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -7,9 +7,9 @@
 
 from test_waiting import Inner
 
+from millethead.admission.queue import AdmissionQueue
+from millethead.admission.setup import AdmissionSetup
 from millethead.console.figures import Figures, render
-from millethead.door.door import Door
-from millethead.door.setup import DoorSetup
 from millethead.exchange.tally import Tally
 from millethead.fronts.platform import PlatformFront
 from millethead.lab.clock import VirtualClock
@@ -53,9 +53,9 @@
             key = Path(folder, "key")
             key.write_bytes(b"k" * 16)
             members = Members(MembersSetup(listen=Local(("127.0.0.1", 1)), key_file=str(key)), "n", "", 1, print)
-        door = Door(Inner(), DoorSetup(), VirtualClock(), 1)
+        admission = AdmissionQueue(Inner(), AdmissionSetup(), VirtualClock(), 1)
         front = PlatformFront(Inner(), [], [], print, print)
-        more = [*members.figures(), *door.figures(), *front.figures()]
+        more = [*members.figures(), *admission.figures(), *front.figures()]
         page = render(Figures([], Tally(0), 0, 0, 0, more)).decode()
         self.assertEqual(figures, set(re.findall(r"# TYPE (\S+)", page)))
         self.assertEqual({word for word in words if "_" in word} - said - outcomes - figures, set())
