--- a/millethead/fronts/__init__.py
+++ b/millethead/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""The protocols that clients speak. Fronts translate; they never choose workers, retry or refuse."""
+"""Front ends: the protocols of the clients. They translate requests, and make no scheduling decisions."""
--- a/millethead/fronts/faktory/__init__.py
+++ b/millethead/fronts/faktory/__init__.py
@@ -1,1 +1,1 @@
-"""The Faktory work protocol: jobs pushed by clients, and workers that fetch them."""
+"""The Faktory work protocol: clients push jobs, and workers fetch them."""
--- a/millethead/fronts/faktory/jobs.py
+++ b/millethead/fronts/faktory/jobs.py
@@ -1,4 +1,4 @@
-"""Faktory jobs to orders and back."""
+"""Converts Faktory jobs to orders, and orders to the jobs that workers fetch."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 from millethead.net.parse import BODY
 
 ORIGIN = "faktory"
-RESERVE = 1800.0  # s, the protocol's default
+DEFAULT_RESERVE_S = 1800.0  # the protocol's default
 TARGET = "/api"
 _JID = re.compile(r"[0-9A-Za-z_-]{8,64}")
 
 
 def read_jid(job: dict[str, Any]) -> str:
+    """Returns the job's id; raises BadCommand."""
     jid = job.get("jid")
     if not isinstance(jid, str) or not _JID.fullmatch(jid):
         raise BadCommand("jid: 8 to 64 letters, digits, '-' or '_' are wanted")
@@ -28,13 +29,19 @@
 
 
 class Jobs:
+    """Converts jobs, for the configured classes and tenants."""
+
     def __init__(self, setup: FaktorySetup, classes: list[str], tenants: list[str], deadlines: list[float]) -> None:
+        """`deadlines` are those of the classes, in ms."""
         self.setup, self.class_names, self.deadlines = setup, classes, deadlines
         self.classes = {name: n for n, name in enumerate(classes)}
         self.tenants, self.tenant_names = {name: n for n, name in enumerate(tenants)}, tenants
 
     def order(self, job: dict[str, Any], peer: tuple[str, int] | None, client: str = "") -> Order:
-        """The order that a pushed job means. Its `retry` is not read: resends follow the class alone."""
+        """Converts a pushed job; raises BadCommand.
+
+        Its `retry` is ignored: the job class alone determines whether a job is sent again.
+        """
         jid, jobtype, args = read_jid(job), job.get("jobtype"), job.get("args")
         queue, custom = job.get("queue", "default"), job.get("custom") or {}
         if not isinstance(jobtype, str) or not jobtype or not isinstance(args, list):
@@ -68,14 +75,14 @@
             queue=queue,
             origin=ORIGIN,
             peer=peer,
-            reserve=1000 * _seconds(job.get("reserve_for"), RESERVE, "reserve_for"),
+            reserve=1000 * _seconds(job.get("reserve_for"), DEFAULT_RESERVE_S, "reserve_for"),
             asked=timeout * 1000,
             client=client,
             plan=_plan(job.get("at"), custom),
         )
 
     def fetched(self, attempt: Attempt, now: float) -> dict[str, Any]:
-        """The job as a worker gets it, whichever front it came by."""
+        """Returns the job that a worker fetches; it may have come through any front end."""
         order, left = attempt.order, max(0.001, (attempt.end - now) / 1000)
         name = self.class_names[order.job_class]
         custom: dict[str, Any] = {"timeout": round(left, 3), "class": name}
@@ -101,25 +108,26 @@
             "custom": custom,
         }
 
-    def taken(self, queues: list[str]) -> frozenset[int]:
-        """The classes that a worker takes which fetches from these queues."""
+    def accepted_classes(self, queues: list[str]) -> frozenset[int]:
+        """The job classes that a worker accepts that fetches from these queues."""
         return frozenset(self.classes[self.setup.queues[q]] for q in queues if q in self.setup.queues)
 
 
-def _seconds(raw: Any, default: float, what: str) -> float:
+def _seconds(raw: Any, default: float, field: str) -> float:
+    """Checks a duration in seconds; raises BadCommand that names `field`."""
     if raw is None:
         return default
     if isinstance(raw, bool) or not isinstance(raw, int | float) or not 0 < raw < 1e9:
-        raise BadCommand(f"{what}: seconds above 0 are wanted")
+        raise BadCommand(f"{field}: seconds above 0 are wanted")
     return float(raw)
 
 
 def _plan(at: Any, custom: dict[str, Any]) -> Plan | None:
-    """What `at`, custom.after and custom.when_parent_fails ask for; None without them."""
-    after, fails = custom.get("after"), custom.get("when_parent_fails")
-    if not at and after is None and fails is None:
+    """Parses `at`, custom.after and custom.when_parent_fails; None if all are absent. Raises BadCommand."""
+    after, on_failure = custom.get("after"), custom.get("when_parent_fails")
+    if not at and after is None and on_failure is None:
         return None
-    if fails not in (None, "fail", "run"):
+    if on_failure not in (None, "fail", "run"):
         raise BadCommand("custom.when_parent_fails: run or fail is wanted")
     after = [] if after is None else after
     if (
@@ -129,6 +137,6 @@
     ):
         raise BadCommand(f"custom.after: a list of up to {MAX_PARENTS} jids is wanted")
     try:
-        return Plan(read_rfc3339(str(at)) if at else 0.0, tuple(dict.fromkeys(after)), fails == "run")
+        return Plan(read_rfc3339(str(at)) if at else 0.0, tuple(dict.fromkeys(after)), on_failure == "run")
     except ValueError as error:
         raise BadCommand(f"at: {error}") from None
--- a/millethead/fronts/faktory/resp.py
+++ b/millethead/fronts/faktory/resp.py
@@ -1,19 +1,19 @@
-"""The part of RESP that Faktory uses: commands as lines, replies as strings, errors and bulk strings."""
+"""The subset of RESP (the Redis protocol) that Faktory uses: line commands; simple, error and bulk replies."""
 
 from __future__ import annotations
 
 import json
 from typing import Any
 
-LINE = 72 << 10  # a whole job of 64 KiB with its envelope
+MAX_LINE_BYTES = 72 << 10  # a job of 64 KiB with its envelope
 
 
 class BadCommand(Exception):
-    """A command that cannot be carried out; the text is the answer."""
+    """An invalid command. The text is sent to the client as the error reply."""
 
 
 def split_command(line: bytes) -> tuple[str, str]:
-    """(verb, the rest) of one command line."""
+    """Splits a command line into (verb, arguments)."""
     try:
         text = line.decode()
     except UnicodeDecodeError:
@@ -23,6 +23,7 @@
 
 
 def read_object(text: str) -> dict[str, Any]:
+    """Parses a JSON object; raises BadCommand."""
     value = read_json(text)
     if not isinstance(value, dict):
         raise BadCommand("an object is wanted")
@@ -30,6 +31,7 @@
 
 
 def read_json(text: str) -> Any:
+    """Parses a JSON value; raises BadCommand."""
     try:
         return json.loads(text)
     except (ValueError, RecursionError):
@@ -37,15 +39,17 @@
 
 
 def simple(text: str) -> bytes:
+    """A simple string reply."""
     return b"+" + text.encode() + b"\r\n"
 
 
 def error(text: str) -> bytes:
+    """An error reply."""
     return b"-ERR " + " ".join(text.split()).encode() + b"\r\n"
 
 
 def bulk(value: Any) -> bytes:
-    """A JSON value as a bulk string; None as the null one."""
+    """A bulk string reply with a JSON value; the null bulk string for None."""
     if value is None:
         return b"$-1\r\n"
     body = json.dumps(value, separators=(",", ":")).encode()
--- a/millethead/fronts/faktory/session.py
+++ b/millethead/fronts/faktory/session.py
@@ -1,4 +1,4 @@
-"""Client side over Faktory: a connection's greeting and its commands."""
+"""The Faktory front end: the handshake and the commands of a connection."""
 
 from __future__ import annotations
 
@@ -25,14 +25,15 @@
 from millethead.net.connection import Connection, within
 
 log = structlog.get_logger()
-ROUNDS = 4096  # of the password's hash
-FETCH_TIME = 2.0  # s that a FETCH waits, as the protocol has it
-IDLE_TIME = 900.0  # s: clients keep their connections in pools
-BULK = 1000  # jobs in one PUSHB
-TARGETS = ("scheduled", "waiting", "aged")  # the protocol's set of set times, and the two that we add
+HASH_ROUNDS = 4096  # iterations of the password hash
+FETCH_WAIT_S = 2.0  # for which a FETCH waits for a job, as in the protocol
+IDLE_TIMEOUT_S = 900.0  # long, since clients keep their connections in pools
+MAX_PUSHB_JOBS = 1000
+MUTATE_TARGETS = ("scheduled", "waiting", "aged")  # "scheduled" is the protocol's, the other two are additions
 
 
 def password_hash(password: str, salt: str, rounds: int) -> str:
+    """The protocol's password hash: SHA-256, iterated `rounds` times."""
     digest = (password + salt).encode()
     for _ in range(rounds):
         digest = hashlib.sha256(digest).digest()
@@ -40,6 +41,8 @@
 
 
 class FaktoryServer(Server):
+    """Accepts Faktory connections of clients and workers."""
+
     def __init__(self, stage: Stage, jobs: Jobs, workers: FaktoryWorkers, limit: int) -> None:
         super().__init__(limit)
         self.stage, self.jobs, self.workers = stage, jobs, workers
@@ -49,10 +52,12 @@
         try:
             await session.run()
         finally:
-            session.over()
+            session.end()
 
 
 class Session:
+    """One connection of a client or a worker."""
+
     def __init__(self, server: FaktoryServer, conn: Connection) -> None:
         self.server, self.conn = server, conn
         self.stage, self.jobs, self.workers = server.stage, server.jobs, server.workers
@@ -73,10 +78,10 @@
     async def run(self) -> None:
         if not await self.greet():
             return
-        self.server.work(self.conn)  # from here on it is nobody's to close: a worker fetches with long pauses
+        self.server.work(self.conn)  # exempts it from closing as idle: a worker pauses for long between fetches
         faults = 0
         while faults < FAULTS:
-            line = await self.read(IDLE_TIME)
+            line = await self.read(IDLE_TIMEOUT_S)
             if line is None:
                 await self.write(resp.error("a line that is too long or does not end in CR LF"))
                 return
@@ -94,32 +99,34 @@
             if reply:
                 await self.write(reply)
 
-    def over(self) -> None:
-        """The connection ended. What its client pushed goes on: a disconnect withdraws nothing."""
+    def end(self) -> None:
+        """Handles the end of the connection. It does not withdraw the jobs that the client has pushed."""
         if self.process is not None:
             self.workers.left(self.process)
             self.process = None
 
     async def read(self, idle: float) -> bytes | None:
+        """Reads a line, which must begin within `idle` s; None if it is too long."""
         if not len(self.conn.buffer):
             await within(idle, self.conn.fill())
         try:
-            return await within(READ_TIME, self.conn.line(resp.LINE))
+            return await within(READ_TIME, self.conn.line(resp.MAX_LINE_BYTES))
         except OverflowError:
             return None
 
     async def write(self, data: bytes) -> None:
         await within(WRITE_TIME, self.conn.write(data))
 
-    # ---- the greeting --------------------------------------------------------------------------------
+    # ---- handshake -----------------------------------------------------------------------------------
 
     async def greet(self) -> bool:
+        """Sends HI and checks the HELLO of the client. Returns whether it was accepted."""
         password = self.jobs.setup.password
         salt = secrets.token_hex(8)
-        hi: dict[str, Any] = {"v": 2}
+        greeting: dict[str, Any] = {"v": 2}
         if password:
-            hi |= {"s": salt, "i": ROUNDS}
-        await self.write(b"+HI " + resp.bulk(hi).split(b"\r\n")[1] + b"\r\n")
+            greeting |= {"s": salt, "i": HASH_ROUNDS}
+        await self.write(b"+HI " + resp.bulk(greeting).split(b"\r\n")[1] + b"\r\n")
         line = await within(FIRST_TIME, self.read(FIRST_TIME))
         try:
             verb, rest = resp.split_command(line or b"")
@@ -129,7 +136,7 @@
             if hello.get("v") != 2:
                 raise resp.BadCommand("only version 2 of the protocol is spoken")
             if password and not hmac.compare_digest(
-                str(hello.get("pwdhash", "")).encode(), password_hash(password, salt, ROUNDS).encode()
+                str(hello.get("pwdhash", "")).encode(), password_hash(password, salt, HASH_ROUNDS).encode()
             ):
                 log.warning("faktory_login_failed", peer=self.conn.peer)
                 raise resp.BadCommand("invalid password")
@@ -146,10 +153,10 @@
         await self.write(resp.simple("OK"))
         return True
 
-    # ---- clients -------------------------------------------------------------------------------------
+    # ---- commands of clients -------------------------------------------------------------------------
 
     def order(self, job: Any) -> Order | None:
-        """The order that a job means; None for a jid that is known, which is the same job."""
+        """Converts a pushed job; None for a known jid, which is the same job. Raises BadCommand."""
         if not isinstance(job, dict):
             raise resp.BadCommand("an object is wanted")
         if self.stage.record(ORIGIN, read_jid(job)) is not None:
@@ -159,29 +166,32 @@
     async def push(self, rest: str) -> bytes:
         order = self.order(resp.read_object(rest))
         if order is not None:
-            _heard.pause = 0.0
+            _replies.pause = 0.0
             try:
-                number: int | Unusable = self.stage.arrive(order, _heard)
-            except Unusable as why:
-                number = why
-            self.accepted(order, number)
+                result: int | Unusable = self.stage.arrive(order, _replies)
+            except Unusable as error:
+                result = error
+            self.check_accepted(order, result)
         return resp.simple("OK")
 
-    def accepted(self, order: Order, number: int | Unusable) -> None:
-        """Raises BadCommand if a job was not taken. One that had its answer at once, and is known, was."""
-        if isinstance(number, Unusable):
-            raise resp.BadCommand(str(number))
-        if not number and self.stage.record(ORIGIN, order.id) is None:
-            if _heard.pause:
-                raise resp.BadCommand(f"not accepted now: come back in {_heard.pause / 1000:.3f} s")
+    def check_accepted(self, order: Order, result: int | Unusable) -> None:
+        """Raises BadCommand if a job was not accepted.
+
+        `result` is that of `Stage.arrive`. A job that was answered at once and has a record was accepted.
+        """
+        if isinstance(result, Unusable):
+            raise resp.BadCommand(str(result))
+        if not result and self.stage.record(ORIGIN, order.id) is None:
+            if _replies.pause:
+                raise resp.BadCommand(f"not accepted now: come back in {_replies.pause / 1000:.3f} s")
             raise resp.BadCommand("not accepted now: too much is held, or this dispatcher is stopping")
 
     async def push_bulk(self, rest: str) -> bytes:
         jobs = resp.read_json(rest)
-        if not isinstance(jobs, list) or len(jobs) > BULK:
-            raise resp.BadCommand(f"a list of {BULK} jobs at most is wanted")
+        if not isinstance(jobs, list) or len(jobs) > MAX_PUSHB_JOBS:
+            raise resp.BadCommand(f"a list of {MAX_PUSHB_JOBS} jobs at most is wanted")
         failed: dict[str, str] = {}
-        orders: dict[str, Order] = {}  # a jid that comes twice in one list is the same job
+        orders: dict[str, Order] = {}  # by jid: a jid that is repeated in the list is the same job
         for n, job in enumerate(jobs):
             try:
                 order = self.order(job)
@@ -190,17 +200,17 @@
             except resp.BadCommand as bad:
                 jid = job.get("jid") if isinstance(job, dict) else None
                 failed[jid if isinstance(jid, str) else f"#{n}"] = str(bad)
-        _heard.pause = 0.0
-        numbers = self.stage.arrive_all([(order, _heard) for order in orders.values()])
-        for order, number in zip(orders.values(), numbers, strict=True):
+        _replies.pause = 0.0
+        results = self.stage.arrive_all([(order, _replies) for order in orders.values()])
+        for order, result in zip(orders.values(), results, strict=True):
             try:
-                self.accepted(order, number)
+                self.check_accepted(order, result)
             except resp.BadCommand as bad:
                 failed[order.id] = str(bad)
         return resp.bulk(failed)
 
     async def mutate(self, rest: str) -> bytes:
-        """Jobs that wait here are withdrawn or made due (the protocol's Mutate API)."""
+        """Withdraws waiting jobs or makes them due (the protocol's Mutate API)."""
         self.stage.amend(read_mutate(resp.read_object(rest)))
         return resp.simple("OK")
 
@@ -208,7 +218,7 @@
         verb, _, jid = rest.partition(" ")
         if verb.upper() != "GET":
             raise resp.BadCommand("only TRACK GET is known")
-        return resp.bulk(tracked(jid.strip(), self.stage.record(ORIGIN, jid.strip())))
+        return resp.bulk(job_status(jid.strip(), self.stage.record(ORIGIN, jid.strip())))
 
     async def info(self, rest: str) -> bytes:
         return resp.bulk(
@@ -226,9 +236,10 @@
             }
         )
 
-    # ---- workers -------------------------------------------------------------------------------------
+    # ---- commands of workers -------------------------------------------------------------------------
 
     def worker(self) -> Process:
+        """The worker process of this connection; raises BadCommand on a client's connection."""
         if self.process is None:
             raise resp.BadCommand("only a worker may do this: no wid in HELLO")
         return self.process
@@ -237,22 +248,22 @@
         process = self.worker()
         waiting = self.workers.fetch(process, self.conn, rest.split() or ["default"])
         if waiting is None:
-            await asyncio.sleep(FETCH_TIME)  # a worker that drains asks on, but must not spin
+            await asyncio.sleep(FETCH_WAIT_S)  # a draining worker continues to fetch; an immediate reply would spin it
             return resp.bulk(None)
 
-        def gone() -> None:
-            if not waiting.job.done():
-                waiting.job.set_result(b"")
+        def on_close() -> None:
+            if not waiting.reply.done():
+                waiting.reply.set_result(b"")
 
-        self.conn.on_close(gone)
+        self.conn.on_close(on_close)
         try:
-            done, _ = await asyncio.wait([waiting.job], timeout=FETCH_TIME)
+            done, _ = await asyncio.wait([waiting.reply], timeout=FETCH_WAIT_S)
             if not done:
-                waiting.job.set_result(resp.bulk(None))
-            return waiting.job.result() or b""
+                waiting.reply.set_result(resp.bulk(None))
+            return waiting.reply.result() or b""
         finally:
             self.conn.on_close(None)
-            self.workers.fetch_over(process, waiting)
+            self.workers.fetch_ended(process, waiting)
 
     async def ack(self, rest: str) -> bytes:
         process, body = self.worker(), resp.read_object(rest)
@@ -278,9 +289,13 @@
         return resp.bulk({"state": "quiet"}) if self.stage.closing else resp.simple("OK")
 
 
-class _Heard:
-    """A client that pushed a job waits for no answer: it asks by TRACK. Only the longest pause of those that were
-    turned away within one command is of use; one object for all jobs, since each keeps its own for long."""
+class _ReplyHandler:
+    """The reply callback of all pushed jobs.
+
+    A client does not wait for the answer of a job that it pushed, but polls with TRACK. Only the longest `pause` of
+    the jobs refused within one command is used. One object serves all jobs, since each held job keeps a reference
+    to its callback for long.
+    """
 
     pause = 0.0
 
@@ -288,21 +303,21 @@
         self.pause = max(self.pause, answer.pause)
 
 
-_heard = _Heard()
+_replies = _ReplyHandler()
 
 
 def read_mutate(mutation: dict[str, Any]) -> Amendment:
-    """What a MUTATE asks for; raises BadCommand."""
-    cmd, target, chosen = mutation.get("cmd"), mutation.get("target"), mutation.get("filter") or {}
+    """Parses the argument of MUTATE; raises BadCommand."""
+    cmd, target, selection = mutation.get("cmd"), mutation.get("target"), mutation.get("filter") or {}
     if cmd not in ("clear", "discard", "requeue"):
         raise resp.BadCommand("cmd: clear, discard or requeue is wanted: nothing dead is kept here")
-    if target not in TARGETS:
-        raise resp.BadCommand(f"target: one of {', '.join(TARGETS)} is wanted")
+    if target not in MUTATE_TARGETS:
+        raise resp.BadCommand(f"target: one of {', '.join(MUTATE_TARGETS)} is wanted")
     if cmd == "requeue" and target != "scheduled":
         raise resp.BadCommand("requeue: only what is scheduled can be made due: the rest waits for others")
-    if not isinstance(chosen, dict) or set(chosen) - {"jids", "jobtype"} or (cmd == "clear" and chosen):
+    if not isinstance(selection, dict) or set(selection) - {"jids", "jobtype"} or (cmd == "clear" and selection):
         raise resp.BadCommand("filter: jids and jobtype are known, and none for clear")
-    jids, jobtype = chosen.get("jids"), chosen.get("jobtype", "")
+    jids, jobtype = selection.get("jids"), selection.get("jobtype", "")
     if not isinstance(jobtype, str) or (
         jids is not None and not (isinstance(jids, list) and all(isinstance(jid, str) for jid in jids))
     ):
@@ -312,8 +327,8 @@
     return Amendment(ORIGIN, target, None if jids is None else frozenset(jids), jobtype, cmd == "requeue")
 
 
-def tracked(jid: str, record: Record | None) -> dict[str, Any]:
-    """A job's outcome in the protocol's words; what was refused is told apart by `desc`."""
+def job_status(jid: str, record: Record | None) -> dict[str, Any]:
+    """The reply to TRACK GET. Its `desc` tells a refused job from one that failed."""
     if record is None:
         return {"jid": jid, "state": "unknown", "updated_at": ""}
     state = "working" if record.attempts else "enqueued"
--- a/millethead/fronts/faktory/setup.py
+++ b/millethead/fronts/faktory/setup.py
@@ -1,4 +1,4 @@
-"""The table [faktory] of the operator's file."""
+"""The table [faktory] of the operator's settings file."""
 
 from __future__ import annotations
 
@@ -14,15 +14,19 @@
 Name = Annotated[str, Meta(min_length=1)]
 
 
-class _Words(Table, frozen=True, kw_only=True):
+class _ClassNames(Table, frozen=True, kw_only=True):
+    """The jobtypes and queues whose jobs belong to one job class."""
+
     jobtypes: list[Name] = []
     queues: list[Name] = []
 
 
 class _Faktory(Table, frozen=True, kw_only=True):
+    """The table as it is written in the file."""
+
     listen: Local
     password_file: Name | None = None
-    classes: dict[str, _Words] = {}
+    classes: dict[str, _ClassNames] = {}
     zone: str | None = None
     kind: str = ""
     connections: Annotated[int, Meta(ge=1, le=4096)] = 128
@@ -30,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FaktorySetup:
-    """What the front needs: the words of the table turned into maps, the password read."""
+    """The settings of the front end: the table with its names resolved to classes, and the password read."""
 
     listen: tuple[str, int]
     password: str = field(default="", repr=False)
@@ -42,18 +46,20 @@
 
 
 def faktory_setup(raw: Any, base: Path, classes: list[str], zones: list[str]) -> FaktorySetup:
-    """The table, held against the classes and zones of the configuration; raises ConfigError."""
+    """Checks the table against the classes and zones of the configuration; raises ConfigError."""
     table = read_table(raw, _Faktory, "faktory")
     jobtypes: dict[str, str] = {}
     queues = {name: name for name in classes}
-    for name, words in table.classes.items():
-        if name not in queues:
-            raise ConfigError(f"faktory.classes: unknown key {name!r}; a class is wanted: {', '.join(classes)}")
-        for key, into, given in (("jobtypes", jobtypes, words.jobtypes), ("queues", queues, words.queues)):
-            for word in given:
-                if into.get(word, name) != name:
-                    raise ConfigError(f"faktory.classes.{name}.{key}: {word!r} belongs to {into[word]!r} already")
-                into[word] = name
+    for class_name, names in table.classes.items():
+        if class_name not in queues:
+            raise ConfigError(f"faktory.classes: unknown key {class_name!r}; a class is wanted: {', '.join(classes)}")
+        for key, class_of, given in (("jobtypes", jobtypes, names.jobtypes), ("queues", queues, names.queues)):
+            for name in given:
+                if class_of.get(name, class_name) != class_name:
+                    raise ConfigError(
+                        f"faktory.classes.{class_name}.{key}: {name!r} belongs to {class_of[name]!r} already"
+                    )
+                class_of[name] = class_name
     password = ""
     if table.password_file is not None:
         try:
--- a/millethead/fronts/platform.py
+++ b/millethead/fronts/platform.py
@@ -1,4 +1,4 @@
-"""The platform's HTTP/1.1: one job a request, call-backs of workers, and the readiness check."""
+"""The HTTP/1.1 front end: one job per request, the workers' callbacks, and the readiness check."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 if TYPE_CHECKING:
     from millethead.console.figures import More
 
-PAUSE = 1000.0  # ms that a refused client is asked to stay away where the module gives no figure
+DEFAULT_RETRY_AFTER_MS = 1000.0  # where the answer gives no estimate
 _ID = re.compile(r"[!-.0-~]{1,128}")  # printable, and no slash: it becomes part of a path
-_SECONDS = re.compile(r"[0-9]{1,9}(?:\.[0-9]{0,9})?")  # float() would take 1_0, inf and other writing as well
-_KEY = re.compile(r"[!-~]{1,256}")  # passed on: a worker that cannot read a field closes the connection
+_SECONDS = re.compile(r"[0-9]{1,9}(?:\.[0-9]{0,9})?")  # float() would also accept 1_0, inf and other notations
+_KEY = re.compile(r"[!-~]{1,256}")  # is forwarded: a worker that cannot parse a header closes the connection
 _COOKIE = re.compile(r"(?:^|;)\s*k=\"?([0-9A-Za-z_-]{1,64})\"?\s*(?:;|$)")
-_ATTRS = {"slots": "slots", "needs": "slots", "memory": "memory", "mem_needed": "memory"}
+_ATTRS = {"slots": "slots", "needs": "slots", "memory": "memory", "mem_needed": "memory"}  # X-Attrs -> Order field
 METHODS = {"/api": "POST", "/_jobs/news": "POST", "/up": "GET"}
 
 
@@ -39,17 +39,19 @@
         report: Callable[[str], api.Report | None],
         client: str = "",
     ) -> None:
-        """`client`: the field that names who hands a job in, if an operator has chosen one."""
-        self.client = client.lower()
-        # asks other processes of this dispatcher about news: whether it was theirs, None if that cannot be said now
+        """`take` handles a worker's callback, and returns whether an attempt was waiting for it. `client` is the
+        header that names the submitter, if an operator has configured one."""
+        self.client_header = client.lower()
+        # offers a callback to the other processes of this dispatcher; returns whether one of them was waiting for
+        # it, or None if that is unknown
         self.elsewhere: Callable[[bytes], Awaitable[bool | None]] | None = None
         self.stage, self.take, self.report = stage, take, report
-        self.left = 0  # jobs whose client had gone before their answer
+        self.left = 0  # jobs whose client disconnected before the answer
         self.classes = {name: n for n, name in enumerate(classes)}
         self.tenants = {name: n for n, name in enumerate(tenants)}
 
     async def serve(self, conn: Connection, request: Request) -> Reply | None:
-        """The reply to a request; None if nobody is left to read it."""
+        """Returns the reply to a request; None if the client has disconnected."""
         method = METHODS.get(request.path)
         if method is None:
             return Reply(404, b"no such path\n")
@@ -69,18 +71,18 @@
         return self._reply(conn, answer)
 
     async def news(self, body: bytes) -> Reply:
-        """A call-back, which may be for a job of the process before or after this one."""
+        """Handles a worker's callback, which may belong to a job of this process's predecessor or successor."""
         if read_news(body, self.report, self.take, last=self.elsewhere is None) or self.elsewhere is None:
             return Reply(200)
         found = await self.elsewhere(body)
-        if found is None:  # not heard of in time: the worker is to try again
+        if found is None:  # no answer in time: the worker has to retry
             return Reply(503, b"its owner cannot be reached\n")
-        if not found:  # the job may have come over while its owner was asked
+        if not found:  # the job may have been handed over to this process in the meantime
             read_news(body, self.report, self.take)
         return Reply(200)
 
     async def resume(self, conn: Connection, number: int, future: asyncio.Future[Answer | None]) -> Reply | None:
-        """The reply to a request that the process before this one had read."""
+        """Returns the reply to a request that the predecessor had read."""
         return self._reply(conn, await answer_of(self.stage, conn, number, future))
 
     def _reply(self, conn: Connection, answer: Answer | None) -> Reply | None:
@@ -90,10 +92,11 @@
         return reply_for(answer)
 
     def figures(self) -> list[More]:
-        """For the staff's page."""
+        """The metrics of this front end."""
         return [("left_total", "counter", "Jobs whose client left before their answer.", [("", "", self.left)])]
 
     def order(self, request: Request, conn: Connection) -> Order:
+        """Parses a request into an order; raises BadMessage."""
         fields = request.fields
         job_id, timeout = fields.get("x-request-id", ""), fields.get("x-timeout", "")
         if not _ID.fullmatch(job_id):
@@ -135,23 +138,23 @@
             peer=conn.peer,
             asked=left * 1000,
             waits=True,
-            client=fields.get(self.client, "") if self.client else "",
+            client=fields.get(self.client_header, "") if self.client_header else "",
             plan=read_plan(fields),
         )
 
 
 def read_plan(fields: dict[str, str]) -> Plan | None:
-    """What X-Run-At, X-Run-After and X-When-Parent-Fails ask for; None without them."""
-    at, after, fails = (fields.get(name) for name in ("x-run-at", "x-run-after", "x-when-parent-fails"))
-    if at is None and after is None and fails is None:
+    """Parses X-Run-At, X-Run-After and X-When-Parent-Fails; None if all are absent. Raises BadMessage."""
+    at, after, on_failure = (fields.get(name) for name in ("x-run-at", "x-run-after", "x-when-parent-fails"))
+    if at is None and after is None and on_failure is None:
         return None
-    if fails not in (None, "fail", "run"):
+    if on_failure not in (None, "fail", "run"):
         raise BadMessage(400, "X-When-Parent-Fails: run or fail is wanted")
     parents = tuple(dict.fromkeys(text.strip() for text in after.split(","))) if after is not None else ()
     if len(parents) > MAX_PARENTS or not all(_ID.fullmatch(parent) for parent in parents):
         raise BadMessage(400, f"X-Run-After: up to {MAX_PARENTS} ids with commas between are wanted")
     try:
-        return Plan(read_time(at) if at is not None else 0.0, parents, fails == "run")
+        return Plan(read_time(at) if at is not None else 0.0, parents, on_failure == "run")
     except ValueError as error:
         raise BadMessage(400, f"X-Run-At: {error}, or Unix seconds") from None
 
@@ -160,11 +163,14 @@
     if answer.final is Final.SERVED:
         return Reply(200, answer.result, job=True)
     if answer.final is Final.REFUSED:
-        return Reply(503, b"refused\n", {"Retry-After": f"{(answer.pause or PAUSE) / 1000:g}"}, job=True)
+        return Reply(
+            503, b"refused\n", {"Retry-After": f"{(answer.pause or DEFAULT_RETRY_AFTER_MS) / 1000:g}"}, job=True
+        )
     return Reply(502, b"failed\n")
 
 
 def route_key(text: str) -> int:
+    """The affinity key of a cookie value: the hexadecimal number, or else the first 8 bytes of the text."""
     try:
         return int(text, 16) & 0xFFFFFFFFFFFFFFFF
     except ValueError:
@@ -172,6 +178,7 @@
 
 
 def _number(text: str | None) -> float | None:
+    """Parses a number; None if the text is absent, not a number, or 1e12 or more in size."""
     try:
         value = float(text or "")
     except ValueError:
--- a/tests/play.py
+++ b/tests/play.py
@@ -35,7 +35,7 @@
     "millethead.fronts.faktory.session.READ_TIME",
     "millethead.net.probes.PROBE_TIME",
     "millethead.net.send.CANCEL_TIME",
-    "millethead.fronts.faktory.session.FETCH_TIME",
+    "millethead.fronts.faktory.session.FETCH_WAIT_S",
     "millethead.console.server.CALL_TIME",
 )
 CLASSES: list[dict[str, Any]] = [
