--- a/millethead/flows/__init__.py
+++ b/millethead/flows/__init__.py
@@ -1,1 +1,1 @@
-"""Export of flow records."""
+"""Export of flow records in the IPFIX format."""
--- a/millethead/flows/ipfix.py
+++ b/millethead/flows/ipfix.py
@@ -1,4 +1,4 @@
-"""IPFIX (RFC 7011): one record for each finished exchange, over UDP to a collector on this machine."""
+"""IPFIX export (RFC 7011): one flow record per finished job, sent over UDP to a collector on this machine."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 log = structlog.get_logger()
 VERSION, TEMPLATE_SET = 10, 2
-IPV4, IPV6 = 256, 257  # template ids
-MESSAGE = 1200  # bytes at most: fits into a packet everywhere
-WAIT = 0.2  # s that records are gathered for one message
-COMPLAIN = 60.0  # s between two log lines about dropped records
+IPV4_TEMPLATE, IPV6_TEMPLATE = 256, 257  # template ids
+MAX_MESSAGE_BYTES = 1200  # fits into one packet on any network path
+BATCH_DELAY_S = 0.2  # for which records are collected for one message
+DROP_LOG_INTERVAL_S = 60.0  # between two log lines about dropped records
 _HEADER = struct.Struct("!HHIII")
 _SET = struct.Struct("!HH")
 _TIMES = struct.Struct("!QQ")
-_REST = struct.Struct("!HHBQQBH")
-# (element, length) in the order of a record; the names are IANA's
-_VARIABLE = 65535
-_ENDS = (
+_COMMON = struct.Struct("!HHBQQBH")
+# information elements as (element id, length) in the order of a record, with their IANA names
+_VARIABLE_LENGTH = 65535
+_COMMON_FIELDS = (
     (7, 2),  # sourceTransportPort
     (11, 2),  # destinationTransportPort
     (4, 1),  # protocolIdentifier
@@ -35,54 +35,62 @@
     (232, 8),  # responderOctets
     (136, 1),  # flowEndReason
     (459, 2),  # httpStatusCode
-    (96, _VARIABLE),
-)  # applicationName
-# flowStartMilliseconds, flowEndMilliseconds, then the source and destination address of that family
-_FIELDS = {IPV4: ((152, 8), (153, 8), (8, 4), (12, 4), *_ENDS), IPV6: ((152, 8), (153, 8), (27, 16), (28, 16), *_ENDS)}
-# flowEndReason: 3 end of flow detected, 4 forced end, 5 lack of resources
-_MEANING = {Final.SERVED: (3, 200), Final.REFUSED: (5, 503), Final.FAILED: (4, 502), None: (4, 499)}
+    (96, _VARIABLE_LENGTH),  # applicationName
+)
+# flowStartMilliseconds, flowEndMilliseconds, the source and destination address of the address family, then the rest
+_FIELDS = {
+    IPV4_TEMPLATE: ((152, 8), (153, 8), (8, 4), (12, 4), *_COMMON_FIELDS),
+    IPV6_TEMPLATE: ((152, 8), (153, 8), (27, 16), (28, 16), *_COMMON_FIELDS),
+}
+# (flowEndReason, httpStatusCode); reasons: 3 end of flow detected, 4 forced end, 5 lack of resources
+_END_CODES = {Final.SERVED: (3, 200), Final.REFUSED: (5, 503), Final.FAILED: (4, 502), None: (4, 499)}
 
 
 def template_set() -> bytes:
-    out = b""
-    for number, fields in _FIELDS.items():
-        out += _SET.pack(number, len(fields)) + b"".join(_SET.pack(*field) for field in fields)
-    return _SET.pack(TEMPLATE_SET, 4 + len(out)) + out
+    """The set with both templates."""
+    templates = b""
+    for template, fields in _FIELDS.items():
+        templates += _SET.pack(template, len(fields)) + b"".join(_SET.pack(*field) for field in fields)
+    return _SET.pack(TEMPLATE_SET, 4 + len(templates)) + templates
 
 
 def record(
     order: Order, answer: Answer | None, began: float, ended: float, listen: tuple[str, int], name: str
 ) -> tuple[int, bytes]:
-    """(template, bytes) of one exchange; times are Unix time in ms. Answer None: its client left."""
+    """Encodes the record of one job; returns (template id, bytes).
+
+    `answer` is None if the client withdrew the job. `began` and `ended` are Unix time in ms. `listen` is the address
+    of the front end, `name` the job class.
+    """
     source, destination = (ip_address(host) for host in ((order.peer or ("0.0.0.0", 0))[0], listen[0]))
-    template = IPV4
+    template = IPV4_TEMPLATE
     if source.version == 6 or destination.version == 6:
-        template = IPV6
+        template = IPV6_TEMPLATE
     parts = [_TIMES.pack(int(began), int(ended))]
     for address in (source, destination):
         packed = address.packed
-        if template == IPV6 and len(packed) == 4:
-            packed = bytes(10) + b"\xff\xff" + packed
+        if template == IPV6_TEMPLATE and len(packed) == 4:
+            packed = bytes(10) + b"\xff\xff" + packed  # IPv4-mapped IPv6 address
         parts.append(packed)
-    reason, status = _MEANING[answer.final if answer is not None else None]
-    text = name.encode()[:254]
+    reason, status = _END_CODES[answer.final if answer is not None else None]
+    application = name.encode()[:254]
     parts.append(
-        _REST.pack(
+        _COMMON.pack(
             (order.peer or ("", 0))[1],
             listen[1],
-            6,
+            6,  # TCP
             len(order.body),
             len(answer.result) if answer is not None else 0,
             reason,
             status,
         )
     )
-    parts.append(bytes([len(text)]) + text)
+    parts.append(bytes([len(application)]) + application)
     return template, b"".join(parts)
 
 
 class Exporter:
-    """Gathers records in a bounded queue and sends them from the loop; a job never waits for it."""
+    """Queues records up to a limit and sends them in the background from the event loop, so that no job waits."""
 
     def __init__(
         self,
@@ -92,13 +100,14 @@
         classes: list[str],
         wall: Callable[[], float] = time.time,
     ) -> None:
+        """`listen` and `faktory` are the addresses of the front ends, `wall` returns the Unix time in s."""
         self.setup, self.classes, self.wall = setup, classes, wall
         self.listen = {"http": listen, "faktory": faktory or listen}
         self.sequence = self.dropped = 0
         self._queue: deque[tuple[int, bytes]] = deque()
-        self._templates_at = -float("inf")
-        self._complained = -float("inf")
-        self._told = 0
+        self._templates_sent_at = -float("inf")
+        self._drops_logged_at = -float("inf")
+        self._logged_drops = 0
         self._timer: asyncio.TimerHandle | None = None
         self._socket: socket.socket | None = None
 
@@ -114,7 +123,7 @@
             self._socket = None
 
     def finished(self, order: Order, answer: Answer | None, began: float, ended: float) -> None:
-        """Take in one finished exchange; drops and counts it if the queue is full."""
+        """Queues the record of a finished job. If the queue is full, the record is dropped and counted."""
         if len(self._queue) >= self.setup.queue:
             self._drop(1)
             return
@@ -129,10 +138,10 @@
             )
         )
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(WAIT, self.flush)
+            self._timer = asyncio.get_running_loop().call_later(BATCH_DELAY_S, self.flush)
 
     def flush(self) -> None:
-        """Send what is queued. What the system does not take now is dropped and counted."""
+        """Sends all queued records. Those that the operating system does not accept now are dropped and counted."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -142,16 +151,16 @@
                 if self._socket is not None:
                     self._socket.sendto(message, self.setup.collector)
                     self.sequence = (self.sequence + count) & 0xFFFFFFFF
-            except OSError:  # also where nobody listens there
-                self._templates_at = -float("inf")
+            except OSError:  # also raised when no collector listens at the address
+                self._templates_sent_at = -float("inf")
                 self._drop(count)
 
     def message(self) -> tuple[bytes, int]:
-        """The next message and how many records it holds; templates go first when they are due."""
+        """Returns the next message and its number of records. It starts with the templates when they are due."""
         now = self.wall()
         sets = b""
-        if now - self._templates_at >= self.setup.template_s:
-            self._templates_at = now
+        if now - self._templates_sent_at >= self.setup.template_s:
+            self._templates_sent_at = now
             sets = template_set()
         count = 0
         while self._queue:
@@ -160,19 +169,21 @@
             while (
                 self._queue
                 and self._queue[0][0] == template
-                and _HEADER.size + len(sets) + _SET.size + len(data) + len(self._queue[0][1]) <= MESSAGE
+                and _HEADER.size + len(sets) + _SET.size + len(data) + len(self._queue[0][1]) <= MAX_MESSAGE_BYTES
             ):
                 data += self._queue.popleft()[1]
                 count += 1
             if not data:
                 break
             sets += _SET.pack(template, _SET.size + len(data)) + data
-        head = _HEADER.pack(VERSION, _HEADER.size + len(sets), int(now) & 0xFFFFFFFF, self.sequence, self.setup.domain)
-        return head + sets, count
+        header = _HEADER.pack(
+            VERSION, _HEADER.size + len(sets), int(now) & 0xFFFFFFFF, self.sequence, self.setup.domain
+        )
+        return header + sets, count
 
     def _drop(self, count: int) -> None:
         self.dropped += count
         now = time.monotonic()
-        if now - self._complained >= COMPLAIN:
-            log.warning("flows_dropped", since_last=self.dropped - self._told, in_all=self.dropped)
-            self._complained, self._told = now, self.dropped
+        if now - self._drops_logged_at >= DROP_LOG_INTERVAL_S:
+            log.warning("flows_dropped", since_last=self.dropped - self._logged_drops, in_all=self.dropped)
+            self._drops_logged_at, self._logged_drops = now, self.dropped
--- a/millethead/flows/setup.py
+++ b/millethead/flows/setup.py
@@ -1,4 +1,4 @@
-"""The table [ipfix] of the operator's file."""
+"""The table [ipfix] of the operator's settings file."""
 
 from __future__ import annotations
 
@@ -10,7 +10,13 @@
 
 
 class FlowSetup(Table, frozen=True, kw_only=True):
-    """Where the records go, the observation domain, seconds between templates, and records queued at most."""
+    """The settings of the flow export.
+
+    collector: the address that the records are sent to.
+    domain: the observation domain id.
+    template_s: seconds between two transmissions of the templates.
+    queue: the maximum number of queued records.
+    """
 
     collector: Local
     domain: Annotated[int, Meta(ge=0, le=2**32 - 1)] = 1
--- a/tests/test_ipfix.py
+++ b/tests/test_ipfix.py
@@ -1,4 +1,4 @@
-"""IPFIX bytes, checked by hand against RFC 7011 and IANA's list of information elements."""
+"""Tests of the IPFIX export. The expected bytes follow RFC 7011 and IANA's list of information elements."""
 
 import asyncio
 import socket
@@ -25,14 +25,14 @@
     "0100 003b "  # data set of template 256, 59 bytes
     "00000000000003e8 00000000000004e2 "  # 1000 and 1250 ms
     "7f000001 7f000001 9c40 20fb 06 "  # 127.0.0.1:40000 to 127.0.0.1:8443 over TCP
-    "0000000000000004 0000000000000006 03 00c8 "  # 4 bytes in, 6 out, ended by itself, status 200
+    "0000000000000004 0000000000000006 03 00c8 "  # 4 bytes in, 6 out, normal end, status 200
     "06 726566756e64 "
 )  # "refund"
 ORDER = Order("a1", 0, 9000.0, body=b"book", origin="http", peer=("127.0.0.1", 40000))
 SERVED = Answer(Final.SERVED, b"seat 7")
 
 
-class Ipfix(unittest.IsolatedAsyncioTestCase):
+class IpfixTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.collector = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.collector.bind(("127.0.0.1", 0))
@@ -42,65 +42,67 @@
     def tearDown(self):
         self.collector.close()
 
-    def exporter(self, **more):
-        setup = FlowSetup(collector=Local(self.collector.getsockname()), **more)
-        made = Exporter(setup, ("127.0.0.1", 8443), None, ["refund"], lambda: self.time)
-        made.start()
-        self.addCleanup(made.stop)
-        return made
+    def start_exporter(self, **settings):
+        setup = FlowSetup(collector=Local(self.collector.getsockname()), **settings)
+        exporter = Exporter(setup, ("127.0.0.1", 8443), None, ["refund"], lambda: self.time)
+        exporter.start()
+        self.addCleanup(exporter.stop)
+        return exporter
 
-    def got(self):
+    def receive(self):
         return self.collector.recv(65536)
 
-    async def test_bytes_templates_and_sequence(self):
-        flows = self.exporter(template_s=60.0)
-        flows.finished(ORDER, SERVED, 1000.0, 1250.0)
-        flows.flush()
+    async def test_encoding_templates_and_sequence_numbers(self):
+        exporter = self.start_exporter(template_s=60.0)
+        exporter.finished(ORDER, SERVED, 1000.0, 1250.0)
+        exporter.flush()
         self.assertEqual(
-            self.got(), bytes.fromhex("000a 00b7 00000064 00000000 00000001" + TEMPLATES + RECORD)
+            self.receive(), bytes.fromhex("000a 00b7 00000064 00000000 00000001" + TEMPLATES + RECORD)
         )  # 183 bytes, sequence 0
         self.time = 159.0
         for _ in range(2):
-            flows.finished(ORDER, SERVED, 1000.0, 1250.0)
-        flows.flush()  # no template is due; two records in one set of 114 bytes
+            exporter.finished(ORDER, SERVED, 1000.0, 1250.0)
+        exporter.flush()  # no templates are due; two records in one set of 114 bytes
         record = RECORD.partition(" ")[2].partition(" ")[2]
-        self.assertEqual(self.got(), bytes.fromhex("000a 0082 0000009f 00000001 00000001 0100 0072" + record + record))
+        self.assertEqual(
+            self.receive(), bytes.fromhex("000a 0082 0000009f 00000001 00000001 0100 0072" + record + record)
+        )
         self.time = 160.0
-        flows.finished(ORDER, SERVED, 1000.0, 1250.0)
-        flows.flush()  # templates again; the sequence counts the three records so far
-        self.assertEqual(self.got(), bytes.fromhex("000a 00b7 000000a0 00000003 00000001" + TEMPLATES + RECORD))
+        exporter.finished(ORDER, SERVED, 1000.0, 1250.0)
+        exporter.flush()  # templates again; the sequence counts the three records so far
+        self.assertEqual(self.receive(), bytes.fromhex("000a 00b7 000000a0 00000003 00000001" + TEMPLATES + RECORD))
 
-    async def test_ends_and_ipv6(self):
-        flows = self.exporter()
-        peer = Order("a1", 0, 9000.0, origin="http", peer=("::1", 1))
+    async def test_end_codes_and_ipv6_addresses(self):
+        exporter = self.start_exporter()
+        order = Order("a1", 0, 9000.0, origin="http", peer=("::1", 1))
         for answer in (Answer(Final.REFUSED), Answer(Final.FAILED), None):
-            flows.finished(peer, answer, 0.0, 0.0)
-        flows.flush()
-        records = self.got()[16 + 108 :]
-        # template 257: 20 bytes of times and more each, two addresses of 16
+            exporter.finished(order, answer, 0.0, 0.0)
+        exporter.flush()
+        records = self.receive()[16 + 108 :]
+        # 79 bytes per record of template 257, of which two addresses of 16 bytes
         self.assertEqual(records[:4].hex(), "01010" + f"{4 + 3 * 79:03x}")
         self.assertEqual(records[4 + 16 : 4 + 48].hex(), "00" * 15 + "01" + "00" * 10 + "ffff7f000001")
-        ends = [records[4 + 79 * n + 69 : 4 + 79 * n + 72].hex() for n in range(3)]
-        self.assertEqual(ends, ["0501f7", "0401f6", "0401f3"])
+        end_codes = [records[4 + 79 * n + 69 : 4 + 79 * n + 72].hex() for n in range(3)]
+        self.assertEqual(end_codes, ["0501f7", "0401f6", "0401f3"])
 
-    async def test_a_full_queue_drops_and_counts(self):
-        flows = self.exporter(queue=2)
+    async def test_a_full_queue_drops_records_and_counts_them(self):
+        exporter = self.start_exporter(queue=2)
         for _ in range(5):
-            flows.finished(ORDER, SERVED, 0.0, 0.0)
-        self.assertEqual(flows.dropped, 3)
-        flows.flush()
-        self.got()
-        self.assertEqual(flows.sequence, 2)  # what was never sent has no place in the sequence
+            exporter.finished(ORDER, SERVED, 0.0, 0.0)
+        self.assertEqual(exporter.dropped, 3)
+        exporter.flush()
+        self.receive()
+        self.assertEqual(exporter.sequence, 2)  # dropped records have no sequence numbers
 
-    async def test_a_long_queue_goes_out_in_messages_that_fit(self):
-        flows = self.exporter()
+    async def test_a_long_queue_is_split_into_messages_of_limited_size(self):
+        exporter = self.start_exporter()
         for _ in range(60):
-            flows.finished(ORDER, SERVED, 0.0, 0.0)
+            exporter.finished(ORDER, SERVED, 0.0, 0.0)
         await asyncio.sleep(0)
-        flows.flush()
+        exporter.flush()
         sizes, count = [], 0
         while count < 60:
-            message = self.got()
+            message = self.receive()
             self.assertEqual(int.from_bytes(message[8:12], "big"), count)
             sizes.append(len(message))
             count += message.count(b"refund")
