--- a/benchmarks/members/cost.py
+++ b/benchmarks/members/cost.py
@@ -17,7 +17,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent.parent / "tests"))
 
-from play import SETTINGS
+from dispatcher_fixture import SETTINGS
 
 from millethead.lab.audit import most_shared
 from millethead.lab.faults import Faults
--- a/benchmarks/operation/start.py
+++ b/benchmarks/operation/start.py
@@ -22,7 +22,7 @@
 ROOT = Path(__file__).parent.parent.parent
 sys.path.insert(0, str(ROOT / "tests"))
 
-from play import SETTINGS, endpoint  # noqa: E402
+from dispatcher_fixture import SETTINGS, endpoint  # noqa: E402
 
 from millethead.lab.pack import free_port  # noqa: E402
 from millethead.lab.table import keep  # noqa: E402
--- a/tests/play.py
+++ b/tests/dispatcher_fixture.py
@@ -1,11 +1,18 @@
-"""Plays recorded byte exchanges against the program, on loopback addresses and free ports.
-
-A recording is a text file of lines `PARTY > TEXT` (the party sends) and `PARTY < TEXT` (it must receive just
-that). Escapes: \\r \\n \\\\ and \\xHH; {n} is the length of the body, {z*N} the letter z N times. In what is
-received, <*> stands for anything up to the text after it.
-Parties: client* and faktory* connect to the two fronts; workerN.C is connection C that worker N accepts,
-discovery.C one that discovery accepts. `PARTY < END` means that the program closed; `PARTY > END` closes;
-`PARTY < OPEN` that a connection came. Worker 1 and 2 are on the known list. {hN} is worker N's address.
+"""Runs the dispatcher with stand-in peers, and replays recorded byte exchanges against it.
+
+All connections use loopback addresses and free ports. A recording is a text file with lines of these forms:
+
+    PARTY > TEXT   the party sends the text
+    PARTY < TEXT   the party must receive exactly the text
+    PARTY > END    the party closes its connection; RESET aborts it
+    PARTY < END    the dispatcher must close the connection
+    PARTY < OPEN   the dispatcher must open a connection to the party
+
+Escapes are \\r, \\n, \\\\ and \\xHH. {n} is the length of the body, {z*N} is N times the letter z, and {hN} is the
+address of worker N. In received text, <*> matches anything up to the text that follows.
+
+The parties client* and faktory* connect to the HTTP and the Faktory front end. workerN.C is the connection C that
+worker N accepts, and discovery.C one that service discovery accepts. Workers 1 and 2 are in the initial worker list.
 """
 
 from __future__ import annotations
@@ -24,10 +31,10 @@
 from millethead.operators import load_operator
 from millethead.program import Program
 
-PATIENCE = 20.0  # s; only a failing test waits so long
-# a slow machine must not change a verdict: limits of the program that no test is about are out of reach here,
-# and so is the moment from which a waiting job counts as late (goal_time)
-LONG = (
+TIMEOUT_S = 20.0  # only reached by a failing test
+# Timeouts of the dispatcher that no test checks are raised to TIMEOUT_S, so that a slow machine does not change a
+# result. For the same reason goal_time, after which a waiting job counts as late, is long in CLASSES.
+RAISED_TIMEOUTS = (
     "millethead.net.accept.FIRST_TIME",
     "millethead.net.accept.READ_TIME",
     "millethead.net.accept.ASKED_TIME",
@@ -95,7 +102,8 @@
 PASSWORD = OPERATOR.replace("listen", 'password_file = "password"\nlisten')
 
 
-def endpoint(number: int, port: int, **more: Any) -> dict[str, Any]:
+def endpoint(number: int, port: int, **fields: Any) -> dict[str, Any]:
+    """A worker in the format of service discovery; `fields` are added or replace the defaults."""
     return {
         "name": f"s-{number:08x}",
         "address": f"127.0.0.1:{port}",
@@ -105,31 +113,31 @@
         "status": "in_service",
         "weight": 1.0,
         "since_ms": 0,
-        **more,
+        **fields,
     }
 
 
-class Peers:
-    """A listener whose connections wait, in order, until somebody wants them."""
+class PeerListener:
+    """A listening socket. Accepted connections are queued in order."""
 
     def __init__(self) -> None:
-        self.came: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
+        self.accepted: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
         self.port = 0
 
-    async def open(self) -> Peers:
+    async def open(self) -> PeerListener:
         self._server = await asyncio.start_server(self._take, "127.0.0.1", 0, limit=1 << 20)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
     async def _take(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await self.came.put((reader, writer))
+        await self.accepted.put((reader, writer))
 
     def close(self) -> None:
         self._server.close()
 
 
-class Stage:
-    """The program and everybody around it, for one test."""
+class DispatcherFixture:
+    """A running dispatcher with stand-in workers and service discovery, for one test."""
 
     def __init__(
         self, operator: str = "", settings: dict[str, Any] | None = None, workers: int = 2, console: bool = False
@@ -137,20 +145,20 @@
         self.operator, self.settings, self.count = operator, settings or SETTINGS, workers
         self.console = console
 
-    async def __aenter__(self) -> Stage:
-        self.patches: list[Any] = [mock.patch(name, PATIENCE) for name in LONG]
-        # nor may a report grow old on the way, which would bring a probe that no recording has
-        far = PATIENCE * 1000
-        self.patches.append(mock.patch("millethead.decide.balance.Balancer._stays", lambda _: far))
-        self.patches.append(mock.patch("millethead.decide.balance.TAKE", far))
-        # and what the waiting room has to do it does before the next line is read
-        self.patches.append(mock.patch("millethead.waiting.room.SLICE", far))
+    async def __aenter__(self) -> DispatcherFixture:
+        self.patches: list[Any] = [mock.patch(name, TIMEOUT_S) for name in RAISED_TIMEOUTS]
+        # reports of workers do not become stale, since that would cause probes that are not in the recordings
+        timeout_ms = TIMEOUT_S * 1000
+        self.patches.append(mock.patch("millethead.decide.balance.Balancer._stays", lambda _: timeout_ms))
+        self.patches.append(mock.patch("millethead.decide.balance.TAKE", timeout_ms))
+        # the waiting room does all its pending work before the next line of a recording is read
+        self.patches.append(mock.patch("millethead.waiting.room.SLICE", timeout_ms))
         for patch in self.patches:
             patch.start()
         self.folder = tempfile.TemporaryDirectory()
         base = Path(self.folder.name)
-        self.workers = [await Peers().open() for _ in range(self.count)]
-        self.discovery = await Peers().open()
+        self.workers = [await PeerListener().open() for _ in range(self.count)]
+        self.discovery = await PeerListener().open()
         known = {
             "index": 41,
             "snapshot": True,
@@ -184,9 +192,9 @@
 
     async def __aexit__(self, *_: object) -> None:
         self.program.finish()
-        await asyncio.wait_for(self.task, PATIENCE)
-        for peers in (*self.workers, self.discovery):
-            peers.close()
+        await asyncio.wait_for(self.task, TIMEOUT_S)
+        for listener in (*self.workers, self.discovery):
+            listener.close()
         self.folder.cleanup()
         for patch in self.patches:
             patch.stop()
@@ -200,89 +208,94 @@
             else self.program.acceptor
         )
         assert server is not None
-        found: socket.socket = next(iter(server._sockets.values()))
-        return int(found.getsockname()[1])
+        listening: socket.socket = next(iter(server._sockets.values()))
+        return int(listening.getsockname()[1])
 
 
-def plain(text: str) -> str:
-    """The bytes that a line of a recording means, one character for each."""
+def unescape(text: str) -> str:
+    """Resolves the escapes of a recording. Each character of the result stands for one byte."""
     return re.sub(
         r"\\(x[0-9a-f]{2}|.)", lambda m: {"r": "\r", "n": "\n", "\\": "\\"}.get(m[1]) or chr(int(m[1][1:], 16)), text
     )
 
 
 class Player:
-    def __init__(self, stage: Stage) -> None:
-        self.stage = stage
-        self.links: dict[str, tuple[asyncio.StreamReader, asyncio.StreamWriter]] = {}
-        self.here = ""
+    """Replays recordings against one dispatcher."""
+
+    def __init__(self, dispatcher: DispatcherFixture) -> None:
+        self.dispatcher = dispatcher
+        self.connections: dict[str, tuple[asyncio.StreamReader, asyncio.StreamWriter]] = {}
+        self.position = ""
 
-    async def link(self, party: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        if party not in self.links:
+    async def connection(self, party: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        if party not in self.connections:
             name, _, _ = party.partition(".")
             if name.startswith("worker"):
-                self.links[party] = await self.stage.workers[int(name[6:]) - 1].came.get()
+                self.connections[party] = await self.dispatcher.workers[int(name[6:]) - 1].accepted.get()
             elif name == "discovery":
-                self.links[party] = await self.stage.discovery.came.get()
+                self.connections[party] = await self.dispatcher.discovery.accepted.get()
             else:
-                self.links[party] = await asyncio.open_connection("127.0.0.1", self.stage.port(party))
-        return self.links[party]
+                self.connections[party] = await asyncio.open_connection("127.0.0.1", self.dispatcher.port(party))
+        return self.connections[party]
 
     async def play(self, path: Path) -> None:
+        """Replays one recording; raises AssertionError that names the line."""
         for number, line in enumerate(path.read_text().splitlines(), 1):
             if not line.strip() or line.startswith("#"):
                 continue
-            self.here = f"{path.name}:{number}"
+            self.position = f"{path.name}:{number}"
             match = re.fullmatch(r"(\S+) ([<>]) ?(.*)", line)
-            assert match, f"{self.here}: not a line of a recording"
+            assert match, f"{self.position}: not a line of a recording"
             try:
-                await asyncio.wait_for(self.step(*match.groups()), PATIENCE)
+                await asyncio.wait_for(self.step(*match.groups()), TIMEOUT_S)
             except TimeoutError:
-                raise AssertionError(f"{self.here}: nothing more came for {line!r}") from None
+                raise AssertionError(f"{self.position}: nothing more came for {line!r}") from None
 
-    async def step(self, party: str, way: str, text: str) -> None:
-        for n, worker in enumerate(self.stage.workers, 1):
+    async def step(self, party: str, direction: str, text: str) -> None:
+        for n, worker in enumerate(self.dispatcher.workers, 1):
             text = text.replace(f"{{h{n}}}", f"127.0.0.1:{worker.port}")
         text = re.sub(r"\{z\*(\d+)\}", lambda m: "z" * int(m[1]), text)
         if "{n}" in text:
-            text = text.replace("{n}", str(len(plain(text).partition("\r\n\r\n")[2])))
-        reader, writer = await self.link(party)
+            text = text.replace("{n}", str(len(unescape(text).partition("\r\n\r\n")[2])))
+        reader, writer = await self.connection(party)
         if text == "OPEN":
             return
-        if way == ">":
+        if direction == ">":
             if text == "END":
                 writer.close()
             elif text == "RESET":
                 writer.transport.abort()
             else:
-                writer.write(plain(text).encode("latin-1"))
+                writer.write(unescape(text).encode("latin-1"))
                 await writer.drain()
         elif text == "END":
             try:
                 rest = await reader.read()
             except ConnectionError:
                 rest = b""
-            assert rest == b"", f"{self.here}: {rest!r} came before the end"
+            assert rest == b"", f"{self.position}: {rest!r} came before the end"
         else:
             await self.receive(reader, text)
 
     async def receive(self, reader: asyncio.StreamReader, text: str) -> None:
-        parts = [plain(part).encode("latin-1") for part in text.split("<*>")]
+        """Reads until the expected text has been received."""
+        parts = [unescape(part).encode("latin-1") for part in text.split("<*>")]
         got = b""
         for n, part in enumerate(parts):
             at = len(got)
             while not (got[at:] == part if n == 0 else got.endswith(part) and len(got) - at >= len(part)):
-                assert n or part.startswith(got[at:]), f"{self.here}: {got!r} came"
+                assert n or part.startswith(got[at:]), f"{self.position}: {got!r} came"
                 byte = await reader.read(1)
-                assert byte, f"{self.here}: the connection ended after {got!r}"
+                assert byte, f"{self.position}: the connection ended after {got!r}"
                 got += byte
 
 
 async def play(path: Path, operator: str = "") -> None:
-    async with Stage(operator) as stage:
-        player = Player(stage)
+    """Starts a dispatcher with these operator settings and replays a recording against it."""
+    async with DispatcherFixture(operator) as dispatcher:
+        player = Player(dispatcher)
         try:
             await player.play(path)
         finally:
-            for _, writer in player.links.values():
+            for _, writer in player.connections.values():
                 writer.close()
--- a/tests/installed.py
+++ b/tests/installed.py
@@ -9,7 +9,7 @@
 import tempfile
 from pathlib import Path
 
-from play import SETTINGS
+from dispatcher_fixture import SETTINGS
 
 OPERATOR = Path(__file__).parent.parent / "deploy" / "operator-example.toml"
 
--- a/tests/test_client_races.py
+++ b/tests/test_client_races.py
@@ -9,9 +9,9 @@
 from unittest import mock
 
 import pytest
+from dispatcher_fixture import TIMEOUT_S, DispatcherFixture
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
-from play import PATIENCE, Stage
 from tornado.iostream import IOStream
 
 from millethead.net import accept
@@ -38,11 +38,11 @@
         """All of it, while the loop stands still."""
         left = memoryview(data)
         while left:
-            select.select([], [self.sock], [], PATIENCE)
+            select.select([], [self.sock], [], TIMEOUT_S)
             left = left[self.sock.send(left) :]
 
     async def recv(self):
-        return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.sock, 1 << 16), PATIENCE)
+        return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.sock, 1 << 16), TIMEOUT_S)
 
     async def until(self, what):
         got = b""
@@ -62,7 +62,7 @@
 
 @pytest.fixture
 async def stage():
-    async with Stage() as made:
+    async with DispatcherFixture() as made:
         yield made
 
 
@@ -86,11 +86,11 @@
 
 def there(conn):
     """Hold the loop until something lies at the connection's socket."""
-    assert select.select([conn.stream.socket], [], [], PATIENCE)[0]
+    assert select.select([conn.stream.socket], [], [], TIMEOUT_S)[0]
 
 
 async def soon(true):
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_S):
         while not true():
             await asyncio.sleep(0)
 
@@ -162,7 +162,7 @@
     monkeypatch.setattr(accept, "send_answer", parked)
     one = client()
     one.send(UP)
-    await asyncio.wait_for(here.wait(), PATIENCE)
+    await asyncio.wait_for(here.wait(), TIMEOUT_S)
     stage.program.drain()
     go.set()
     assert b"ready\n" in await one.until(b"ready\n")
@@ -217,7 +217,7 @@
 
 async def test_a_job_is_not_handed_over_over_bytes_that_the_loop_has_read(monkeypatch):
     """Neither in the buffer nor at the socket, they went to nobody."""
-    async with Stage(console=True) as stage:
+    async with DispatcherFixture(console=True) as stage:
         succession, link, came, tried = stage.program.succession, mock.Mock(open=True, sent=True), Connection._came, []
 
         def look(conn, reading):
@@ -254,7 +254,7 @@
 
 
 async def leave(client, before):
-    await asyncio.wait_for(asyncio.get_running_loop().sock_sendall(client.sock, before), PATIENCE)
+    await asyncio.wait_for(asyncio.get_running_loop().sock_sendall(client.sock, before), TIMEOUT_S)
     client.sock.shutdown(socket.SHUT_WR)
 
 
@@ -275,7 +275,7 @@
 @pytest.mark.parametrize("table", ["[waiting]\n", "[door]\n", "[door]\n[waiting]\n"])
 async def test_it_is_seen_wherever_the_job_stands(table, before):
     """Held back by a stage, taken out of it and out of the exchange; no attempt begins."""
-    async with Stage(table, workers=0) as stage:
+    async with DispatcherFixture(table, workers=0) as stage:
         one = Client(stage)
         later = b"X-Run-At: %d\r\nX-Timeout" % (time.time() + 6) if "waiting" in table else b"X-Timeout"
         one.send(job(b"a").replace(b"X-Timeout", later))
@@ -289,9 +289,9 @@
 
 @BEFORE
 async def test_it_is_seen_after_a_hand_over(before, tmp_path, monkeypatch):
-    async with Stage(console=True) as old, AsyncExitStack() as more:
+    async with DispatcherFixture(console=True) as old, AsyncExitStack() as more:
         monkeypatch.setattr("millethead.program.gettempdir", lambda: str(tmp_path))  # else it would take over at once
-        new = await more.enter_async_context(Stage(console=True))
+        new = await more.enter_async_context(DispatcherFixture(console=True))
         link, worker = mock.Mock(open=True, sent=True), asyncio.create_task(serve(old, done=False))
         one = Client(old)
         one.send(job(b"a"))
@@ -353,7 +353,7 @@
     one.send(job(b"a"))
     await soon(lambda: stage.program.exchange.held)
     conn = server_end(stage)
-    await asyncio.wait_for(asyncio.get_running_loop().sock_sendall(one.sock, UP * 10_000), PATIENCE)
+    await asyncio.wait_for(asyncio.get_running_loop().sock_sendall(one.sock, UP * 10_000), TIMEOUT_S)
     assert len(conn.buffer) <= MOST
     worker = asyncio.create_task(serve(stage))
     got = await one.until(b"did a")
@@ -384,7 +384,7 @@
     async def accept_all(peers, name):
         tasks = []
         while True:
-            tasks.append(asyncio.create_task(one(*await peers.came.get(), name)))
+            tasks.append(asyncio.create_task(one(*await peers.accepted.get(), name)))
 
     await asyncio.gather(*(accept_all(peers, f"s-{n:08x}") for n, peers in enumerate(stage.workers, 1)))
 
@@ -424,7 +424,7 @@
             with pytest.raises(Late):
                 await within(0.0, conn.fill())
         elif what == "fill" and len(sent) > len(took) + len(conn.buffer):
-            async with asyncio.timeout(PATIENCE):  # a reader looks at the buffer in the turn in which it waits
+            async with asyncio.timeout(TIMEOUT_S):  # a reader looks at the buffer in the turn in which it waits
                 await conn.fill()
             gave_up = False
         elif what == "interrupted":
@@ -443,7 +443,7 @@
     far.close()
     with pytest.raises(Closed):
         while True:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT_S):
                 await conn.fill()
             took += conn.buffer.take(len(conn.buffer))
     assert took + conn.buffer.take(len(conn.buffer)) == sent
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 import pytest
-from play import PATIENCE, SETTINGS, Stage
+from dispatcher_fixture import SETTINGS, TIMEOUT_S, DispatcherFixture
 
 from millethead.config import ConfigError, load_config
 from millethead.console.store import OutFile
@@ -147,7 +147,7 @@
 
 async def test_figures_of_other_classes_are_not_put_in_force_by_a_second_signal():
     """The first says that it needs a restart; the second was held against it, and its figures went to other classes."""
-    async with Stage() as stage:
+    async with DispatcherFixture() as stage:
 
         def reload(quota, classes):
             tenants = [{"name": "rustaveli-desks", "quota_rps": quota}, {"name": "rioni-hub", "quota_rps": quota}]
@@ -171,7 +171,7 @@
 
 async def test_a_call_for_the_whole_list_does_not_outlive_a_move(monkeypatch):
     """It went to the new address beside the new watch, and began that one's time limit anew."""
-    async with Stage() as stage:
+    async with DispatcherFixture() as stage:
         discovery, park, sleep = stage.program.discovery, asyncio.Event(), asyncio.sleep
         here = asyncio.Event()
 
@@ -182,17 +182,17 @@
             else:
                 await sleep(seconds, *more)
 
-        await asyncio.wait_for(stage.discovery.came.get(), PATIENCE)
+        await asyncio.wait_for(stage.discovery.accepted.get(), TIMEOUT_S)
         monkeypatch.setattr("millethead.net.discovery.PAUSE", 0.3125)
         monkeypatch.setattr(asyncio, "sleep", parked)
         discovery._unread = 2
         discovery.watch(True)
-        await asyncio.wait_for(here.wait(), PATIENCE)
+        await asyncio.wait_for(here.wait(), TIMEOUT_S)
         with mock.patch.object(discovery, "_ask") as ask:
             discovery.move(("127.0.0.1", stage.workers[0].port))
             park.set()
-            await asyncio.wait_for(stage.workers[0].came.get(), PATIENCE)
+            await asyncio.wait_for(stage.workers[0].accepted.get(), TIMEOUT_S)
             for _ in range(20):
                 await sleep(0)
         ask.assert_not_called()
-        assert stage.workers[0].came.empty()
+        assert stage.workers[0].accepted.empty()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -11,8 +11,8 @@
 from unittest import mock
 
 import structlog
+from dispatcher_fixture import TIMEOUT_S, DispatcherFixture, endpoint
 from harness import Node, workers
-from play import PATIENCE, Stage, endpoint
 from prometheus_client.parser import text_string_to_metric_families
 
 from millethead.console.figures import escape
@@ -26,7 +26,7 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     try:
-        return (await asyncio.wait_for(reader.read(), PATIENCE)).decode()
+        return (await asyncio.wait_for(reader.read(), TIMEOUT_S)).decode()
     finally:
         writer.close()
 
@@ -48,7 +48,7 @@
         self.addCleanup(patch.stop)
 
     async def test_calls_and_what_is_said_of_bad_ones(self):
-        async with Stage(console=True) as stage:
+        async with DispatcherFixture(console=True) as stage:
             port = stage.port("console")
             self.assertEqual((await call(port, "/ops/readiness"))[:2], (200, "yes\n"))
             for path, body, method, status, says in (
@@ -73,7 +73,7 @@
             self.assertEqual((await call(port, "/ops/readiness"))[0], 503)
 
     async def test_who_says_nothing_or_half_a_call_keeps_no_true_one_out(self):
-        async with Stage(console=True) as stage:
+        async with DispatcherFixture(console=True) as stage:
             port, limit = stage.port("console"), stage.program.console.limit
             idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * limit)]
             for _, writer in idle[::2]:
@@ -82,31 +82,31 @@
             self.assertLessEqual(len(stage.program.console.open), limit)
             for _, writer in idle:
                 writer.close()
-        async with Stage(console=True) as stage:
+        async with DispatcherFixture(console=True) as stage:
             with mock.patch("millethead.console.server.CALL_TIME", 0.05):
                 self.assertIn(" 408 ", await talk(stage.port("console"), b"GET /ops/stats"))
                 self.assertEqual(await talk(stage.port("console"), b""), "")
 
     async def test_half_a_call_that_a_busy_loop_never_read_is_told_all_the_same(self):
         """The time was over with the bytes still at the socket: the connection was reset, without a word."""
-        async with Stage(console=True) as stage:
+        async with DispatcherFixture(console=True) as stage:
             client = socket.create_connection(("127.0.0.1", stage.port("console")))
             with mock.patch("millethead.console.server.CALL_TIME", 0.05), client:
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TIMEOUT_S):
                     while not stage.program.console.open:
                         await asyncio.sleep(0)
                 client.sendall(b"GET /ops/stats")
                 time.sleep(0.1)  # the loop is busy for longer than a call may take
                 client.setblocking(False)
                 said = asyncio.get_running_loop().sock_recv(client, 4096)
-                self.assertIn(b" 408 ", await asyncio.wait_for(said, PATIENCE))
+                self.assertIn(b" 408 ", await asyncio.wait_for(said, TIMEOUT_S))
 
     async def test_without_an_address_nothing_is_there_nor_imported(self):
-        async with Stage() as stage:
+        async with DispatcherFixture() as stage:
             self.assertIsNone(stage.program.console)
 
     async def test_out_holds_through_lists_and_a_new_process_and_one_call_ends_it(self):
-        async with Stage(console=True) as stage:
+        async with DispatcherFixture(console=True) as stage:
             port, program, name = stage.port("console"), stage.program, "s-00000001"
             for _ in range(2):  # a set, not a count
                 self.assertEqual((await call(port, DOWN, {"member": name}))[0], 200)
@@ -116,23 +116,23 @@
                 self.assertFalse(any(w.wanted for w in program.exchange.workers))
             stats = (await call(port, "/ops/stats"))[1]
             self.assertIn("dispatcher_hosts_listed 1\ndispatcher_hosts_down 1\n", re_gauges(stats))
-        async with Stage(console=True) as stage:
+        async with DispatcherFixture(console=True) as stage:
             port, program = stage.port("console"), stage.program
             self.assertEqual(program.exchange.out, {name})
             self.assertEqual((await call(port, UP, {"member": name}))[0], 200)
             self.assertTrue(program.exchange.worker(name).wanted)
-        async with Stage(console=True) as stage:
+        async with DispatcherFixture(console=True) as stage:
             self.assertEqual(stage.program.exchange.out, frozenset())
 
     async def test_what_cannot_be_stored_is_answered_no_and_changes_nothing(self):
-        async with Stage(console=True) as stage:
+        async with DispatcherFixture(console=True) as stage:
             port, name = stage.port("console"), "s-00000002"
             with mock.patch.object(OutFile, "store", side_effect=OSError("full")):
                 self.assertEqual((await call(port, DOWN, {"member": name}))[0], 503)
             self.assertTrue(stage.program.exchange.worker(name).wanted)
 
     async def test_figures_count_what_peers_saw(self):
-        async with Stage(console=True, workers=1) as stage:
+        async with DispatcherFixture(console=True, workers=1) as stage:
             port = stage.port("console")
             text = (await call(port, "/ops/stats"))[1]
             self.assertIn('dispatcher_success_total{tier="refund"} 0\n', text)
@@ -143,7 +143,7 @@
             client, writer = await asyncio.open_connection("127.0.0.1", stage.port("client"))
             writer.write(job)
             while True:
-                reader, answer = await stage.workers[0].came.get()
+                reader, answer = await stage.workers[0].accepted.get()
                 if (await reader.readuntil(b"\r\n\r\n")).startswith(b"POST"):
                     break
                 answer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=2")
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -11,7 +11,7 @@
 import unittest
 from pathlib import Path
 
-from play import SETTINGS
+from dispatcher_fixture import SETTINGS
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,7 +12,7 @@
 from unittest import mock
 
 import pytest
-from play import PATIENCE, SETTINGS, Peers, Stage, endpoint
+from dispatcher_fixture import SETTINGS, TIMEOUT_S, DispatcherFixture, PeerListener, endpoint
 from test_client_races import UP, Client, job, soon
 
 from millethead.lab.pack import free_port
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS])
 async def test_an_accept_that_fails_is_no_busy_loop_and_no_lost_listener(monkeypatch, error):
     pauses = []
-    async with Stage() as stage:
+    async with DispatcherFixture() as stage:
         server, loop = stage.program.acceptor, asyncio.get_running_loop()
         idle = Client(stage)
         idle.send(UP)
@@ -70,7 +70,7 @@
 
 
 async def test_few_are_taken_before_the_limit_is_looked_at():
-    async with Stage() as stage:
+    async with DispatcherFixture() as stage:
         server = stage.program.acceptor
         server.limit, most, handle = 4, [], accept.Server.handle_stream
 
@@ -90,7 +90,7 @@
 
 async def test_jobs_leave_room_for_those_who_tell_of_them():
     """With a client on each connection no worker could say that a job was done, and all of them timed out."""
-    async with Stage() as stage:
+    async with DispatcherFixture() as stage:
         stage.path.write_text(json.dumps({**stage.config, "limits": {"sockets": 40}}))
         stage.program.reload()
         acceptor = stage.program.acceptor
@@ -112,7 +112,7 @@
 
 async def test_a_crowd_that_only_connects_takes_nothing_from_the_rest(tmp_path):
     """The real program under a low limit of the system, with discovery down at first; 3,000 connect and say nothing."""
-    discovery, worker, port, console = free_port(), await Peers().open(), free_port(), free_port()
+    discovery, worker, port, console = free_port(), await PeerListener().open(), free_port(), free_port()
     path = tmp_path / "config.json"
     path.write_text(
         json.dumps(
@@ -149,7 +149,7 @@
             lines.append(line)
 
     async def ask(where, text, end):
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:  # as usual clients do: a close before the answer is one more try on a new connection
                 with suppress(ConnectionError, asyncio.IncompleteReadError):
                     reader, writer = await asyncio.open_connection("127.0.0.1", where)
@@ -160,7 +160,7 @@
 
     async def work():
         while True:
-            tasks.append(asyncio.create_task(serve(*await worker.came.get())))
+            tasks.append(asyncio.create_task(serve(*await worker.accepted.get())))
 
     async def serve(reader, writer):
         with suppress(ConnectionError, asyncio.IncompleteReadError):
@@ -223,6 +223,6 @@
 
 async def soon_real(true):
     """Of another process: it needs time of its own."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_S):
         while not true():
             await asyncio.sleep(0.01)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,9 +7,9 @@
 from dataclasses import replace
 
 import pytest
+from dispatcher_fixture import SETTINGS, TIMEOUT_S, DispatcherFixture, endpoint
 from hypothesis import given
 from hypothesis import strategies as st
-from play import PATIENCE, SETTINGS, Stage, endpoint
 
 from millethead.config import load_config
 from millethead.decide import interface as api
@@ -145,8 +145,8 @@
 
 async def watch(stage):
     """The next call to discovery: (its head, reader, writer)."""
-    reader, writer = await asyncio.wait_for(stage.discovery.came.get(), PATIENCE)
-    return await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE), reader, writer
+    reader, writer = await asyncio.wait_for(stage.discovery.accepted.get(), TIMEOUT_S)
+    return await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S), reader, writer
 
 
 @pytest.mark.parametrize(
@@ -154,19 +154,19 @@
 )
 async def test_a_watch_that_dribbles_bytes_without_ending_a_line_is_silent(said):
     """Each byte once gave it 7 s more; what it had missed counted as told 6 s after its last line."""
-    async with Stage() as stage:
+    async with DispatcherFixture() as stage:
         discovery = stage.program.discovery
         _, reader, writer = await watch(stage)
-        discovery.terms = ListTerms(silence=0.4, connect=PATIENCE, again=0.4, pushed=False)
+        discovery.terms = ListTerms(silence=0.4, connect=TIMEOUT_S, again=0.4, pushed=False)
         writer.write(said)
         over = asyncio.create_task(reader.read())
         with contextlib.suppress(ConnectionError):
-            until = time.monotonic() + PATIENCE
+            until = time.monotonic() + TIMEOUT_S
             while time.monotonic() < until and not over.done():  # bytes that never end anything
                 writer.write(b" " if b"index" in said else b"0" if said.startswith(HEAD) else b"a")
                 await writer.drain()
                 await asyncio.wait([over], timeout=0.05)
-        await asyncio.wait([over], timeout=PATIENCE)
+        await asyncio.wait([over], timeout=TIMEOUT_S)
         # closed with a byte unread it ends as a reset, else plainly: both are the end that is wanted
         assert over.done() and isinstance(over.exception(), ConnectionError | None)
         again, *_ = await watch(stage)
@@ -174,13 +174,13 @@
 
 
 async def test_a_list_indented_over_several_lines_is_taken():
-    async with Stage() as stage:
+    async with DispatcherFixture() as stage:
         _, _, writer = await watch(stage)
         text = listing(42, endpoint(1, 9, status="terminating"), endpoint(2, stage.workers[1].port), indent=2)
         for at in range(0, len(text), 7):
             writer.write(chunk(text[at : at + 7]) if at else HEAD + chunk(text[:7]))
         exchange = stage.program.exchange
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             while exchange.worker("s-00000001").open:
                 await asyncio.sleep(0)
         assert exchange.worker("s-00000002").open and stage.program.discovery.index == 42
@@ -188,11 +188,11 @@
 
 async def test_versions_counted_anew_are_not_mixed_with_the_old_ones():
     """Changes since a version that discovery no longer means would leave out what changed in between."""
-    async with Stage() as stage:
+    async with DispatcherFixture() as stage:
         head, reader, writer = await watch(stage)
         assert b"since=41 " in head
         writer.write(HEAD + chunk(listing(3, endpoint(1, 9, status="terminating"), whole=False)))
-        assert await asyncio.wait_for(reader.read(), PATIENCE) == b""
+        assert await asyncio.wait_for(reader.read(), TIMEOUT_S) == b""
         assert stage.program.exchange.worker("s-00000001").open  # a bad list changes nothing
         again, *_ = await watch(stage)
         assert b"since" not in again  # the whole list is wanted
@@ -200,14 +200,14 @@
 
 async def test_pushed_lists_are_watched_too():
     """Where an agent pushes lists no watch was opened, and drains were never heard of (drain, 19 times on one day)."""
-    async with Stage(settings={**SETTINGS, "membership_mode": "automatic"}) as stage:
+    async with DispatcherFixture(settings={**SETTINGS, "membership_mode": "automatic"}) as stage:
         for _ in range(2):
             _, _, writer = await watch(stage)
             writer.write(HEAD + chunk(b"\n"))
             writer.transport.abort()  # what comes about from now on counts as told at once
         _, _, writer = await watch(stage)
         writer.write(HEAD + chunk(listing(42, endpoint(1, 9, status="terminating"), whole=False)))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             while stage.program.exchange.worker("s-00000001").open:
                 await asyncio.sleep(0)
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -11,7 +11,7 @@
 
 import jump
 import pytest
-from play import SETTINGS, endpoint
+from dispatcher_fixture import SETTINGS, endpoint
 from tornado.iostream import IOStream
 
 from millethead.decide.settings import settings_from
--- a/tests/test_members_processes.py
+++ b/tests/test_members_processes.py
@@ -10,7 +10,7 @@
 import unittest
 from pathlib import Path
 
-from play import SETTINGS
+from dispatcher_fixture import SETTINGS
 from prometheus_client.parser import text_string_to_metric_families
 
 from millethead.lab.audit import deaths, most_shared, shares
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -1,4 +1,4 @@
-"""Both protocols at once: clients of either kind, workers of either kind, and no paid-booking run twice."""
+"""Tests of the dispatcher with HTTP and Faktory clients and workers at once: no paid-booking job runs twice."""
 
 import asyncio
 import json
@@ -8,13 +8,13 @@
 from contextlib import suppress
 from datetime import UTC, datetime, timedelta
 
-from play import OPERATOR, PATIENCE, Stage
+from dispatcher_fixture import OPERATOR, TIMEOUT_S, DispatcherFixture
 
 from millethead.fronts.faktory.session import password_hash
 
 
 async def read_http(reader):
-    """(start line, fields, body) of a message."""
+    """Reads a message; returns (start line, headers, body)."""
     lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     fields = dict(line.lower().split(": ", 1) for line in lines[1:] if line)
     return lines[0], fields, await reader.readexactly(int(fields.get("content-length", 0)))
@@ -26,16 +26,16 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-class Town:
-    """Stand-ins for all parties, and the count of how often each job ran."""
+class StandInPeers:
+    """Stand-ins for the clients and workers. `runs` counts how often each job ran, `by` names the worker's protocol."""
 
     def __init__(self, stage):
         self.stage, self.runs, self.by = stage, Counter(), {}
         self.tasks = [asyncio.create_task(self.http_worker(n)) for n in range(len(stage.workers))]
-        self.silent = set()  # ids that a worker takes and never answers
-        self.broken = set()  # ids after which a worker's connection breaks
+        self.silent = set()  # ids of jobs that a worker accepts and never answers
+        self.broken = set()  # ids of jobs at which a worker aborts its connection
 
-    def ran(self, job_id, worker):
+    def count_run(self, job_id, worker):
         self.runs[job_id] += 1
         self.by[job_id] = worker
 
@@ -48,10 +48,10 @@
 
     async def http_worker(self, number):
         while True:
-            pair = await self.stage.workers[number].came.get()
-            self.tasks.append(asyncio.create_task(self.http_worker_conn(number, *pair)))
+            connection = await self.stage.workers[number].accepted.get()
+            self.tasks.append(asyncio.create_task(self.serve_http_worker(number, *connection)))
 
-    async def http_worker_conn(self, number, reader, writer):
+    async def serve_http_worker(self, number, reader, writer):
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 start, fields, _ = await read_http(reader)
@@ -61,29 +61,29 @@
                     writer.write(http("HTTP/1.1 204 No Content"))
                 else:
                     job_id = fields["x-request-id"]
-                    self.ran(job_id, "http")
+                    self.count_run(job_id, "http")
                     if job_id in self.broken:
                         writer.transport.abort()
                         return
                     writer.write(http("HTTP/1.1 202 Accepted"))
                     if job_id not in self.silent:
-                        self.tasks.append(asyncio.create_task(self.tell(number, job_id)))
+                        self.tasks.append(asyncio.create_task(self.send_callback(number, job_id)))
 
-    async def tell(self, number, job_id):
+    async def send_callback(self, number, job_id):
         reader, writer = await asyncio.open_connection("127.0.0.1", self.stage.port("client"))
-        news = {"id": job_id, "from": f"s-{number + 1:08x}", "state": "done", "result": "seat"}
-        writer.write(http("POST /_jobs/news HTTP/1.1", json.dumps(news).encode(), Connection="close"))
+        callback = {"id": job_id, "from": f"s-{number + 1:08x}", "state": "done", "result": "seat"}
+        writer.write(http("POST /_jobs/news HTTP/1.1", json.dumps(callback).encode(), Connection="close"))
         await reader.read()
         writer.close()
 
-    async def faktory(self, wid=None):
+    async def connect_faktory(self, wid=None):
         reader, writer = await asyncio.open_connection("127.0.0.1", self.stage.port("faktory"))
         await reader.readline()
         hello = {"v": 2, "hostname": "desk"} | ({"wid": wid} if wid else {})
-        assert await self.ask(reader, writer, "HELLO " + json.dumps(hello)) == "OK"
+        assert await self.command(reader, writer, "HELLO " + json.dumps(hello)) == "OK"
         return reader, writer
 
-    async def ask(self, reader, writer, line):
+    async def command(self, reader, writer, line):
         writer.write(line.encode() + b"\r\n")
         kind, text = (head := await reader.readline())[:1], head[1:-2].decode()
         if kind != b"$":
@@ -91,13 +91,13 @@
         return None if text == "-1" else json.loads((await reader.readexactly(int(text) + 2))[:-2])
 
     async def faktory_worker(self, wid):
-        pair = await self.faktory(wid)
+        connection = await self.connect_faktory(wid)
         while True:
-            job = await self.ask(*pair, "FETCH desk-search payments refund")
+            job = await self.command(*connection, "FETCH desk-search payments refund")
             if job is not None:
-                self.ran(job["jid"], "faktory")
+                self.count_run(job["jid"], "faktory")
                 if job["jid"] not in self.silent:
-                    await self.ask(*pair, "ACK " + json.dumps({"jid": job["jid"]}))
+                    await self.command(*connection, "ACK " + json.dumps({"jid": job["jid"]}))
 
     # ---- clients -----------------------------------------------------------------------------------
 
@@ -118,13 +118,13 @@
         writer.close()
         return start
 
-    async def outcome(self, pair, jid):
-        while (said := await self.ask(*pair, f"TRACK GET {jid}"))["state"] in ("enqueued", "working"):
+    async def outcome(self, connection, jid):
+        while (status := await self.command(*connection, f"TRACK GET {jid}"))["state"] in ("enqueued", "working"):
             await asyncio.sleep(0.01)
-        return said["desc"]
+        return status["desc"]
 
 
-def push(jid, jobtype="ChargeMember", **custom):
+def push_command(jid, jobtype="ChargeMember", **custom):
     return "PUSH " + json.dumps(
         {
             "jid": jid,
@@ -137,116 +137,116 @@
     )
 
 
-class Mixed(unittest.IsolatedAsyncioTestCase):
+class MixedProtocolsTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.stage = await Stage(OPERATOR).__aenter__()
-        self.town = Town(self.stage)
+        self.stage = await DispatcherFixture(OPERATOR).__aenter__()
+        self.peers = StandInPeers(self.stage)
 
     async def asyncTearDown(self):
-        await self.town.close()
+        await self.peers.close()
         await self.stage.__aexit__()
 
-    async def in_time(self, what):
-        return await asyncio.wait_for(what, PATIENCE)
+    async def within_timeout(self, awaitable):
+        return await asyncio.wait_for(awaitable, TIMEOUT_S)
 
-    async def test_jobs_of_both_fronts_reach_workers_of_both_kinds_and_run_once(self):
-        town = self.town
-        town.tasks += [asyncio.create_task(town.faktory_worker(f"w-{n}")) for n in range(3)]
-        pair = await town.faktory()
+    async def test_jobs_of_both_protocols_reach_workers_of_both_protocols_and_run_once(self):
+        peers = self.peers
+        peers.tasks += [asyncio.create_task(peers.faktory_worker(f"w-{n}")) for n in range(3)]
+        connection = await peers.connect_faktory()
 
-        async def pushed(n):
-            own = await town.faktory()
-            self.assertEqual(await town.ask(*own, push(f"faktory{n:04}")), "OK")
-            said = await town.outcome(own, f"faktory{n:04}")
+        async def push_and_wait(n):
+            own = await peers.connect_faktory()
+            self.assertEqual(await peers.command(*own, push_command(f"faktory{n:04}")), "OK")
+            status = await peers.outcome(own, f"faktory{n:04}")
             own[1].close()
-            return said
+            return status
 
-        async def mixed():
+        async def run_all():
             for start in range(0, 40, 4):
-                said = await asyncio.gather(
-                    *(town.post(f"http{n:04}") for n in range(start, start + 4)),
-                    *(pushed(n) for n in range(start, start + 4)),
+                status = await asyncio.gather(
+                    *(peers.post(f"http{n:04}") for n in range(start, start + 4)),
+                    *(push_and_wait(n) for n in range(start, start + 4)),
                 )
-                self.assertEqual([x.split()[1] for x in said[:4]], ["200"] * 4)
-                self.assertEqual(said[4:], ["served"] * 4)
+                self.assertEqual([x.split()[1] for x in status[:4]], ["200"] * 4)
+                self.assertEqual(status[4:], ["served"] * 4)
 
-        await self.in_time(mixed())
-        self.assertEqual(len(town.runs), 80)
-        self.assertEqual(set(town.runs.values()), {1})
-        paths = {(job_id[0], worker) for job_id, worker in town.by.items()}
+        await self.within_timeout(run_all())
+        self.assertEqual(len(peers.runs), 80)
+        self.assertEqual(set(peers.runs.values()), {1})
+        paths = {(job_id[0], worker) for job_id, worker in peers.by.items()}
         self.assertEqual(paths, {("h", "http"), ("h", "faktory"), ("f", "http"), ("f", "faktory")})
-        pair[1].close()
-
-    async def test_a_client_gone_mid_booking_neither_withdraws_nor_repeats_it(self):
-        town, jid = self.town, "booking-1"
-        town.silent.add(jid)
-        pair = await town.faktory()
-        self.assertEqual(await town.ask(*pair, push(jid)), "OK")
-        while not town.runs[jid]:
+        connection[1].close()
+
+    async def test_a_job_of_a_disconnected_client_is_neither_withdrawn_nor_repeated(self):
+        peers, jid = self.peers, "booking-1"
+        peers.silent.add(jid)
+        connection = await peers.connect_faktory()
+        self.assertEqual(await peers.command(*connection, push_command(jid)), "OK")
+        while not peers.runs[jid]:
             await asyncio.sleep(0.01)
-        pair[1].transport.abort()
-        again = await town.faktory()
-        self.assertEqual(await town.ask(*again, push(jid)), "OK")  # the same job
-        await town.tell(0, jid)
-        await town.tell(1, jid)
-        self.assertEqual(await self.in_time(town.outcome(again, jid)), "served")
-        self.assertEqual(await town.ask(*again, push(jid)), "OK")
-        self.assertEqual(await town.outcome(again, jid), "served")
-        self.assertEqual(town.runs[jid], 1)
+        connection[1].transport.abort()
+        again = await peers.connect_faktory()
+        self.assertEqual(await peers.command(*again, push_command(jid)), "OK")  # the same job
+        await peers.send_callback(0, jid)
+        await peers.send_callback(1, jid)
+        self.assertEqual(await self.within_timeout(peers.outcome(again, jid)), "served")
+        self.assertEqual(await peers.command(*again, push_command(jid)), "OK")
+        self.assertEqual(await peers.outcome(again, jid), "served")
+        self.assertEqual(peers.runs[jid], 1)
         again[1].close()
 
-    async def test_a_worker_silent_after_fetch_is_a_time_out_and_no_second_run(self):
-        town, jid = self.town, "booking-2"
-        town.silent.add(jid)
-        for peers in self.stage.workers:
-            peers.close()  # only the worker that fetches is left
-        worker, client = await town.faktory("w-1"), await town.faktory()
-        fetch = asyncio.create_task(town.ask(*worker, "FETCH payments"))
-        self.assertEqual(await town.ask(*client, push(jid, timeout=3)), "OK")
-        job = await self.in_time(fetch)
-        town.ran(job["jid"], "faktory")
-        other = asyncio.create_task(town.faktory_worker("w-2"))
-        town.tasks.append(other)
-        self.assertEqual(await self.in_time(town.outcome(client, jid)), "failed")
-        self.assertEqual(await town.ask(*worker, "ACK " + json.dumps({"jid": jid})), "OK")  # too late
-        self.assertEqual(await town.outcome(client, jid), "failed")
-        self.assertEqual(town.runs[jid], 1)
-        # the reservation ends an attempt as well; what is safe to repeat then runs elsewhere
-        quick = push("search-01", "Search", timeout=7).replace('"retry"', '"reserve_for": 0.2, "retry"')
-        town.silent.add("search-01")
-        self.assertEqual(await town.ask(*client, quick), "OK")
-        while not town.runs["search-01"]:
+    async def test_a_worker_that_never_answers_times_out_and_an_unsafe_job_does_not_run_again(self):
+        peers, jid = self.peers, "booking-2"
+        peers.silent.add(jid)
+        for listener in self.stage.workers:
+            listener.close()  # only the worker that fetches is left
+        worker, client = await peers.connect_faktory("w-1"), await peers.connect_faktory()
+        fetch = asyncio.create_task(peers.command(*worker, "FETCH payments"))
+        self.assertEqual(await peers.command(*client, push_command(jid, timeout=3)), "OK")
+        job = await self.within_timeout(fetch)
+        peers.count_run(job["jid"], "faktory")
+        other = asyncio.create_task(peers.faktory_worker("w-2"))
+        peers.tasks.append(other)
+        self.assertEqual(await self.within_timeout(peers.outcome(client, jid)), "failed")
+        self.assertEqual(await peers.command(*worker, "ACK " + json.dumps({"jid": jid})), "OK")  # too late
+        self.assertEqual(await peers.outcome(client, jid), "failed")
+        self.assertEqual(peers.runs[jid], 1)
+        # an expired reservation also ends an attempt; a job that is safe to repeat then runs on another worker
+        quick = push_command("search-01", "Search", timeout=7).replace('"retry"', '"reserve_for": 0.2, "retry"')
+        peers.silent.add("search-01")
+        self.assertEqual(await peers.command(*client, quick), "OK")
+        while not peers.runs["search-01"]:
             await asyncio.sleep(0.01)
-        town.silent.discard("search-01")
-        third = asyncio.create_task(town.faktory_worker("w-3"))
-        town.tasks.append(third)
-        self.assertEqual(await self.in_time(town.outcome(client, "search-01")), "served")
-        self.assertEqual(town.runs["search-01"], 2)
+        peers.silent.discard("search-01")
+        third = asyncio.create_task(peers.faktory_worker("w-3"))
+        peers.tasks.append(third)
+        self.assertEqual(await self.within_timeout(peers.outcome(client, "search-01")), "served")
+        self.assertEqual(peers.runs["search-01"], 2)
         for _, writer in (worker, client):
             writer.close()
 
-    async def test_a_worker_that_breaks_after_the_last_byte_is_not_given_the_booking_again(self):
-        self.town.broken.add("booking-3")
-        self.assertEqual((await self.in_time(self.town.post("booking-3"))).split()[1], "502")
-        self.assertEqual((await self.in_time(self.town.post("booking-3"))).split()[1], "502")
-        self.assertEqual(self.town.runs["booking-3"], 1)
+    async def test_an_unsafe_job_is_not_sent_again_after_a_connection_breaks_at_the_last_byte(self):
+        self.peers.broken.add("booking-3")
+        self.assertEqual((await self.within_timeout(self.peers.post("booking-3"))).split()[1], "502")
+        self.assertEqual((await self.within_timeout(self.peers.post("booking-3"))).split()[1], "502")
+        self.assertEqual(self.peers.runs["booking-3"], 1)
 
-    async def test_a_job_that_no_worker_can_take_is_refused_before_its_client_quits(self):
-        for peers in self.stage.workers:
-            peers.close()
-        start = await self.in_time(self.town.post("search-02", "desk-search", 1))
+    async def test_a_job_that_no_worker_accepts_is_refused_before_its_client_times_out(self):
+        for listener in self.stage.workers:
+            listener.close()
+        start = await self.within_timeout(self.peers.post("search-02", "desk-search", 1))
         self.assertEqual(start.split()[1], "503")
-        self.assertEqual(self.town.runs["search-02"], 0)
+        self.assertEqual(self.peers.runs["search-02"], 0)
 
 
-class Waits(unittest.IsolatedAsyncioTestCase):
-    async def test_sigterm_answers_what_waits_before_the_program_ends(self):
-        async with Stage(OPERATOR + "[waiting]\n") as stage:
-            town = Town(stage)
-            pair = await town.faktory()
+class ShutdownTest(unittest.IsolatedAsyncioTestCase):
+    async def test_waiting_jobs_are_answered_before_the_process_ends(self):
+        async with DispatcherFixture(OPERATOR + "[waiting]\n") as stage:
+            peers = StandInPeers(stage)
+            connection = await peers.connect_faktory()
             at = datetime.now(UTC) + timedelta(days=1)
-            job = json.loads(push("timed-01")[5:]) | {"at": f"{at:%Y-%m-%dT%H:%M:%SZ}"}
-            self.assertEqual(await town.ask(*pair, "PUSH " + json.dumps(job)), "OK")
+            job = json.loads(push_command("timed-01")[5:]) | {"at": f"{at:%Y-%m-%dT%H:%M:%SZ}"}
+            self.assertEqual(await peers.command(*connection, "PUSH " + json.dumps(job)), "OK")
             reader, writer = await asyncio.open_connection("127.0.0.1", stage.port("client"))
             writer.write(
                 http(
@@ -259,43 +259,43 @@
                     X_Run_After="timed-01",
                 )
             )
-            while (await town.ask(*pair, "INFO"))["faktory"]["tasks"]["Waiting"]["size"] == 0:
+            while (await peers.command(*connection, "INFO"))["faktory"]["tasks"]["Waiting"]["size"] == 0:
                 await asyncio.sleep(0)
             stage.program.stop()
-            start, fields, _ = await asyncio.wait_for(read_http(reader), PATIENCE)
+            start, fields, _ = await asyncio.wait_for(read_http(reader), TIMEOUT_S)
             self.assertEqual((start, "retry-after" in fields), ("HTTP/1.1 503 Service Unavailable", True))
-            said = await town.ask(*pair, "TRACK GET timed-01")
-            self.assertEqual((said["state"], said["desc"]), ("failed", "refused"))
+            status = await peers.command(*connection, "TRACK GET timed-01")
+            self.assertEqual((status["state"], status["desc"]), ("failed", "refused"))
             late = json.dumps(job | {"jid": "timed-02"})
-            self.assertIn("ERR not accepted now", await town.ask(*pair, "PUSH " + late))
+            self.assertIn("ERR not accepted now", await peers.command(*connection, "PUSH " + late))
             writer.close()
-            pair[1].close()
-            await town.close()
-            await asyncio.wait_for(stage.program._ended.wait(), PATIENCE)
+            connection[1].close()
+            await peers.close()
+            await asyncio.wait_for(stage.program._ended.wait(), TIMEOUT_S)
 
 
-class Flows(unittest.IsolatedAsyncioTestCase):
-    async def test_the_program_exports_each_exchange_and_only_where_it_is_set_up(self):
+class FlowExportTest(unittest.IsolatedAsyncioTestCase):
+    async def test_finished_jobs_are_exported_only_if_ipfix_is_configured(self):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as collector:
             collector.bind(("127.0.0.1", 0))
-            collector.settimeout(PATIENCE)
+            collector.settimeout(TIMEOUT_S)
             operator = f'[ipfix]\ncollector = "127.0.0.1:{collector.getsockname()[1]}"\n'
-            async with Stage(operator) as stage:
+            async with DispatcherFixture(operator) as stage:
                 self.assertIsNone(stage.program.faktory)
-                town = Town(stage)
-                self.assertIn("200", await asyncio.wait_for(town.post("flow0001"), PATIENCE))
+                peers = StandInPeers(stage)
+                self.assertIn("200", await asyncio.wait_for(peers.post("flow0001"), TIMEOUT_S))
                 message = await asyncio.to_thread(collector.recv, 65536)
-                await town.close()
+                await peers.close()
         self.assertEqual(message[:2], b"\0\x0a")
-        self.assertTrue(message.endswith(b"\x03\x00\xc8\x0cpaid-booking"))  # ended by itself, 200, class
-        async with Stage() as stage:
+        self.assertTrue(message.endswith(b"\x03\x00\xc8\x0cpaid-booking"))  # normal end, status 200, job class
+        async with DispatcherFixture() as stage:
             self.assertIsNone(stage.program.faktory)
             self.assertIsNone(stage.program.flows)
 
 
-class Login(unittest.TestCase):
-    def test_hash(self):
-        """The example that Faktory's own client library tests itself with."""
+class PasswordHashTest(unittest.TestCase):
+    def test_hash_of_a_known_password(self):
+        """The expected hash is from the tests of Faktory's own client library."""
         self.assertEqual(
             password_hash("foobar", "55104dc76695721d", 1545),
             "6d877f8e5544b1f2598768f817413ab8a357afffa924dedae99eb91472d4ec30",
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -15,7 +15,7 @@
 from unittest import mock
 
 import structlog
-from play import PATIENCE, SETTINGS, Peers, Stage, endpoint
+from dispatcher_fixture import SETTINGS, TIMEOUT_S, DispatcherFixture, PeerListener, endpoint
 from tornado.ioloop import IOLoop
 
 from millethead.config import ConfigError
@@ -136,7 +136,7 @@
             while b"event=serving" not in (line := await process.stdout.readline()):
                 self.assertTrue(line, "the program ended before it served")
             process.send_signal(signal.SIGTERM)
-            said = await asyncio.wait_for(process.stdout.read(), PATIENCE)
+            said = await asyncio.wait_for(process.stdout.read(), TIMEOUT_S)
             self.assertIn(b"event=stopping", said)
             self.assertIn(b"event=ended", said)
             self.assertEqual(await process.wait(), 0)
@@ -155,19 +155,19 @@
                 if text is not None:
                     path.write_text(text)
                     process.send_signal(signal.SIGHUP)
-                while want not in (line := await asyncio.wait_for(process.stdout.readline(), PATIENCE)):
+                while want not in (line := await asyncio.wait_for(process.stdout.readline(), TIMEOUT_S)):
                     self.assertTrue(line, "the program ended")
             process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0)
             process.send_signal(signal.SIGHUP)  # on its way out too
-            await asyncio.wait_for(process.stdout.read(), PATIENCE)
+            await asyncio.wait_for(process.stdout.read(), TIMEOUT_S)
             self.assertEqual(await process.wait(), 0)
 
     async def test_a_reload_moves_the_watch_and_keeps_workers_and_readiness(self):
-        async with Stage() as stage:
-            program, other = stage.program, await Peers().open()
+        async with DispatcherFixture() as stage:
+            program, other = stage.program, await PeerListener().open()
             self.addCleanup(other.close)
-            old, _ = await asyncio.wait_for(stage.discovery.came.get(), PATIENCE)
+            old, _ = await asyncio.wait_for(stage.discovery.accepted.get(), TIMEOUT_S)
             self.assertIn(b"since=41 ", await old.readuntil(b"\r\n\r\n"))
             stage.path.write_text("{")
             program.reload()  # a bad file: the old watch stays
@@ -188,11 +188,11 @@
             )
             program.reload()
             program.reload()  # once more: only the last watch counts, and there is but one
-            self.assertEqual(await asyncio.wait_for(old.read(), PATIENCE), b"")
+            self.assertEqual(await asyncio.wait_for(old.read(), TIMEOUT_S), b"")
             self.assertTrue(program.exchange.ready)
             self.assertEqual((program.pool.limit, program.acceptor.limit), (30, 60))
             self.assertEqual([f.quota for f in program.exchange._module.flows], [0.004, 0.004])
-            reader, writer = await asyncio.wait_for(other.came.get(), PATIENCE)
+            reader, writer = await asyncio.wait_for(other.accepted.get(), TIMEOUT_S)
             # another service may count its versions otherwise: the whole list is asked for
             self.assertNotIn(b"since", await reader.readuntil(b"\r\n\r\n"))
             lines = [endpoint(1, stage.workers[0].port, status="terminating"), endpoint(2, stage.workers[1].port)]
@@ -201,20 +201,20 @@
             while program.exchange.worker("s-00000001").open:
                 await asyncio.sleep(0)
             self.assertTrue(program.exchange.worker("s-00000002").open)
-            self.assertTrue(other.came.empty())
+            self.assertTrue(other.accepted.empty())
 
     async def test_stopping_takes_what_still_arrives_and_answers_what_is_held(self):
-        async with Stage(workers=1) as stage:
+        async with DispatcherFixture(workers=1) as stage:
             taken = asyncio.Queue()
             task = asyncio.create_task(self.work(stage.workers[0], taken))
             self.addCleanup(task.cancel)
-            await asyncio.wait_for(self.play(stage.program, stage.port("client"), taken), PATIENCE)
-            await asyncio.wait_for(stage.task, PATIENCE)
+            await asyncio.wait_for(self.play(stage.program, stage.port("client"), taken), TIMEOUT_S)
+            await asyncio.wait_for(stage.task, TIMEOUT_S)
 
     async def test_who_stands_in_the_queue_of_the_listener_as_it_closes_is_answered(self):
         """The system resets them: 4 of 4,400 jobs of a release that came just then."""
         loop = asyncio.get_running_loop()
-        async with Stage() as stage:
+        async with DispatcherFixture() as stage:
             for fd in stage.program.acceptor._sockets:
                 IOLoop.current().remove_handler(fd)  # as a loop that is busy elsewhere, until the listener closes
             peers = [socket.create_connection(("127.0.0.1", stage.port("client"))) for _ in range(20)]
@@ -223,14 +223,14 @@
                 sock.setblocking(False)
             stage.program.drain()
             for sock in peers:
-                self.assertIn(b" 503 ", await asyncio.wait_for(loop.sock_recv(sock, 100), PATIENCE))
+                self.assertIn(b" 503 ", await asyncio.wait_for(loop.sock_recv(sock, 100), TIMEOUT_S))
                 sock.close()
-            await asyncio.wait_for(stage.task, PATIENCE)
+            await asyncio.wait_for(stage.task, TIMEOUT_S)
 
     async def work(self, worker, taken):
         """A worker that takes every job and says nothing more of it."""
         while True:
-            task = asyncio.create_task(self.serve(taken, *await worker.came.get()))
+            task = asyncio.create_task(self.serve(taken, *await worker.accepted.get()))
             self.addCleanup(task.cancel)
 
     async def serve(self, taken, reader, writer):
@@ -303,7 +303,7 @@
 
     async def test_a_connection_near_its_idle_limit_is_not_used_again(self):
         """A request that crosses the peer's close counts as one that may have run."""
-        peers = await Peers().open()
+        peers = await PeerListener().open()
         address = ("127.0.0.1", peers.port)
         pool = Pool(8, 1000.0, 60_000.0)
         self.assertLess(pool.idle_s, 59.0)
@@ -317,8 +317,8 @@
         self.assertTrue(conn.stream.closed())
         # nor is one that the peer has closed
         pool.give_back(address, other)
-        await peers.came.get()
-        (await peers.came.get())[1].transport.abort()
+        await peers.accepted.get()
+        (await peers.accepted.get())[1].transport.abort()
         while other.quiet():
             await asyncio.sleep(0)
         self.assertIsNot(await pool.take(address), other)
@@ -346,17 +346,17 @@
 
     async def test_a_slow_peer_is_told_so_and_closed(self):
         for said, answer in ((b"GET /up HTTP/1.1\r\nHo", b"HTTP/1.1 408 "), (b"", b"")):
-            async with Stage() as stage:
+            async with DispatcherFixture() as stage:
                 with mock.patch("millethead.net.accept.FIRST_TIME", 0.05):
                     reader, writer = await asyncio.open_connection("127.0.0.1", stage.port("client"))
                     writer.write(said)
-                    got = await asyncio.wait_for(reader.read(), PATIENCE)
+                    got = await asyncio.wait_for(reader.read(), TIMEOUT_S)
                     self.assertEqual(got[: len(answer) or 1], answer)
                     writer.close()
 
     async def test_connections_that_say_nothing_make_room_before_idle_ones_of_usual_clients(self):
         """Hundreds that only connect once pushed out idle clients, and one whose request was being read."""
-        async with Stage() as stage:
+        async with DispatcherFixture() as stage:
             stage.program.acceptor.limit, port = 3, stage.port("client")
             up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
             usual = await asyncio.open_connection("127.0.0.1", port)
@@ -364,18 +364,18 @@
             self.assertTrue((await usual[0].readuntil(b"ready\n")).startswith(b"HTTP/1.1 200 "))
             mute = [await asyncio.open_connection("127.0.0.1", port) for _ in range(9)]
             for reader, _ in mute[:7]:
-                self.assertEqual(await asyncio.wait_for(reader.read(), PATIENCE), b"")
+                self.assertEqual(await asyncio.wait_for(reader.read(), TIMEOUT_S), b"")
             usual[1].write(up)
             self.assertTrue((await usual[0].readuntil(b"ready\n")).startswith(b"HTTP/1.1 200 "))
             for _, writer in (usual, *mute):
                 writer.close()
 
     async def test_a_connection_that_asks_for_nothing_but_errors_ends(self):
-        async with Stage() as stage:
+        async with DispatcherFixture() as stage:
             reader, writer = await asyncio.open_connection("127.0.0.1", stage.port("client"))
             writer.write(b"GET /none HTTP/1.1\r\nHost: x\r\n\r\n" * (FAULTS + 5))
             with suppress(ConnectionResetError):  # what it had sent beyond that is not read
-                got = await asyncio.wait_for(reader.read(), PATIENCE)
+                got = await asyncio.wait_for(reader.read(), TIMEOUT_S)
                 self.assertEqual(got.count(b"HTTP/1.1 404 "), FAULTS)
             writer.close()
 
@@ -391,7 +391,7 @@
 
     async def test_a_start_time_of_the_list_is_a_time_of_the_modules_clock(self):
         """since_ms is Unix time: on another clock a cold worker would look warm, or cold for ever."""
-        async with Stage() as stage:
+        async with DispatcherFixture() as stage:
             now = stage.program.exchange.clock.now()
             self.assertLess(abs(now - time.time() * 1000), 60_000)
             side = stage.program.workers
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from play import PATIENCE, SETTINGS, Peers, endpoint
+from dispatcher_fixture import SETTINGS, TIMEOUT_S, PeerListener, endpoint
 
 from millethead.lab.pack import free_port
 
@@ -48,7 +48,7 @@
     )
     try:
         said = b""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             while b"event=serving" not in said:
                 line = await process.stdout.readline()
                 assert line, said
@@ -67,14 +67,14 @@
 
 @pytest.mark.parametrize("silent", [False, True])
 async def test_the_last_list_will_do_while_discovery_is_down_or_says_nothing(tmp_path, silent):
-    peers = await Peers().open()
+    peers = await PeerListener().open()
     async with started(tmp_path, peers.port if silent else free_port()) as said:
         assert "warning" not in said and "error" not in said
     peers.close()
 
 
 async def test_many_at_once_with_a_discovery_that_answers_nobody(tmp_path):
-    peers = await Peers().open()
+    peers = await PeerListener().open()
     async with AsyncExitStack() as all_of_them:
         folders = [tmp_path / str(n) for n in range(20)]
         for folder in folders:
--- a/tests/test_send_races.py
+++ b/tests/test_send_races.py
@@ -4,7 +4,7 @@
 import select
 
 import pytest
-from play import PATIENCE, Peers
+from dispatcher_fixture import TIMEOUT_S, PeerListener
 
 from millethead.decide import interface as api
 from millethead.exchange import Exchange, Final, Listed, Order
@@ -35,8 +35,8 @@
     """The exchange and its HTTP side, with one worker on loopback."""
 
     async def open(self):
-        self.peers = await Peers().open()
-        self.exchange, self.pool = Exchange(SETTINGS, 1, LoopClock()), Pool(16, PATIENCE * 1000, 60_000)
+        self.peers = await PeerListener().open()
+        self.exchange, self.pool = Exchange(SETTINGS, 1, LoopClock()), Pool(16, TIMEOUT_S * 1000, 60_000)
         self.side = send.HttpWorkers(
             self.exchange, self.pool, Probes(self.exchange, self.pool, lambda _: None), lambda _: None
         )
@@ -57,12 +57,12 @@
         return self.held.attempts[-1]
 
     async def peer(self):
-        return await asyncio.wait_for(self.peers.came.get(), PATIENCE)
+        return await asyncio.wait_for(self.peers.accepted.get(), TIMEOUT_S)
 
     async def whole(self):
         """The worker's end of the next attempt, once it has all of it."""
         reader, writer = await self.peer()
-        await asyncio.wait_for(reader.readuntil(BODY), PATIENCE)
+        await asyncio.wait_for(reader.readuntil(BODY), TIMEOUT_S)
         return reader, writer
 
     def news(self, state):
@@ -79,7 +79,7 @@
 
 async def soon(true):
     """Let the loop turn until it is so."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_S):
         while not true():
             await asyncio.sleep(0)
 
@@ -146,7 +146,7 @@
 async def cross(bench, park, crosses):
     """Let it happen while the attempt is parked; (the attempt, the worker's end of its connection)."""
     bench.job(ONCE)
-    await asyncio.wait_for(park.here.wait(), PATIENCE)
+    await asyncio.wait_for(park.here.wait(), TIMEOUT_S)
     reader, _ = await bench.peer()
     first = bench.attempt
     crosses(bench)
@@ -163,7 +163,7 @@
 async def test_what_happens_before_the_last_byte_keeps_it_back(bench, before_last_byte, crosses):
     first, reader = await cross(bench, before_last_byte, crosses)
     try:
-        said = await asyncio.wait_for(reader.read(), PATIENCE)
+        said = await asyncio.wait_for(reader.read(), TIMEOUT_S)
     except ConnectionError:
         said = b""
     assert not said.endswith(BODY)
@@ -176,30 +176,30 @@
     await never_ran(first)
     await soon(lambda: bench.pool._idle)  # it was given back
     bench.pool.stop()
-    assert await asyncio.wait_for(reader.read(), PATIENCE) == b""
+    assert await asyncio.wait_for(reader.read(), TIMEOUT_S) == b""
 
 
 async def test_a_client_that_leaves_ends_its_attempt_at_once_where_nothing_may_be_cancelled(bench, connected):
     """Only the module's cancel ended it, which a deployment may forbid: the job then went out for nobody."""
     bench.exchange.reconfigure(api.Settings(classes=SETTINGS.classes, max_attempts=3, tick=5.0))
     number = bench.job()
-    await asyncio.wait_for(connected.here.wait(), PATIENCE)
+    await asyncio.wait_for(connected.here.wait(), TIMEOUT_S)
     reader, _ = await bench.peer()
     bench.exchange.withdraw(number)
     connected.go.set()
     await soon(lambda: bench.pool._idle)
     bench.pool.stop()
-    assert await asyncio.wait_for(reader.read(), PATIENCE) == b""
+    assert await asyncio.wait_for(reader.read(), TIMEOUT_S) == b""
     assert bench.exchange.jobs.by_number == {}
 
 
 async def test_a_reset_before_the_last_byte_proves_that_it_never_ran(bench, before_last_byte):
     bench.job(ONCE)
-    await asyncio.wait_for(before_last_byte.here.wait(), PATIENCE)
+    await asyncio.wait_for(before_last_byte.here.wait(), TIMEOUT_S)
     _, writer = await bench.peer()
     first = bench.attempt
     writer.transport.abort()
-    select.select([first.channel.stream.socket], [], [], PATIENCE)  # it is there, and the loop has not seen it
+    select.select([first.channel.stream.socket], [], [], TIMEOUT_S)  # it is there, and the loop has not seen it
     before_last_byte.go.set()
     await soon(lambda: first.outcome is not None)
     assert (first.outcome, first.whole) == (api.Outcome.CONNECT_FAILED, False)
@@ -209,7 +209,7 @@
     """In the wrong unit it was a thousandth of that, and workers that look at it turned the jobs away as too late."""
     bench.job()
     reader, _ = await bench.peer()
-    head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE)
+    head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
     assert 40 < float(head.partition(b"X-Timeout: ")[2].partition(b"\r\n")[0]) <= 60
 
 
@@ -220,14 +220,14 @@
     await soon(lambda: bench.answers)
     assert bench.attempt.outcome is api.Outcome.RESET
     assert [answer.final for answer in bench.answers] == [Final.FAILED]
-    assert bench.peers.came.empty()
+    assert bench.peers.accepted.empty()
 
 
 async def test_what_is_told_of_an_earlier_time_there_does_not_end_an_attempt_that_has_not_begun(
     bench, before_last_byte
 ):
     bench.job(ONCE)
-    await asyncio.wait_for(before_last_byte.here.wait(), PATIENCE)
+    await asyncio.wait_for(before_last_byte.here.wait(), TIMEOUT_S)
     for state in ("returned", "failed", "lost", "started"):
         assert not bench.news(state)
     before_last_byte.go.set()
@@ -247,7 +247,7 @@
     for state in ("returned", "done", "lost", "failed"):
         assert not bench.news(state)
     assert [answer.final for answer in bench.answers] == [Final.FAILED]
-    assert bench.peers.came.empty()
+    assert bench.peers.accepted.empty()
 
 
 async def test_a_202_that_crosses_the_close_is_followed_by_a_cancel(bench):
@@ -256,10 +256,10 @@
     _, writer = await bench.whole()
     await soon(lambda: bench.attempt.whole)
     writer.write(TAKEN)
-    select.select([bench.attempt.channel.stream.socket], [], [], PATIENCE)
+    select.select([bench.attempt.channel.stream.socket], [], [], TIMEOUT_S)
     bench.exchange.withdraw(number)
     reader, _ = await bench.peer()
-    assert (await asyncio.wait_for(reader.readuntil(b"\r\n"), PATIENCE)) == b"DELETE /jobs/a HTTP/1.1\r\n"
+    assert (await asyncio.wait_for(reader.readuntil(b"\r\n"), TIMEOUT_S)) == b"DELETE /jobs/a HTTP/1.1\r\n"
 
 
 async def test_a_cancel_is_answered_before_the_same_id_goes_there_again(bench):
@@ -271,7 +271,7 @@
     bench.pool.stop()
     bench.exchange._execute(api.CancelAttempt(number, 0))
     reader, canceller = await bench.peer()
-    await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE)
+    await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
     await soon(lambda: len(bench.held.attempts) == 2)  # the module sends it there once more
     again, _ = await bench.peer()
     read = asyncio.create_task(again.read(1))
@@ -280,8 +280,8 @@
         await asyncio.sleep(0)
     assert not read.done() and not bench.attempt.whole
     canceller.write(b"HTTP/1.1 204 No Content\r\n\r\n")
-    assert await asyncio.wait_for(read, PATIENCE) == b"P"
-    await asyncio.wait_for(again.readuntil(BODY), PATIENCE)
+    assert await asyncio.wait_for(read, TIMEOUT_S) == b"P"
+    await asyncio.wait_for(again.readuntil(BODY), TIMEOUT_S)
 
 
 @pytest.mark.parametrize("said", [b"", b"HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nx", b"HTTP/1.1 202 Acc"])
@@ -293,7 +293,7 @@
     writer.write(said)
     assert bench.news("started")
     assert bench.news("done")
-    assert await asyncio.wait_for(reader.read(), PATIENCE) == b""
+    assert await asyncio.wait_for(reader.read(), TIMEOUT_S) == b""
     await soon(lambda: not bench.pool.open)
 
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from unittest import mock
 
+from dispatcher_fixture import SETTINGS, TIMEOUT_S, DispatcherFixture, PeerListener, endpoint
 from harness import Node, workers
-from play import PATIENCE, SETTINGS, Peers, Stage, endpoint
 
 from millethead.decide import carry
 from millethead.decide import interface as api
@@ -34,8 +34,8 @@
         self.folder, self.port, self.ran, self.tasks, self.processes = folder, free_port(), {}, [], []
 
     async def open(self):
-        self.peers = [await Peers().open() for _ in range(2)]
-        self.discovery = await Peers().open()
+        self.peers = [await PeerListener().open() for _ in range(2)]
+        self.discovery = await PeerListener().open()
         self.tasks = [asyncio.create_task(self._worker(n + 1, p)) for n, p in enumerate(self.peers)]
         return self
 
@@ -51,7 +51,7 @@
 
     async def _worker(self, number, peers):
         while True:
-            self.tasks.append(asyncio.create_task(self._serve(number, *await peers.came.get())))
+            self.tasks.append(asyncio.create_task(self._serve(number, *await peers.accepted.get())))
 
     async def _serve(self, number, reader, writer):
         with suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -92,7 +92,7 @@
             env={**os.environ, "BALANCER_CONFIG": str(path), "TMPDIR": str(self.folder)},
         )
         self.processes.append((process, console))
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             while not await self.call(console, "GET", "/ops/readiness"):
                 await asyncio.sleep(0.02)
         return process, console
@@ -107,7 +107,7 @@
             f"{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
             f"Content-Length: {len(body)}\r\n\r\n{body}".encode()
         )
-        said = (await asyncio.wait_for(reader.read(), PATIENCE)).decode()
+        said = (await asyncio.wait_for(reader.read(), TIMEOUT_S)).decode()
         writer.close()
         return " 200 " in said.split("\r\n")[0] and said
 
@@ -118,7 +118,7 @@
         return reader, writer
 
     async def taken(self, name):
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             while name not in self.ran:
                 await asyncio.sleep(0.01)
 
@@ -127,7 +127,7 @@
         return await self.call(self.port, "POST", "/_jobs/news", news)
 
     async def answer(self, reader):
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             return (await reader.readuntil(b"\r\n\r\n")).split(b"\r\n")[0]
 
 
@@ -151,7 +151,7 @@
         # news comes to the new one while the old one still owns the job
         early = await fleet.client("early")
         old.send_signal(signal.SIGTERM)
-        self.assertEqual(await asyncio.wait_for(old.wait(), PATIENCE), 0)  # it need not wait for the job
+        self.assertEqual(await asyncio.wait_for(old.wait(), TIMEOUT_S), 0)  # it need not wait for the job
         self.assertTrue(await fleet.tell("held"))
         self.assertIn(b" 200 ", await fleet.answer(held[0]))
         self.assertTrue(await fleet.tell("early"))
@@ -186,7 +186,7 @@
         held = await fleet.client("third")
         await fleet.start()
         old.send_signal(signal.SIGTERM)
-        self.assertEqual(await asyncio.wait_for(old.wait(), PATIENCE), 0)
+        self.assertEqual(await asyncio.wait_for(old.wait(), TIMEOUT_S), 0)
         self.assertTrue(await fleet.tell("third"))
         self.assertIn(b" 200 ", await fleet.answer(held[0]))
 
@@ -201,7 +201,7 @@
         _, three = await fleet.start()  # the second replacement, right after the first one said yes
         second.send_signal(signal.SIGTERM)
         for process in (first, second):
-            self.assertEqual(await asyncio.wait_for(process.wait(), PATIENCE), 0)
+            self.assertEqual(await asyncio.wait_for(process.wait(), TIMEOUT_S), 0)
         self.assertIn("dispatcher_hosts_down 1\n", await fleet.call(three, "GET", "/ops/stats"))
         self.assertTrue(await fleet.tell("held"))
         self.assertIn(b" 200 ", await fleet.answer(held[0]))
@@ -219,7 +219,7 @@
 
         async def discovery():
             while True:
-                reader, writer = await fleet.discovery.came.get()
+                reader, writer = await fleet.discovery.accepted.get()
                 await reader.readuntil(b"\r\n\r\n")
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
                 await watches.put(writer)
@@ -239,7 +239,7 @@
 
         fleet.tasks.append(asyncio.create_task(discovery()))
         first, _ = await fleet.start()
-        one = await asyncio.wait_for(watches.get(), PATIENCE)
+        one = await asyncio.wait_for(watches.get(), TIMEOUT_S)
         tell(one, 1)  # to the old one alone, before its successor comes: it knows from the old one only
         await asyncio.sleep(0.3)
         _, two = await fleet.start()
@@ -247,14 +247,14 @@
         self.assertEqual(fleet.ran["after-old"], [2])
         self.assertTrue(await fleet.tell("after-old"))
         self.assertIn(b" 200 ", await fleet.answer(client[0]))
-        other = await asyncio.wait_for(watches.get(), PATIENCE)
+        other = await asyncio.wait_for(watches.get(), TIMEOUT_S)
         tell(other, 2)  # and to the new one alone, while the old one lives: nothing is left to send to
         await asyncio.sleep(0.3)
         reader, writer = await asyncio.open_connection("127.0.0.1", fleet.port)
         writer.write(JOB.format("after-new", "paid-booking").encode())
         self.assertIn(b" 503 ", await fleet.answer(reader))
         first.send_signal(signal.SIGTERM)
-        self.assertEqual(await asyncio.wait_for(first.wait(), PATIENCE), 0)
+        self.assertEqual(await asyncio.wait_for(first.wait(), TIMEOUT_S), 0)
         self.assertNotIn("after-new", fleet.ran)
         self.assertIn("dispatcher_hosts_listed 2\n", await fleet.call(two, "GET", "/ops/stats"))
         for each in (writer, client[1]):
@@ -279,11 +279,11 @@
         """Of 2,658 jobs over 200 replacements five lost their news: a job was taken in by its connection's task,
         a turn of the loop after the other process had said that it did not have it any more."""
         with tempfile.TemporaryDirectory() as one, mock.patch("millethead.program.gettempdir", lambda: one):
-            async with Stage(console=True, workers=1) as old:
+            async with DispatcherFixture(console=True, workers=1) as old:
                 client, writer = await asyncio.open_connection("127.0.0.1", old.port("client"))
                 writer.write(JOB.format("a1", "paid-booking").encode())
                 while not old.program.workers._running:
-                    reader, worker = await asyncio.wait_for(old.workers[0].came.get(), PATIENCE)
+                    reader, worker = await asyncio.wait_for(old.workers[0].accepted.get(), TIMEOUT_S)
                     head = await reader.readuntil(b"\r\n\r\n")
                     worker.write(
                         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=2"
@@ -291,21 +291,21 @@
                         else b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
                     )
                 if head.startswith(b"GET"):
-                    reader, worker = await asyncio.wait_for(old.workers[0].came.get(), PATIENCE)
+                    reader, worker = await asyncio.wait_for(old.workers[0].accepted.get(), TIMEOUT_S)
                     await reader.readuntil(b"\r\n\r\n")
                     worker.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
                 conn = next(iter(old.program.acceptor.open))
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TIMEOUT_S):
                     while (said := release(old.program.exchange, old.program.workers, conn.job)) is None:
                         await asyncio.sleep(0.01)
                 with tempfile.TemporaryDirectory() as other, mock.patch("millethead.program.gettempdir", lambda: other):
-                    async with Stage(console=True, workers=1) as new:
+                    async with DispatcherFixture(console=True, workers=1) as new:
                         succession, handed = new.program.succession, os.dup(conn.stream.socket.fileno())
                         conn.close()
                         succession._from(None, {"what": "job", "job": said[0], "keeps": True}, said[1], handed)
                         news = json.dumps({"id": "a1", "from": "s-00000001", "state": "done", "result": "ok"})
                         self.assertTrue(succession.local(news.encode()))
-                        self.assertIn(b" 200 ", await asyncio.wait_for(client.readuntil(b"\r\n\r\n"), PATIENCE))
+                        self.assertIn(b" 200 ", await asyncio.wait_for(client.readuntil(b"\r\n\r\n"), TIMEOUT_S))
                         writer.close()
 
 
@@ -330,7 +330,7 @@
             self.assertEqual(os.read(read, 1), b"y")
             self.assertFalse(one.send("x", {}, b"z" * (1 << 20)))
             two.close()
-            await asyncio.wait_for(gone.wait(), PATIENCE)
+            await asyncio.wait_for(gone.wait(), TIMEOUT_S)
             self.assertFalse(one.send("x"))
             for fd in (read, handed):
                 os.close(fd)
