--- a/benchmarks/operation/console.py
+++ b/benchmarks/operation/console.py
@@ -29,8 +29,8 @@
 from docopt import docopt
 from replace import memory, port
 
+from millethead.exchange.counters import JobCounters
 from millethead.exchange.model import Final
-from millethead.exchange.tally import Tally
 from millethead.lab.hour import SETTINGS
 from millethead.lab.standins import message, read_message
 from millethead.lab.table import keep
@@ -117,7 +117,7 @@
         process.terminate()
         await process.wait()
         drain.cancel()
-    tally, rounds = Tally(4), 200_000
+    tally, rounds = JobCounters(4), 200_000
     cost = timeit.timeit(lambda: tally.final(1, Final.SERVED), number=rounds) / rounds * 1e6
     with_, without = ([median(x[k] for x in sizes[key]) for k in (0, 1)] for key in (True, False))
     keep(
--- a/millethead/admission/queue.py
+++ b/millethead/admission/queue.py
@@ -25,9 +25,9 @@
 from millethead.exchange.stage import (
     Amendment,
     Finished,
+    InvalidOrder,
     Reply,
     Stage,
-    Unusable,
     arrive_individually,
     reject_deferred,
     reject_repeated,
@@ -200,7 +200,7 @@
         self._admit_queued()
         return job.number
 
-    def arrive_all(self, orders: Sequence[tuple[Order, Reply]]) -> list[int | Unusable]:
+    def arrive_all(self, orders: Sequence[tuple[Order, Reply]]) -> list[int | InvalidOrder]:
         return arrive_individually(self, orders)
 
     def withdraw(self, number: int) -> None:
--- a/millethead/console/desk.py
+++ b/millethead/console/desk.py
@@ -46,7 +46,7 @@
     def figures(self) -> Figures:
         return Figures(
             self.classes,
-            self.exchange.tally,
+            self.exchange.counters,
             self.stage.held,
             len(self.exchange.workers),
             self.exchange.down,
--- a/millethead/console/figures.py
+++ b/millethead/console/figures.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from millethead.exchange.tally import Tally
+from millethead.exchange.counters import JobCounters
 
 # a figure of a part that is off without its table: name, type, help, and for each line a label, its value and the count
 More = tuple[str, str, str, Sequence[tuple[str, str, float]]]
@@ -22,7 +22,7 @@
     """What the program counts, at one moment. `tally` has a line for each of `classes`."""
 
     classes: Sequence[str]
-    tally: Tally
+    tally: JobCounters
     inflight: int
     listed: int
     down: int
--- a/millethead/exchange/core.py
+++ b/millethead/exchange/core.py
@@ -17,30 +17,30 @@
 
 from millethead.decide import interface as api
 from millethead.decide.balance import Balancer
-from millethead.exchange.held import MAX_HELD_JOBS, HeldJob, HeldJobs
+from millethead.exchange.counters import JobCounters
+from millethead.exchange.held_jobs import MAX_HELD_JOBS, HeldJob, HeldJobs
 from millethead.exchange.model import (
     Answer,
     Attempt,
     Clock,
     Final,
-    Listed,
     Order,
-    Roster,
-    ServerSide,
     Worker,
+    WorkerDiscovery,
+    WorkerListing,
+    WorkerTransport,
 )
 from millethead.exchange.module_queue import ModuleQueue
 from millethead.exchange.records import WITHDRAWN, Record
 from millethead.exchange.stage import (
     Amendment,
     Finished,
+    InvalidOrder,
     Reply,
-    Unusable,
     arrive_individually,
     reject_deferred,
     reject_repeated,
 )
-from millethead.exchange.tally import Tally
 from millethead.exchange.workers import UnlistedTransport, WorkerTable
 
 OVERDUE_GRACE_MS = 8.0  # after this time past the deadline the exchange answers without the decision module
@@ -58,7 +58,7 @@
     def __init__(self, settings: api.Settings, seed: int, clock: Clock, flows: tuple[api.Tenant, ...] = ()) -> None:
         self.settings, self.clock, self.flows = settings, clock, flows
         self._fleet: dict[str, Any] = {}  # fields of `settings` that the cluster membership overrides
-        self.roster: Roster | None = None
+        self.discovery: WorkerDiscovery | None = None
         self.finished: Finished | None = None
         self._on_empty: Callable[[], None] | None = None
         self.closing = self.leaving = False
@@ -71,7 +71,7 @@
         # called at the end of each attempt, with its duration in ms, and of each probe, with the worker's name
         self.on_attempt: Callable[[Attempt, api.Outcome, float], None] | None = None
         self.on_probe: Callable[[str, api.Outcome], None] | None = None
-        self.tally = Tally(len(settings.classes))
+        self.counters = JobCounters(len(settings.classes))
 
     # ---- calls of the front ends -------------------------------------------------------------------
 
@@ -98,11 +98,11 @@
         reject_deferred(order, now)
         known = self.record(order.origin, order.id)
         if known is not None and not self._may_be_resubmitted(order, known):
-            self.tally.final(order.job_class, Final.FAILED)
+            self.counters.final(order.job_class, Final.FAILED)
             return reject_repeated(order, reply)
         if self.closing or not self.jobs.has_room(order, self.max_unanswered):
             log.warning("job_not_taken", job=order.id, closing=self.closing, held=len(self.jobs.by_number))
-            self.tally.final(order.job_class, Final.REFUSED)
+            self.counters.final(order.job_class, Final.REFUSED)
             reply(Answer(Final.REFUSED))
             return 0
         number = self.jobs.next_number()
@@ -131,7 +131,7 @@
         safe = self.settings.classes[order.job_class].effect is api.Effect.SAFE
         return order.again and known.final is Final.REFUSED and (safe or not known.may_have_run)
 
-    def arrive_all(self, orders: Sequence[tuple[Order, Reply]]) -> list[int | Unusable]:
+    def arrive_all(self, orders: Sequence[tuple[Order, Reply]]) -> list[int | InvalidOrder]:
         return arrive_individually(self, orders)
 
     def amend(self, amendment: Amendment) -> None:
@@ -144,7 +144,7 @@
             log.info("job_withdrawn", job=held.order.id)
             self._close(held, None)
             for attempt in held.attempts:
-                if not attempt.whole:  # the worker cannot have started it, so cancelling needs no permission
+                if not attempt.fully_written:  # the worker cannot have started it, so cancelling needs no permission
                     self._give_up(attempt, api.Outcome.NEVER_SENT)
             self._feed(api.JobWithdrawn(number))
             self.jobs.forget(held)
@@ -225,14 +225,18 @@
             self._feed(api.WorkerList(api.ListForm.BY_HAND, tuple(entries)))
 
     def listed(
-        self, side: ServerSide, form: api.ListForm, lines: Iterable[Listed] = (), within: float = float("inf")
+        self,
+        transport: WorkerTransport,
+        form: api.ListForm,
+        lines: Iterable[WorkerListing] = (),
+        within: float = float("inf"),
     ) -> None:
         """Applies a worker list, or changes to it, from one transport.
 
         A complete list replaces only the workers of that transport. `within` is the longest time in ms until the
         next list is requested.
         """
-        self._feed(api.WorkerList(form, self._workers.listed(side, form, lines), within=within))
+        self._feed(api.WorkerList(form, self._workers.listed(transport, form, lines), within=within))
 
     def ended(
         self,
@@ -278,8 +282,8 @@
 
     def written(self, attempt: Attempt) -> None:
         """Records that the request of an attempt was written completely; from now on the job may have run."""
-        attempt.whole = True
-        self.tally.written[attempt.order.job_class] += 1
+        attempt.fully_written = True
+        self.counters.written[attempt.order.job_class] += 1
 
     def taken(self, attempt: Attempt) -> None:
         """Records that a worker has acknowledged a job."""
@@ -307,7 +311,7 @@
             case api.Probe(worker=number):
                 worker = self._workers.numbered(number)
                 if worker is not None:
-                    worker.side.probe(worker)
+                    worker.transport.probe(worker)
             case api.Refuse(job=number, pause=pause):
                 self._answer(number, Answer(Final.REFUSED, pause=pause))
             case api.Fail(job=number):
@@ -317,11 +321,11 @@
                 if held is not None and held.attempts[index].outcome is None:
                     self._give_up(held.attempts[index], api.Outcome.CANCELLED)
             case api.WatchWorkers(on=on):
-                if self.roster is not None:
-                    self.roster.watch(on)
+                if self.discovery is not None:
+                    self.discovery.watch(on)
             case api.ListWorkers():
-                if self.roster is not None:
-                    self.roster.ask()
+                if self.discovery is not None:
+                    self.discovery.ask()
             case _:  # pragma: no cover - TellPeers, which needs peer messages that do not exist here
                 log.error("action_unknown", action=type(action).__name__)
 
@@ -334,7 +338,7 @@
         end = min(held.end, now + action.timeout) if action.timeout else held.end
         if worker is None:
             log.error("send_to_unknown_worker", job=held.order.id, worker=action.worker)
-            worker = Worker(action.worker, Listed("unknown"), UnlistedTransport())
+            worker = Worker(action.worker, WorkerListing("unknown"), UnlistedTransport())
         attempt = Attempt(
             held.order,
             held.number,
@@ -354,7 +358,7 @@
             held.closed
             or end <= now
             or attempt.number >= self.settings.max_attempts
-            or isinstance(worker.side, UnlistedTransport)
+            or isinstance(worker.transport, UnlistedTransport)
         ):
             self.ended(attempt, api.Outcome.NEVER_SENT)
         elif effect is api.Effect.UNSAFE and again:  # never run an unsafe job twice, whatever the module decides
@@ -362,11 +366,11 @@
             self.ended(attempt, api.Outcome.NEVER_SENT)
         else:
             attempt.timer = self.clock.later(end - now, lambda: self._give_up(attempt, api.Outcome.TIMEOUT))
-            worker.side.start(attempt)
+            worker.transport.start(attempt)
 
     def _give_up(self, attempt: Attempt, outcome: api.Outcome) -> None:
         if attempt.outcome is None:
-            attempt.worker.side.give_up(attempt)
+            attempt.worker.transport.give_up(attempt)
             self.ended(attempt, outcome)
 
     # ---- the final answer --------------------------------------------------------------------------
@@ -388,7 +392,7 @@
         record.final, record.state = (answer.final, "") if answer is not None else (None, WITHDRAWN)
         self.jobs.answered(held, now)
         if answer is not None:
-            self.tally.final(held.order.job_class, answer.final)
+            self.counters.final(held.order.job_class, answer.final)
             if answer.final is not Final.SERVED:
                 log.info(
                     "job_" + answer.final.value,
--- a/millethead/exchange/tally.py
+++ b/millethead/exchange/counters.py
@@ -5,7 +5,7 @@
 from millethead.exchange.model import Final
 
 
-class Tally:
+class JobCounters:
     """Counters by job class.
 
     `served`, `refused` and `failed` count final answers. `written` counts attempts whose request was written
--- a/millethead/exchange/carry.py
+++ b/millethead/exchange/handover.py
@@ -10,13 +10,13 @@
 from millethead.decide import carry
 from millethead.decide.interface import NEVER_RAN, Outcome, WorkerState
 from millethead.exchange.core import OVERDUE_GRACE_MS, Exchange
-from millethead.exchange.held import HeldJob
-from millethead.exchange.model import Attempt, Listed, Order, ServerSide, Worker
+from millethead.exchange.held_jobs import HeldJob
+from millethead.exchange.model import Attempt, Order, Worker, WorkerListing, WorkerTransport
 from millethead.exchange.records import Record
 from millethead.exchange.stage import Reply
 
 
-class MovingSide(ServerSide, Protocol):
+class TransferableTransport(WorkerTransport, Protocol):
     """A transport whose attempts can continue in another process."""
 
     def movable(self, attempt: Attempt) -> bool:
@@ -29,7 +29,7 @@
         """Starts tracking an attempt that the predecessor started."""
 
 
-def release(exchange: Exchange, side: MovingSide, number: int) -> tuple[dict[str, Any], bytes] | None:
+def release(exchange: Exchange, transport: TransferableTransport, number: int) -> tuple[dict[str, Any], bytes] | None:
     """Removes a job from this process and returns its state and its body, for the process that takes it over.
 
     From then on, the other process answers the client. Returns None if the job cannot be handed over (now): it has
@@ -39,7 +39,7 @@
     if held is None or held.closed:
         return None
     in_progress = [attempt for attempt in held.attempts if attempt.outcome is None]
-    if not all(attempt.worker.side is side and side.movable(attempt) for attempt in in_progress):
+    if not all(attempt.worker.transport is transport and transport.movable(attempt) for attempt in in_progress):
         return None
     module = carry.release(exchange._module, number)
     if module is None:
@@ -50,10 +50,12 @@
         "module": module,
         "came": held.came,
         "may_have_run": held.record.may_have_run,
-        "attempts": [(a.worker.name, a.sent, a.end, a.earlier_here, a.whole, a.outcome) for a in held.attempts],
+        "attempts": [
+            (a.worker.name, a.sent, a.end, a.same_worker_earlier, a.fully_written, a.outcome) for a in held.attempts
+        ],
     }
     for attempt in in_progress:
-        side.let_go(attempt)
+        transport.let_go(attempt)
         attempt.outcome = Outcome.CANCELLED  # further reports on it in this process are ignored
         if attempt.timer is not None:
             attempt.timer.cancel()
@@ -67,7 +69,12 @@
 
 
 def adopt(
-    exchange: Exchange, side: MovingSide, state: dict[str, Any], body: bytes, peer: tuple[str, int] | None, reply: Reply
+    exchange: Exchange,
+    transport: TransferableTransport,
+    state: dict[str, Any],
+    body: bytes,
+    peer: tuple[str, int] | None,
+    reply: Reply,
 ) -> int:
     """Takes over a job that the predecessor released, and returns its number in this process.
 
@@ -81,8 +88,10 @@
         now, may_have_run=bool(state["may_have_run"]), came=float(state["came"]), attempts=len(state["attempts"])
     )
     held = HeldJob(number, order, reply, end, record.came, record)
-    for index, (name, sent, until, earlier, whole, outcome) in enumerate(state["attempts"]):
-        worker = exchange.worker(name) or Worker(crc32(name.encode()), Listed(name, state=WorkerState.GONE), side)
+    for index, (name, sent, until, earlier, fully_written, outcome) in enumerate(state["attempts"]):
+        worker = exchange.worker(name) or Worker(
+            crc32(name.encode()), WorkerListing(name, state=WorkerState.GONE), transport
+        )
         attempt = Attempt(
             order,
             number,
@@ -91,14 +100,14 @@
             sent,
             until,
             earlier,
-            whole=whole,
+            fully_written=fully_written,
             outcome=None if outcome is None else Outcome(outcome),
         )
         held.attempts.append(attempt)
         if outcome is None:
             held.out += 1
             attempt.timer = exchange.clock.later(until - now, partial(exchange._give_up, attempt, Outcome.TIMEOUT))
-            side.take_over(attempt)
+            transport.take_over(attempt)
         elif attempt.outcome not in NEVER_RAN:
             record.may_have_run = True
     exchange.jobs.add(held)
--- a/millethead/exchange/model.py
+++ b/millethead/exchange/model.py
@@ -39,13 +39,13 @@
     """When a job may run.
 
     It does not start before `at` (Unix time in ms of the wall clock; 0 means at once), and only after every job
-    in `after` (its parents) has ended. Each parent must have been served, unless `any_end` is set: then any
+    in `after` (its parents) has ended. Each parent must have been served, unless `run_if_parent_fails` is set: then any
     outcome of a parent will do.
     """
 
     at: float = 0.0
     after: tuple[str, ...] = ()
-    any_end: bool = False
+    run_if_parent_fails: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -92,7 +92,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class WorkerListing:
     """One entry of a worker list.
 
     `started` is Unix time in ms, 0 if the worker started long ago. `takes` are the job classes that the worker
@@ -114,10 +114,10 @@
 class Worker:
     """A listed worker, with the transport that reaches it."""
 
-    __slots__ = ("address", "entry", "name", "number", "open", "side")
+    __slots__ = ("address", "entry", "name", "number", "open", "transport")
 
-    def __init__(self, number: int, listed: Listed, side: ServerSide, out: bool = False) -> None:
-        self.number, self.name, self.side = number, listed.name, side
+    def __init__(self, number: int, listed: WorkerListing, transport: WorkerTransport, out: bool = False) -> None:
+        self.number, self.name, self.transport = number, listed.name, transport
         self.take(listed, out)
 
     @property
@@ -125,7 +125,7 @@
         """Whether it may be sent new work: it is in service and has not been taken out of service."""
         return self.open and not self.entry.out
 
-    def take(self, listed: Listed, out: bool = False) -> None:
+    def take(self, listed: WorkerListing, out: bool = False) -> None:
         self.address = listed.address
         self.open = listed.state is WorkerState.READY
         self.entry = WorkerEntry(
@@ -147,9 +147,9 @@
     """One attempt to run a job on a worker.
 
     sent, end: the start, and the latest end, in ms of the exchange's clock.
-    earlier_here: an earlier attempt of this job went to the same worker.
-    begin_by: the transport does not write the last byte of the request after this time.
-    whole: the request was written completely, so the job may have run.
+    same_worker_earlier: an earlier attempt of this job went to the same worker.
+    write_deadline: the transport does not write the last byte of the request after this time.
+    fully_written: the request was written completely, so the job may have run.
     outcome: None while the attempt is in progress.
     channel: private to the transport.
     """
@@ -160,9 +160,9 @@
     worker: Worker
     sent: float
     end: float
-    earlier_here: bool = False
-    begin_by: float = float("inf")
-    whole: bool = False
+    same_worker_earlier: bool = False
+    write_deadline: float = float("inf")
+    fully_written: bool = False
     outcome: Outcome | None = None
     timer: Cancellable | None = None
     channel: Any = field(default=None)
@@ -180,7 +180,7 @@
     def later(self, delay: float, call: Callable[[], None]) -> Cancellable: ...
 
 
-class ServerSide(Protocol):
+class WorkerTransport(Protocol):
     """A transport that reaches workers.
 
     Each call returns at once. The transport reports the end of an attempt with `Exchange.ended`, and that of a
@@ -194,7 +194,7 @@
     def probe(self, worker: Worker) -> None: ...
 
 
-class Roster(Protocol):
+class WorkerDiscovery(Protocol):
     """The service discovery client; it reports worker lists with `Exchange.listed`."""
 
     def watch(self, on: bool) -> None:
@@ -211,13 +211,13 @@
     "Clock",
     "Final",
     "ListForm",
-    "Listed",
     "Order",
     "Outcome",
     "Plan",
     "Report",
-    "Roster",
-    "ServerSide",
     "Worker",
+    "WorkerDiscovery",
+    "WorkerListing",
     "WorkerState",
+    "WorkerTransport",
 ]
--- a/millethead/exchange/stage.py
+++ b/millethead/exchange/stage.py
@@ -21,7 +21,7 @@
 Finished = Callable[[Order, Answer | None, float, float], None]  # (order, answer, came, ended), ms
 
 
-class Unusable(Exception):
+class InvalidOrder(Exception):
     """An invalid order. The text is a one-line reason.
 
     Nothing of the order is stored, and the front end reports the error to the client in its own protocol.
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Amendment:
-    """A client's request to withdraw jobs that wait in some stage, or to make them due now (`hasten`).
+    """A client's request to withdraw jobs that wait in some stage, or to make them due now (`make_due`).
 
     It selects the jobs of the front end `origin` that are in `state` (see `Record.state`); if `ids` or `jobtype`
     is given, only those that match.
@@ -40,7 +40,7 @@
     state: str
     ids: frozenset[str] | None = None
     jobtype: str = ""
-    hasten: bool = False
+    make_due: bool = False
 
 
 class Stage(Protocol):
@@ -73,10 +73,10 @@
     def arrive(self, order: Order, reply: Reply) -> int:
         """Accepts a job. `reply` is called once with its final answer, unless the job is withdrawn before.
 
-        Returns the number of the job, or 0 if it was answered at once. Raises Unusable.
+        Returns the number of the job, or 0 if it was answered at once. Raises InvalidOrder.
         """
 
-    def arrive_all(self, orders: Sequence[tuple[Order, Reply]]) -> list[int | Unusable]:
+    def arrive_all(self, orders: Sequence[tuple[Order, Reply]]) -> list[int | InvalidOrder]:
         """Accepts several jobs, which may depend on each other in any order. Returns the results in the order
         of `orders`."""
 
@@ -108,17 +108,17 @@
 
 
 def reject_deferred(order: Order, now: float) -> None:
-    """Raises Unusable for a job that must wait, in a stage that does not hold jobs back."""
+    """Raises InvalidOrder for a job that must wait, in a stage that does not hold jobs back."""
     if order.plan is not None and (order.plan.after or order.plan.at > now):
-        raise Unusable("jobs for a later time, or after others, are not taken here")
+        raise InvalidOrder("jobs for a later time, or after others, are not taken here")
 
 
-def arrive_individually(stage: Stage, orders: Sequence[tuple[Order, Reply]]) -> list[int | Unusable]:
+def arrive_individually(stage: Stage, orders: Sequence[tuple[Order, Reply]]) -> list[int | InvalidOrder]:
     """Implements `arrive_all` for a stage that handles each job on its own."""
-    results: list[int | Unusable] = []
+    results: list[int | InvalidOrder] = []
     for order, reply in orders:
         try:
             results.append(stage.arrive(order, reply))
-        except Unusable as error:
+        except InvalidOrder as error:
             results.append(error)
     return results
--- a/millethead/exchange/workers.py
+++ b/millethead/exchange/workers.py
@@ -9,7 +9,7 @@
 import structlog
 
 from millethead.decide.interface import ListForm, WorkerEntry, WorkerState
-from millethead.exchange.model import Listed, ServerSide, Worker
+from millethead.exchange.model import Worker, WorkerListing, WorkerTransport
 
 log = structlog.get_logger()
 
@@ -74,7 +74,9 @@
 
     # ---- lists ---------------------------------------------------------------------------------------
 
-    def listed(self, side: ServerSide, form: ListForm, listing: Iterable[Listed]) -> tuple[WorkerEntry, ...]:
+    def listed(
+        self, transport: WorkerTransport, form: ListForm, listing: Iterable[WorkerListing]
+    ) -> tuple[WorkerEntry, ...]:
         """Applies a worker list, or changes to it, from one transport.
 
         A complete list replaces only the workers of that transport.
@@ -83,7 +85,7 @@
         listed_names: set[str] = set()
         for entry in listing:
             listed_names.add(entry.name)
-            worker = self._update(entry, side)
+            worker = self._update(entry, transport)
             if worker is None:
                 continue
             entries.append(worker.entry)
@@ -91,36 +93,36 @@
                 self._remove(worker)
         if form in (ListForm.FULL, ListForm.CACHED):
             for worker in list(self._by_number.values()):
-                if worker.side is not side:
+                if worker.transport is not transport:
                     entries.append(worker.entry)
                 elif worker.name not in listed_names:
                     self._remove(worker)
         return tuple(entries)
 
-    def _update(self, entry: Listed, side: ServerSide) -> Worker | None:
+    def _update(self, entry: WorkerListing, transport: WorkerTransport) -> Worker | None:
         """Updates or adds the worker of a list entry.
 
         Returns None if the worker belongs to another transport, or is unknown and already gone.
         """
         worker = self._by_name.get(entry.name)
-        if worker is not None and worker.side is not side:
+        if worker is not None and worker.transport is not transport:
             log.warning("worker_name_taken", worker=entry.name)
             return None
         if worker is None:
-            return None if entry.state is WorkerState.GONE else self._add(entry, side)
+            return None if entry.state is WorkerState.GONE else self._add(entry, transport)
         if worker.entry.state is not entry.state:
             log.info("worker_state", worker=entry.name, state=entry.state.name.lower())
         worker.take(entry, self._is_out(entry.name))
         return worker
 
-    def _add(self, entry: Listed, side: ServerSide) -> Worker:
+    def _add(self, entry: WorkerListing, transport: WorkerTransport) -> Worker:
         """Adds a worker. Its number is a hash of its name, so that it is the same on every node: the nodes
         share out the slots of a cold worker by these numbers."""
         number = crc32(entry.name.encode())
         while number in self._by_number:
             number = (number + 1) & 0xFFFFFFFF
         worker = self._by_number[number] = self._by_name[entry.name] = Worker(
-            number, entry, side, self._is_out(entry.name)
+            number, entry, transport, self._is_out(entry.name)
         )
         return worker
 
--- a/millethead/fronts/faktory/session.py
+++ b/millethead/fronts/faktory/session.py
@@ -16,7 +16,7 @@
 from millethead.decide.interface import Outcome
 from millethead.exchange.model import Answer, Final, Order
 from millethead.exchange.records import Record
-from millethead.exchange.stage import Amendment, Stage, Unusable
+from millethead.exchange.stage import Amendment, InvalidOrder, Stage
 from millethead.fronts.faktory import resp
 from millethead.fronts.faktory.jobs import ORIGIN, Jobs, read_jid
 from millethead.fronts.faktory.workers import FaktoryWorkers, Process
@@ -168,18 +168,18 @@
         if order is not None:
             _replies.pause = 0.0
             try:
-                result: int | Unusable = self.stage.arrive(order, _replies)
-            except Unusable as error:
+                result: int | InvalidOrder = self.stage.arrive(order, _replies)
+            except InvalidOrder as error:
                 result = error
             self.check_accepted(order, result)
         return resp.simple("OK")
 
-    def check_accepted(self, order: Order, result: int | Unusable) -> None:
+    def check_accepted(self, order: Order, result: int | InvalidOrder) -> None:
         """Raises BadCommand if a job was not accepted.
 
         `result` is that of `Stage.arrive`. A job that was answered at once and has a record was accepted.
         """
-        if isinstance(result, Unusable):
+        if isinstance(result, InvalidOrder):
             raise resp.BadCommand(str(result))
         if not result and self.stage.record(ORIGIN, order.id) is None:
             if _replies.pause:
--- a/millethead/fronts/faktory/workers.py
+++ b/millethead/fronts/faktory/workers.py
@@ -12,7 +12,7 @@
 
 from millethead.decide.interface import ListForm, Outcome, Report, WorkerState
 from millethead.exchange.core import Exchange
-from millethead.exchange.model import Attempt, Cancellable, Listed, Worker
+from millethead.exchange.model import Attempt, Cancellable, Worker, WorkerListing
 from millethead.fronts.faktory import resp
 from millethead.fronts.faktory.jobs import Jobs
 from millethead.net.connection import Closed, Connection, Late, within
@@ -202,7 +202,7 @@
             self.exchange.listed(
                 self,
                 ListForm.DELTA,
-                [Listed(lane.name, None, self.zone, self.kind, -1, state, takes=lane.takes) for lane in lanes],
+                [WorkerListing(lane.name, None, self.zone, self.kind, -1, state, takes=lane.takes) for lane in lanes],
             )
 
     def _forget_attempt(self, process: Process, attempt: Attempt) -> None:
--- a/millethead/fronts/platform.py
+++ b/millethead/fronts/platform.py
@@ -9,7 +9,7 @@
 
 from millethead.decide import interface as api
 from millethead.exchange.model import MAX_PARENTS, Answer, Final, Order, Plan
-from millethead.exchange.stage import Stage, Unusable
+from millethead.exchange.stage import InvalidOrder, Stage
 from millethead.fronts.times import read_time
 from millethead.net.accept import Reply
 from millethead.net.connection import Connection
@@ -66,7 +66,7 @@
             answer = await exchange_job(self.stage, conn, order)
         except BadMessage as bad:
             return Reply(bad.status, f"{bad}\n".encode())
-        except Unusable as why:
+        except InvalidOrder as why:
             return Reply(400, f"{why}\n".encode())
         return self._reply(conn, answer)
 
--- a/millethead/lab/fleet.py
+++ b/millethead/lab/fleet.py
@@ -10,7 +10,7 @@
 
 from millethead.decide.interface import Effect, ListForm, Outcome, Report, WorkerState
 from millethead.exchange.core import Exchange
-from millethead.exchange.model import Attempt, Listed, Worker
+from millethead.exchange.model import Attempt, Worker, WorkerListing
 from millethead.lab.clock import Timer, VirtualClock
 
 DELAY = 2.0  # ms one way
@@ -64,7 +64,9 @@
         self._list([name], WorkerState.READY, ListForm.DELTA)
 
     def _list(self, names: list[str], state: WorkerState, form: ListForm) -> None:
-        self.exchange.listed(self, form, [Listed(name, zone=0, cell=n, state=state) for n, name in enumerate(names)])
+        self.exchange.listed(
+            self, form, [WorkerListing(name, zone=0, cell=n, state=state) for n, name in enumerate(names)]
+        )
 
     # ---- what the exchange asks ----------------------------------------------------------------------
 
@@ -72,7 +74,7 @@
         self.clock.later(DELAY, lambda: self._arrives(attempt))
 
     def give_up(self, attempt: Attempt) -> None:
-        attempt.whole = True
+        attempt.fully_written = True
         self.clock.later(DELAY, lambda: self._dropped(attempt))
 
     def probe(self, worker: Worker) -> None:
@@ -92,7 +94,7 @@
         machine = self.machines[attempt.worker.name]
         if attempt.outcome is not None:
             return
-        attempt.whole = True
+        attempt.fully_written = True
         if machine.dark:
             machine.waiting.append(attempt)
         elif len(machine.running) < machine.slots:
--- a/millethead/net/discovery.py
+++ b/millethead/net/discovery.py
@@ -16,7 +16,7 @@
 
 from millethead.decide.interface import ListForm, WorkerState
 from millethead.exchange.core import Exchange
-from millethead.exchange.model import Listed, ServerSide
+from millethead.exchange.model import WorkerListing, WorkerTransport
 from millethead.net.connection import WRITE_BUFFER, Closed, Connection, Late, within
 from millethead.net.parse import (
     BadMessage,
@@ -80,7 +80,7 @@
         self.zones = {name: n for n, name in enumerate(zones)}
         self.kinds = {name: n for n, name in enumerate(kinds)}
 
-    def entry(self, raw: Any) -> Listed:
+    def entry(self, raw: Any) -> WorkerListing:
         try:
             name, state = raw["name"], STATES[raw["status"]]
             host, _, port = raw["address"].rpartition(":")
@@ -89,7 +89,7 @@
                 raise BadList("an entry without name or address")
             if not isinstance(cell, int) or cell < 0 or not math.isfinite(weight + started) or started < 0:
                 raise BadList("an entry with impossible figures")
-            return Listed(
+            return WorkerListing(
                 name,
                 (host.strip("[]"), int(port)),
                 self.zones.get(raw["zone"], len(self.zones)),
@@ -103,7 +103,7 @@
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise BadList(f"an entry that cannot be read: {error!r}") from None
 
-    def read(self, raw: Any) -> tuple[int, bool, list[Listed]]:
+    def read(self, raw: Any) -> tuple[int, bool, list[WorkerListing]]:
         """(version, whether it is the whole list, entries) of one object."""
         if not isinstance(raw, dict):
             raise BadList("no object")
@@ -119,7 +119,7 @@
     def __init__(
         self,
         exchange: Exchange,
-        side: ServerSide,
+        side: WorkerTransport,
         address: Address,
         names: Names,
         terms: ListTerms,
@@ -132,11 +132,11 @@
         self._conn: Connection | None = None
         self._turn = self._failures = self._unread = 0
         self._moved = math.inf  # s, steady clock: when the call after one that failed at a new address has to begin
-        self.heard: Callable[[list[Listed]], None] | None = None  # told of each list that is taken
+        self.heard: Callable[[list[WorkerListing]], None] | None = None  # told of each list that is taken
 
     def known(self, raw: Any) -> None:
         """Start from the list of the last run, if it can be read."""
-        index, lines = self.index, list[Listed]()
+        index, lines = self.index, list[WorkerListing]()
         try:
             if raw is not None:
                 index, _, lines = self.names.read(raw)
@@ -144,7 +144,7 @@
             log.warning("known_list_bad", why=str(bad))
         self.inherited(index, lines)
 
-    def inherited(self, index: int | None, lines: list[Listed]) -> None:
+    def inherited(self, index: int | None, lines: list[WorkerListing]) -> None:
         """Start from the list of the process before this one."""
         self.index, self._sign = index, time.monotonic()
         self.exchange.listed(self.side, ListForm.CACHED, lines, self._spare())
--- a/millethead/net/exchange.py
+++ b/millethead/net/exchange.py
@@ -53,7 +53,7 @@
 
 
 async def exchange_job(stage: Stage, conn: Connection, order: Order) -> Answer | None:
-    """Hand the job in and wait for its answer; None if the client left first. Raises Unusable."""
+    """Hand the job in and wait for its answer; None if the client left first. Raises InvalidOrder."""
     if conn.gone():  # its end came with the request, and no close callback would be called any more
         return None
     future, settle = awaited()
--- a/millethead/net/send.py
+++ b/millethead/net/send.py
@@ -49,13 +49,13 @@
             said = conn.quiet()
             conn.close()
         # a 202 that crossed the close may lie unread: the worker goes on, unless it is told
-        if attempt.whole and not said and attempt.worker.address is not None:
+        if attempt.fully_written and not said and attempt.worker.address is not None:
             IOLoop.current().spawn_callback(self._cancel, attempt)
 
     def movable(self, attempt: Attempt) -> bool:
         """Whether only news can end it, wherever that comes in: the worker has said 202."""
         return (
-            attempt.whole
+            attempt.fully_written
             and attempt.channel is None
             and self._running.get((attempt.order.id, attempt.worker.name)) is attempt
         )
@@ -78,7 +78,7 @@
             await self._try(attempt)
         except Exception:
             log.exception("attempt_broke", job=attempt.order.id, worker=attempt.worker.name)
-            self._end(attempt, Outcome.RESET if attempt.whole else Outcome.CONNECT_FAILED)
+            self._end(attempt, Outcome.RESET if attempt.fully_written else Outcome.CONNECT_FAILED)
 
     async def _try(self, attempt: Attempt) -> None:
         address = attempt.worker.address
@@ -146,7 +146,7 @@
         return (
             attempt.outcome is None
             and attempt.worker.wanted
-            and self.exchange.clock.now() < min(attempt.end, attempt.begin_by)
+            and self.exchange.clock.now() < min(attempt.end, attempt.write_deadline)
         )
 
     def _answered(self, attempt: Attempt, response: Response) -> None:
@@ -182,7 +182,7 @@
     def news(self, job_id: str, worker: str, state: str, result: bytes, report: Report | None) -> bool:
         """What a worker tells of a job; False if no attempt waits for it (any more)."""
         attempt = self._running.get((job_id, worker))
-        if attempt is None or (not attempt.whole and state != "done"):
+        if attempt is None or (not attempt.fully_written and state != "done"):
             return False  # of an earlier attempt there: this one has not begun
         if state not in ("started", "running") and isinstance(conn := attempt.channel, Connection):
             # it may never end its answer, and holds one of few connections as long as it is waited for
@@ -196,7 +196,7 @@
         elif state == "returned":
             # where the job was here before, this may be the news of that earlier time once more, and proves
             # nothing of this one
-            self._end(attempt, Outcome.RESET if attempt.earlier_here else Outcome.FULL, report=report)
+            self._end(attempt, Outcome.RESET if attempt.same_worker_earlier else Outcome.FULL, report=report)
         return True
 
     async def _cancel(self, attempt: Attempt) -> None:
--- a/millethead/program.py
+++ b/millethead/program.py
@@ -93,7 +93,7 @@
         self.workers = HttpWorkers(self.exchange, self.pool, Probes(self.exchange, self.pool, report), report)
         names = Names(config.names("azs"), config.names("kinds"))
         self.discovery = Discovery(self.exchange, self.workers, config.discovery, names, list_terms(config.settings))
-        self.exchange.roster = self.discovery
+        self.exchange.discovery = self.discovery
         front = self.front = PlatformFront(
             self.stage,
             config.names("classes"),
--- a/millethead/rollout/host.py
+++ b/millethead/rollout/host.py
@@ -66,7 +66,7 @@
         return found
 
     def counts(self) -> list[Counts]:
-        tally = self.exchange.tally
+        tally = self.exchange.counters
         return [Counts(*each) for each in zip(tally.served, tally.refused, tally.failed, self._ms, strict=True)]
 
     def worker_counts(self) -> Mapping[str, list[Counts]]:
@@ -75,4 +75,4 @@
     def probe(self, worker: str) -> None:
         found = self.exchange.worker(worker)
         if found is not None:
-            found.side.probe(found)
+            found.transport.probe(found)
--- a/millethead/succession/succession.py
+++ b/millethead/succession/succession.py
@@ -15,9 +15,9 @@
 
 from millethead.decide import carry
 from millethead.decide.interface import ListForm, WorkerState
-from millethead.exchange.carry import adopt, release
 from millethead.exchange.core import Exchange
-from millethead.exchange.model import Answer, Listed
+from millethead.exchange.handover import adopt, release
+from millethead.exchange.model import Answer, WorkerListing
 from millethead.net.accept import LEAVING, Acceptor, Reply
 from millethead.net.connection import Connection
 from millethead.net.discovery import Discovery
@@ -40,7 +40,7 @@
 
     listener: socket.socket | None = None
     index: int | None = None
-    lines: list[Listed] = field(default_factory=list)
+    lines: list[WorkerListing] = field(default_factory=list)
     out: list[str] = field(default_factory=list)
     figures: dict[str, Any] = field(default_factory=dict)
     workers: list[dict[str, Any]] = field(default_factory=list)
@@ -165,7 +165,7 @@
         lines = [
             _raw(worker.name, worker.address, worker.entry)
             for worker in self.exchange.workers
-            if worker.side is self.workers
+            if worker.transport is self.workers
         ]
         _send_rows(link, "workers", "lines", lines)
         link.send("out", {"names": sorted(self.exchange.out)})
@@ -337,12 +337,12 @@
         self.exchange.put_back(here - said)
         self.tell_out(but=link)
 
-    def _heard(self, lines: list[Listed], but: Link | None = None) -> None:
+    def _heard(self, lines: list[WorkerListing], but: Link | None = None) -> None:
         shut = [_raw(line.name, line.address, line) for line in lines if line.state is not WorkerState.READY]
         for link in self._others(but):
             _send_rows(link, "shut", "lines", shut)
 
-    def _take_shut(self, lines: list[Listed], link: Link) -> None:
+    def _take_shut(self, lines: list[WorkerListing], link: Link) -> None:
         """Drains that another process was told of; one that knows a later start of the worker is not touched."""
         fresh = []
         for line in lines:
@@ -369,9 +369,9 @@
     return [name, address, entry.zone, entry.kind, entry.cell, int(entry.state), entry.rating, entry.started]
 
 
-def _line(raw: list[Any]) -> Listed:
+def _line(raw: list[Any]) -> WorkerListing:
     name, address, zone, kind, cell, state, rating, started = raw
-    return Listed(
+    return WorkerListing(
         str(name),
         (str(address[0]), int(address[1])),
         int(zone),
--- a/millethead/waiting/batch.py
+++ b/millethead/waiting/batch.py
@@ -6,10 +6,10 @@
 from graphlib import CycleError, TopologicalSorter
 
 from millethead.exchange.model import Order
-from millethead.exchange.stage import Unusable
+from millethead.exchange.stage import InvalidOrder
 
 
-def in_order(orders: Sequence[Order]) -> tuple[list[int], dict[int, Unusable]]:
+def in_order(orders: Sequence[Order]) -> tuple[list[int], dict[int, InvalidOrder]]:
     """(the places of those that can be handed in, parents first; why the others cannot): of a cycle nothing is
     taken, nor of what waits for one."""
     places = {(order.origin, order.id): n for n, order in enumerate(orders)}
@@ -34,10 +34,10 @@
         graph.done(*ready)
     left = set(range(len(orders))) - set(out)
     named_in = {parent for n in left for parent in parents.get(n, ())} & left
-    why: dict[int, Unusable] = {}
+    why: dict[int, InvalidOrder] = {}
     for n in left:
         if n in cycle or n in named_in:
-            why[n] = Unusable("it waits for itself through the jobs that it names: a cycle")
+            why[n] = InvalidOrder("it waits for itself through the jobs that it names: a cycle")
         else:
-            why[n] = Unusable("a job that it waits for was not taken")
+            why[n] = InvalidOrder("a job that it waits for was not taken")
     return out, why
--- a/millethead/waiting/book.py
+++ b/millethead/waiting/book.py
@@ -15,7 +15,7 @@
 from millethead.decide.interface import JobClass
 from millethead.exchange.model import Answer, Final, Order
 from millethead.exchange.records import Record
-from millethead.exchange.stage import Amendment, Reply, Unusable
+from millethead.exchange.stage import Amendment, InvalidOrder, Reply
 from millethead.waiting.ageing import MARGIN, Bounds, Line
 from millethead.waiting.calendar import Calendar
 from millethead.waiting.dependencies import Dependencies
@@ -79,7 +79,7 @@
     # ---- events --------------------------------------------------------------------------------------
 
     def arrive(self, order: Order, reply: Reply, known: Known, now: float, wall: float) -> Entry:
-        """Take a job in. Raises Unusable if it cannot mean anything, Full if a cap is reached."""
+        """Take a job in. Raises InvalidOrder if it cannot mean anything, Full if a cap is reached."""
         self._now, plan = now, order.plan
         if plan is None:
             entry = self._new(order, reply, now)
@@ -88,9 +88,9 @@
             self._effects.append(Offer(entry, order))
             return entry
         if plan.at > wall + self.setup.horizon_s * 1000:
-            raise Unusable(f"the set time is more than {self.setup.horizon_s:.0f} s ahead")
+            raise InvalidOrder(f"the set time is more than {self.setup.horizon_s:.0f} s ahead")
         if order.waits and plan.at > wall + order.asked:
-            raise Unusable("the set time is later than the client waits for its answer")
+            raise InvalidOrder("the set time is later than the client waits for its answer")
         parents: dict[int, Entry] = {}
         failed = False
         for parent in plan.after:
@@ -98,9 +98,9 @@
             if live is not None:
                 parents[live.number] = live
             elif record is None:
-                raise Unusable(f"no job {parent} is known to wait for")
+                raise InvalidOrder(f"no job {parent} is known to wait for")
             else:
-                failed |= record.final is not Final.SERVED and not plan.any_end
+                failed |= record.final is not Final.SERVED and not plan.run_if_parent_fails
         if self.leaving:
             raise Full("stopping")
         self._room_for(order, len(parents))
@@ -154,7 +154,7 @@
             self._close(entry, None, None if entry.state is State.INSIDE else Why.WITHDRAWN)
 
     def amend(self, amendment: Amendment) -> None:
-        """Withdraw or hasten what the amendment names, a piece at a time."""
+        """Withdraw or make_due what the amendment names, a piece at a time."""
         ids = self._ids.get(amendment.origin, {})
         among: Iterable[Entry] = (
             list(ids.values())
@@ -166,7 +166,7 @@
     def _amend(self, amendment: Amendment, among: Iterable[Entry]) -> Iterator[None]:
         for entry in among:
             if entry.state.value == amendment.state and amendment.jobtype in ("", entry.order.jobtype):
-                if not amendment.hasten:
+                if not amendment.make_due:
                     self._close(entry, None, Why.WITHDRAWN)
                 elif entry.state is State.SCHEDULED:
                     self._time_came(entry, self._now)
@@ -271,7 +271,7 @@
     def _parent(self, order: Order, job_id: str, known: Known) -> tuple[Entry | None, Record | None]:
         """A job to wait for: of the same front, else of another."""
         if job_id == order.id:
-            raise Unusable("a job cannot wait for itself")
+            raise InvalidOrder("a job cannot wait for itself")
         for origin in (order.origin, *(o for o in self._ids if o != order.origin)):
             live = self.find(origin, job_id)
             if live is not None:
@@ -372,7 +372,7 @@
         for child in self._dependencies.release(parent, children):
             if child is not None:
                 plan = child.order.plan
-                if not served and not (plan is not None and plan.any_end):
+                if not served and not (plan is not None and plan.run_if_parent_fails):
                     self._close(child, Answer(Final.FAILED), Why.PARENT)
                 elif not child.parents and child.state is State.WAITING:
                     self._become_due(child, self._now)
--- a/millethead/waiting/room.py
+++ b/millethead/waiting/room.py
@@ -18,7 +18,7 @@
 from millethead.decide.interface import Settings
 from millethead.exchange.model import Answer, Cancellable, Final, Order
 from millethead.exchange.records import Record, Records, ended_unsent
-from millethead.exchange.stage import Amendment, Finished, Reply, Stage, Unusable, reject_repeated
+from millethead.exchange.stage import Amendment, Finished, InvalidOrder, Reply, Stage, reject_repeated
 from millethead.logs import Sparing
 from millethead.waiting.batch import in_order
 from millethead.waiting.book import Book
@@ -115,13 +115,13 @@
         self._go()
         return entry.number if entry.state is not State.ENDED else 0
 
-    def arrive_all(self, orders: Sequence[tuple[Order, Reply]]) -> list[int | Unusable]:
+    def arrive_all(self, orders: Sequence[tuple[Order, Reply]]) -> list[int | InvalidOrder]:
         places, why = in_order([order for order, _ in orders])
-        out: dict[int, int | Unusable] = dict(why)
+        out: dict[int, int | InvalidOrder] = dict(why)
         for n in places:
             try:
                 out[n] = self.arrive(*orders[n])
-            except Unusable as unusable:
+            except InvalidOrder as unusable:
                 out[n] = unusable
         return [out[n] for n in range(len(orders))]
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -24,9 +24,9 @@
 from millethead.console.figures import Figures, render
 from millethead.decide.interface import Tenant
 from millethead.exchange import Final, Order
+from millethead.exchange.counters import JobCounters
 from millethead.exchange.model import Plan
-from millethead.exchange.stage import Unusable
-from millethead.exchange.tally import Tally
+from millethead.exchange.stage import InvalidOrder
 from millethead.lab.clock import VirtualClock
 
 
@@ -227,7 +227,7 @@
         self.assertEqual([a[1] for a in self.answers], [Final.FAILED, Final.REFUSED, Final.FAILED])
 
     def test_a_deferred_job_is_an_error_and_one_whose_time_has_passed_is_not(self):
-        with self.assertRaises(Unusable):
+        with self.assertRaises(InvalidOrder):
             self.admission.arrive(Order("a", 0, 5000.0, plan=Plan(self.clock.now() + 1)), self.answers.append)
         number = self.admission.arrive(Order("b", 0, 5000.0, plan=Plan(self.clock.now())), self.answers.append)
         self.admission.withdraw(number)
@@ -244,7 +244,7 @@
         self.assertEqual(self.admission.held, 2)
 
     def metrics(self):
-        page = render(Figures([], Tally(0), 0, 0, 0, self.admission.figures())).decode()
+        page = render(Figures([], JobCounters(0), 0, 0, 0, self.admission.figures())).decode()
         return {
             (sample.name.removeprefix("dispatcher_door_"), *sample.labels.values()): sample.value
             for family in text_string_to_metric_families(page)
--- a/tests/test_client_races.py
+++ b/tests/test_client_races.py
@@ -283,7 +283,7 @@
         await leave(one, before)
         await soon(lambda: not stage.program.stage.held)
         await soon(lambda: stage.program.front.left == 1)
-        assert not any(stage.program.exchange.tally.written)
+        assert not any(stage.program.exchange.counters.written)
         one.close()
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 from millethead.config import ConfigError, load_config
 from millethead.console.store import OutFile
 from millethead.decide import interface as api
-from millethead.exchange import Exchange, Listed, Order
+from millethead.exchange import Exchange, Order, WorkerListing
 from millethead.lab.clock import VirtualClock
 from millethead.net.terms import list_terms
 
@@ -93,7 +93,9 @@
     exchange = Exchange(made.settings, made.seed, clock)
     assert list_terms(made.settings).again > 0 and made.whose
     with mock.patch("millethead.exchange.module_queue.log.exception") as failed:
-        exchange.listed(Side(exchange), api.ListForm.FULL, [Listed("w", started=1500.0, confirms=True), Listed("x")])
+        exchange.listed(
+            Side(exchange), api.ListForm.FULL, [WorkerListing("w", started=1500.0, confirms=True), WorkerListing("x")]
+        )
         for n in range(len(names)):
             exchange.arrive(Order(f"a{n}", n, min(5000.0, made.settings.classes[n].deadline)), answers.append)
         clock.run(9000)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -98,7 +98,7 @@
         for n, one in enumerate(crowd):
             one.send(job(b"j%d" % n))
         exchange = stage.program.exchange
-        await soon(lambda: exchange.held + sum(exchange.tally.refused) == acceptor.limit)
+        await soon(lambda: exchange.held + sum(exchange.counters.refused) == acceptor.limit)
         assert exchange.held == acceptor.limit - 4
         body = json.dumps({"id": "j0", "from": "s-00000001", "state": "done", "result": "ok"}).encode()
         for _ in range(9):
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -10,7 +10,7 @@
 from millethead.admission.queue import AdmissionQueue
 from millethead.admission.setup import AdmissionSetup
 from millethead.console.figures import Figures, render
-from millethead.exchange.tally import Tally
+from millethead.exchange.counters import JobCounters
 from millethead.fronts.platform import PlatformFront
 from millethead.lab.clock import VirtualClock
 from millethead.members.setup import MembersSetup
@@ -56,6 +56,6 @@
         admission = AdmissionQueue(Inner(), AdmissionSetup(), VirtualClock(), 1)
         front = PlatformFront(Inner(), [], [], print, print)
         more = [*members.figures(), *admission.figures(), *front.figures()]
-        page = render(Figures([], Tally(0), 0, 0, 0, more)).decode()
+        page = render(Figures([], JobCounters(0), 0, 0, 0, more)).decode()
         self.assertEqual(figures, set(re.findall(r"# TYPE (\S+)", page)))
         self.assertEqual({word for word in words if "_" in word} - said - outcomes - figures, set())
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from millethead.decide import interface as api
-from millethead.exchange import Exchange, Final, Listed, Order
+from millethead.exchange import Exchange, Final, Order, WorkerListing
 from millethead.lab.clock import VirtualClock
 
 SAFE = api.JobClass(deadline=5000, aim=2000, stretch=2, effect=api.Effect.SAFE)
@@ -36,7 +36,7 @@
     def setUp(self):
         self.clock, self.transport, self.answers = VirtualClock(1000.0), StandInTransport(), []
         self.exchange = Exchange(SETTINGS, 1, self.clock)
-        self.exchange.listed(self.transport, api.ListForm.FULL, [Listed("w1"), Listed("w2")])
+        self.exchange.listed(self.transport, api.ListForm.FULL, [WorkerListing("w1"), WorkerListing("w2")])
 
     def arrive(self, job_id, job_class=0):
         return self.exchange.arrive(Order(job_id, job_class, 5000.0), self.answers.append)
@@ -104,7 +104,7 @@
         self.assertEqual((resubmit("a", 1), self.finals()[-1]), (0, Final.FAILED))
 
     def test_an_invalid_job_fails_at_once_and_does_not_count_against_the_worker(self):
-        self.exchange.listed(self.transport, api.ListForm.FULL, [Listed("w1")])
+        self.exchange.listed(self.transport, api.ListForm.FULL, [WorkerListing("w1")])
         for n in range(3):
             self.arrive(f"a{n}")
             self.exchange.ended(self.transport.started[-1], api.Outcome.ERROR, unusable=True)
@@ -135,13 +135,13 @@
 
     def test_a_complete_list_replaces_only_the_workers_of_its_transport(self):
         other = StandInTransport()
-        self.exchange.listed(other, api.ListForm.DELTA, [Listed("w9")])
+        self.exchange.listed(other, api.ListForm.DELTA, [WorkerListing("w9")])
         self.exchange.listed(self.transport, api.ListForm.FULL, [])
         self.arrive("a")
         self.assertEqual([a.worker.name for a in other.started], ["w9"])
 
     def test_held_jobs_and_records_are_bounded(self):
-        with mock.patch("millethead.exchange.held.MAX_HELD_JOBS", 2):
+        with mock.patch("millethead.exchange.held_jobs.MAX_HELD_JOBS", 2):
             for job_id in "abc":
                 self.arrive(job_id)
         self.assertEqual(self.finals(), [Final.REFUSED])
@@ -178,7 +178,7 @@
     def test_counters_match_what_clients_and_workers_saw(self, steps, closing):
         clock, transport, seen = VirtualClock(1000.0), StandInTransport(), Counter()
         exchange = Exchange(SETTINGS, 1, clock)
-        exchange.listed(transport, api.ListForm.FULL, [Listed("w1"), Listed("w2"), Listed("w3")])
+        exchange.listed(transport, api.ListForm.FULL, [WorkerListing("w1"), WorkerListing("w2"), WorkerListing("w3")])
         numbers, written, ended = [], Counter(), []
 
         def arrive(job_id, job_class):
@@ -193,7 +193,7 @@
                 arrive(f"j{n}", pick % 2)
             elif step == "repeat":  # the id of a job that is held, has ended, or is new
                 arrive(f"j{pick}", pick % 2)
-            elif step == "write" and running and not running[pick % len(running)].whole:
+            elif step == "write" and running and not running[pick % len(running)].fully_written:
                 attempt = running[pick % len(running)]
                 exchange.written(attempt)
                 written[attempt.order.job_class] += 1
@@ -207,7 +207,7 @@
                 exchange.withdraw(numbers[pick % len(numbers)])
             elif step == "drain":
                 exchange.listed(
-                    transport, api.ListForm.DELTA, [Listed(f"w{pick % 3 + 1}", state=api.WorkerState.DRAINING)]
+                    transport, api.ListForm.DELTA, [WorkerListing(f"w{pick % 3 + 1}", state=api.WorkerState.DRAINING)]
                 )
             elif step == "wait":
                 clock.run(clock.now() + 400.0 * pick)
@@ -215,10 +215,10 @@
             exchange.close(lambda: None)
             arrive("last", 0)
         clock.run(clock.now() + 20_000.0)
-        tally = exchange.tally
+        counters = exchange.counters
         for job_class in range(2):
-            got = [tally.served, tally.refused, tally.failed]
+            got = [counters.served, counters.refused, counters.failed]
             want = [seen[job_class, f] for f in (Final.SERVED, Final.REFUSED, Final.FAILED)]
             self.assertEqual([c[job_class] for c in got], want)
-            self.assertEqual(tally.written[job_class], written[job_class])
+            self.assertEqual(counters.written[job_class], written[job_class])
         self.assertEqual(exchange.held, 0)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -108,8 +108,8 @@
         said = {**SETTINGS, "balancers": count, "self_index": n}
         settings = settings_from(json.dumps(said).encode())[1]
         exchange = Exchange(settings, n, LoopClock())
-        exchange.roster = Discovery(exchange, mock.Mock(), ("127.0.0.1", port), names, list_terms(settings))
-        exchange.roster.known({"index": 1, "snapshot": True, "endpoints": [endpoint(1, 9), endpoint(2, 9)]})
+        exchange.discovery = Discovery(exchange, mock.Mock(), ("127.0.0.1", port), names, list_terms(settings))
+        exchange.discovery.known({"index": 1, "snapshot": True, "endpoints": [endpoint(1, 9), endpoint(2, 9)]})
         made.append(exchange)
     return made
 
@@ -136,7 +136,7 @@
                 if not node.worker("s-00000001").open:
                     known.setdefault(n, time.monotonic() - back)
         for node in nodes:
-            node.roster.stop()
+            node.discovery.stop()
         agent.server.close()
         return list(known.values()), sum(back <= at <= back + TOLD + GRACE for at in agent.calls)
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -20,7 +20,7 @@
 
 from millethead.config import ConfigError
 from millethead.decide.interface import WorkerState
-from millethead.exchange import Listed, Worker
+from millethead.exchange import Worker, WorkerListing
 from millethead.logs import Sparing
 from millethead.net.accept import FAULTS
 from millethead.net.buffer import MOST, Buffer
@@ -395,4 +395,4 @@
             now = stage.program.exchange.clock.now()
             self.assertLess(abs(now - time.time() * 1000), 60_000)
             side = stage.program.workers
-            self.assertEqual(Worker(1, Listed("w", started=now - 1000), side).entry.started, now - 1000)
+            self.assertEqual(Worker(1, WorkerListing("w", started=now - 1000), side).entry.started, now - 1000)
--- a/tests/test_send.py
+++ b/tests/test_send.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from millethead.decide.interface import Outcome, WorkerState
-from millethead.exchange import Attempt, Listed, Order, Worker
+from millethead.exchange import Attempt, Order, Worker, WorkerListing
 from millethead.net.connection import Closed
 from millethead.net.parse import Response
 from millethead.net.pool import KEPT, ConnectFailed, Pool
@@ -18,7 +18,7 @@
     def setUp(self):
         self.exchange, self.pool = mock.Mock(), mock.Mock()
         self.side = HttpWorkers(self.exchange, self.pool, mock.Mock(), lambda text: None)
-        self.worker = Worker(1, Listed("w", ADDRESS), self.side)
+        self.worker = Worker(1, WorkerListing("w", ADDRESS), self.side)
 
     def attempt(self, **more):
         made = Attempt(Order("a1", 0, 5000.0, target="/api"), 1, 0, self.worker, 0.0, 5000.0, **more)
@@ -32,13 +32,13 @@
         """It can be the news of the earlier attempt once more, and the later one may be running."""
         for earlier, outcome in ((False, Outcome.FULL), (True, Outcome.RESET)):
             self.exchange.reset_mock()
-            self.attempt(whole=True, earlier_here=earlier)
+            self.attempt(fully_written=True, same_worker_earlier=earlier)
             self.assertTrue(self.side.news("a1", "w", "returned", b"", None))
             self.assertFalse(self.side.news("a1", "w", "returned", b"", None))  # acted on once
             self.assertEqual(self.outcomes(), [outcome])
 
     def test_returned_before_the_last_byte_is_of_an_earlier_attempt(self):
-        self.attempt(earlier_here=True)
+        self.attempt(same_worker_earlier=True)
         self.assertFalse(self.side.news("a1", "w", "returned", b"", None))
         self.assertEqual(self.outcomes(), [])
 
@@ -46,7 +46,7 @@
         conn = mock.Mock()
 
         async def take(address, fresh):
-            self.worker.take(Listed("w", ADDRESS, state=WorkerState.DRAINING))
+            self.worker.take(WorkerListing("w", ADDRESS, state=WorkerState.DRAINING))
             return conn
 
         self.pool.take = take
@@ -83,7 +83,7 @@
         self.pool.take = mock.AsyncMock(return_value=conn)
         made = self.attempt()
         await self.side._try(made)
-        self.assertEqual((self.outcomes(), made.whole), ([Outcome.CONNECT_FAILED], False))
+        self.assertEqual((self.outcomes(), made.fully_written), ([Outcome.CONNECT_FAILED], False))
         (written,) = conn.write.call_args_list
         self.assertEqual(written.args[0][-3:], b"\r\n\r")
 
--- a/tests/test_send_races.py
+++ b/tests/test_send_races.py
@@ -7,7 +7,7 @@
 from dispatcher_fixture import TIMEOUT_S, PeerListener
 
 from millethead.decide import interface as api
-from millethead.exchange import Exchange, Final, Listed, Order
+from millethead.exchange import Exchange, Final, Order, WorkerListing
 from millethead.net import send
 from millethead.net.exchange import LoopClock
 from millethead.net.pool import Pool
@@ -45,7 +45,7 @@
         return self
 
     def list(self, state=api.WorkerState.READY, form=api.ListForm.FULL):
-        self.exchange.listed(self.side, form, [Listed("w", ("127.0.0.1", self.peers.port), state=state)])
+        self.exchange.listed(self.side, form, [WorkerListing("w", ("127.0.0.1", self.peers.port), state=state)])
 
     def job(self, job_class=SAFE, name="a"):
         number = self.exchange.arrive(Order(name, job_class, 60_000.0, target="/api", body=BODY), self.answers.append)
@@ -133,7 +133,7 @@
 
 
 def is_forgotten(bench):
-    bench.attempt.begin_by = bench.exchange.clock.now()
+    bench.attempt.write_deadline = bench.exchange.clock.now()
 
 
 def is_late(bench):
@@ -156,7 +156,7 @@
 
 async def never_ran(attempt):
     await soon(lambda: attempt.outcome is not None)
-    assert not attempt.whole and attempt.outcome in api.NEVER_RAN
+    assert not attempt.fully_written and attempt.outcome in api.NEVER_RAN
 
 
 @pytest.mark.parametrize("crosses", CROSSINGS)
@@ -202,7 +202,7 @@
     select.select([first.channel.stream.socket], [], [], TIMEOUT_S)  # it is there, and the loop has not seen it
     before_last_byte.go.set()
     await soon(lambda: first.outcome is not None)
-    assert (first.outcome, first.whole) == (api.Outcome.CONNECT_FAILED, False)
+    assert (first.outcome, first.fully_written) == (api.Outcome.CONNECT_FAILED, False)
 
 
 async def test_a_worker_is_told_how_long_its_answer_is_waited_for(bench):
@@ -254,7 +254,7 @@
     """The worker had taken the job, so that the close told it nothing; it worked on for nobody."""
     number = bench.job()
     _, writer = await bench.whole()
-    await soon(lambda: bench.attempt.whole)
+    await soon(lambda: bench.attempt.fully_written)
     writer.write(TAKEN)
     select.select([bench.attempt.channel.stream.socket], [], [], TIMEOUT_S)
     bench.exchange.withdraw(number)
@@ -278,7 +278,7 @@
     await soon(lambda: bench.attempt.channel is not None)
     for _ in range(50):
         await asyncio.sleep(0)
-    assert not read.done() and not bench.attempt.whole
+    assert not read.done() and not bench.attempt.fully_written
     canceller.write(b"HTTP/1.1 204 No Content\r\n\r\n")
     assert await asyncio.wait_for(read, TIMEOUT_S) == b"P"
     await asyncio.wait_for(again.readuntil(BODY), TIMEOUT_S)
@@ -289,7 +289,7 @@
     monkeypatch.setattr(send, "ANSWER_LATE", 0.0)
     bench.job()
     reader, writer = await bench.whole()
-    await soon(lambda: bench.attempt.whole)
+    await soon(lambda: bench.attempt.fully_written)
     writer.write(said)
     assert bench.news("started")
     assert bench.news("done")
@@ -301,9 +301,9 @@
     bench.job(KEYED)
     _, writer = await bench.whole()
     first = bench.attempt
-    assert first.begin_by == float("inf")
+    assert first.write_deadline == float("inf")
     bench.exchange.clock.offset += 10  # so many s go by
     writer.transport.abort()
     await soon(lambda: len(bench.held.attempts) == 2)
     # counted from the first, and not from now on; the module's clock and the exchange's are read a moment apart
-    assert bench.attempt.begin_by == pytest.approx(first.sent + 30_000, abs=5_000)
+    assert bench.attempt.write_deadline == pytest.approx(first.sent + 30_000, abs=5_000)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -16,7 +16,7 @@
 
 from millethead.decide import carry
 from millethead.decide import interface as api
-from millethead.exchange.carry import release
+from millethead.exchange.handover import release
 from millethead.lab.pack import free_port
 from millethead.succession.link import Link, Meeting
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -3,10 +3,10 @@
 import unittest
 
 from millethead.decide import interface as api
-from millethead.exchange import Exchange, Final, Listed, Order
+from millethead.exchange import Exchange, Final, Order, WorkerListing
 from millethead.exchange.model import Answer, Plan
 from millethead.exchange.records import Record
-from millethead.exchange.stage import Amendment, Unusable
+from millethead.exchange.stage import Amendment, InvalidOrder
 from millethead.lab.clock import VirtualClock
 from millethead.waiting.ageing import MARGIN, aged_flow
 from millethead.waiting.book import CHEAP
@@ -82,8 +82,8 @@
         self.room = WaitingRoom(self.inner, setup, NAMES, self.clock, **more)
         self.start = self.clock.now()
 
-    def order(self, job_id, job_class=0, at=0.0, after=(), any_end=False, origin="faktory", **more):
-        plan = Plan(self.clock.wall() + at if at else 0.0, tuple(after), any_end) if at or after else None
+    def order(self, job_id, job_class=0, at=0.0, after=(), run_if_parent_fails=False, origin="faktory", **more):
+        plan = Plan(self.clock.wall() + at if at else 0.0, tuple(after), run_if_parent_fails) if at or after else None
         return Order(job_id, job_class, 5000.0, origin=origin, plan=plan, **more)
 
     def push(self, job_id, *args, **more):
@@ -112,7 +112,7 @@
     def test_a_time_in_the_past_is_now_and_one_beyond_the_horizon_an_error(self):
         self.push("a", at=-5000.0)
         self.assertEqual(list(self.inner.taken), ["a"])
-        with self.assertRaisesRegex(Unusable, "7200 s ahead"):
+        with self.assertRaisesRegex(InvalidOrder, "7200 s ahead"):
             self.push("b", at=7_200_001.0)
         self.assertIsNone(self.room.record("faktory", "b"))
         self.assertEqual(len(self.room.book.entries), 1)
@@ -180,7 +180,7 @@
                 self.push("a")
                 self.push("b", after=["a"])
                 self.push("c", after=["b"])
-                self.push("d", after=["a"], any_end=True)
+                self.push("d", after=["a"], run_if_parent_fails=True)
                 self.inner.end("a", final)
                 self.assertEqual(self.answers[1:], [("b", Final.FAILED), ("c", Final.FAILED)])
                 self.assertIn("d", self.inner.taken)
@@ -202,7 +202,7 @@
 
     def test_what_nobody_knows_a_self_reference_and_a_cycle_are_errors_and_nothing_is_kept(self):
         for after, says in (["nobody"], "no job nobody is known"), (["a"], "cannot wait for itself"):
-            with self.assertRaisesRegex(Unusable, says):
+            with self.assertRaisesRegex(InvalidOrder, says):
                 self.push("a", after=after)
         batch = [
             self.order("x", after=["y"]),
@@ -216,7 +216,7 @@
         ]
         got = self.room.arrive_all([(order, self.answers.append) for order in batch])
         self.assertEqual(
-            [str(n) if isinstance(n, Unusable) else n > 0 for n in got],
+            [str(n) if isinstance(n, InvalidOrder) else n > 0 for n in got],
             [
                 *["it waits for itself through the jobs that it names: a cycle"] * 3,
                 "a job that it waits for was not taken",
@@ -300,7 +300,7 @@
         self.assertEqual(self.answers, [("r", Final.REFUSED)])
         self.run_for(1000)
         self.assertEqual(self.answers[1:], [("c", Final.REFUSED)])
-        with self.assertRaisesRegex(Unusable, "later than the client waits"):
+        with self.assertRaisesRegex(InvalidOrder, "later than the client waits"):
             self.push("d", 2, origin="http", waits=True, asked=4000.0, at=5000.0)
 
     def test_offers_of_a_line_are_few_at_once_and_lines_take_turns(self):
@@ -345,7 +345,7 @@
         self.room.amend(Amendment("faktory", "scheduled", frozenset({"a0", "nobody"})))
         self.assertEqual(self.room.record("faktory", "a0").state, "withdrawn")
         self.room.amend(Amendment("faktory", "waiting", jobtype="Report"))  # none is in that state
-        self.room.amend(Amendment("faktory", "scheduled", frozenset({"a1"}), hasten=True))
+        self.room.amend(Amendment("faktory", "scheduled", frozenset({"a1"}), make_due=True))
         self.assertEqual(list(self.inner.taken), ["a1"])
         self.room.amend(Amendment("faktory", "scheduled", jobtype="Report"))
         self.run_for(1100)
@@ -423,7 +423,7 @@
         exchange = Exchange(SETTINGS, 1, clock, (aged_flow(setup),))
         room = WaitingRoom(exchange, setup, NAMES, clock)
         side = Side()
-        exchange.listed(side, api.ListForm.FULL, [Listed("w1")])
+        exchange.listed(side, api.ListForm.FULL, [WorkerListing("w1")])
         room.arrive(Order("b", 1, 5000.0, origin="http", asked=5000.0), answers.append)
         room.arrive(Order("r", 2, 5000.0, origin="faktory"), answers.append)
         clock.run(clock.now() + 4900)  # the booking holds the one slot; the report was refused, and waits on
--- a/tests/test_waiting_states.py
+++ b/tests/test_waiting_states.py
@@ -9,7 +9,7 @@
 
 from millethead.exchange import Final, Order
 from millethead.exchange.model import Plan
-from millethead.exchange.stage import Amendment, Unusable
+from millethead.exchange.stage import Amendment, InvalidOrder
 from millethead.lab.clock import VirtualClock
 from millethead.waiting.ageing import LEAST, MARGIN
 from millethead.waiting.calendar import WIDTH
@@ -58,7 +58,7 @@
                 for parent in plan.after:
                     other = self.jobs[parent]
                     assert other.ended, "before its parent's end"
-                    assert plan.any_end or [a.final for a in other.answers] == [Final.SERVED]
+                    assert plan.run_if_parent_fails or [a.final for a in other.answers] == [Final.SERVED]
             if job.offers:
                 record = self.inner.record(order.origin, order.id)
                 assert record is None or record.final is Final.REFUSED
@@ -74,14 +74,14 @@
         job_class=st.integers(0, 2),
         at=st.sampled_from([0.0, 0.0, 300.0, 5000.0, 99_000.0]),
         parents=st.lists(st.integers(1, 6), max_size=3),
-        any_end=st.booleans(),
+        run_if_parent_fails=st.booleans(),
         front=st.sampled_from(["http", "faktory"]),
         asked=st.sampled_from([inf, 2000.0, 30_000.0]),
         body=st.sampled_from([b"", b"x" * 50]),
     )
-    def push(self, job_class, at, parents, any_end, front, asked, body):
+    def push(self, job_class, at, parents, run_if_parent_fails, front, asked, body):
         known = [f"job{self.count - n}" for n in parents if f"job{self.count - n}" in self.jobs]
-        plan = Plan(self.clock.wall() + at if at else 0.0, tuple(dict.fromkeys(known)), any_end)
+        plan = Plan(self.clock.wall() + at if at else 0.0, tuple(dict.fromkeys(known)), run_if_parent_fails)
         job_id = f"job{self.count}"
         self.count += 1
         order = Order(
@@ -97,7 +97,7 @@
         job = self.jobs[job_id] = Model(order, self.clock.now())
         try:
             self.numbers[job_id] = self.room.arrive(order, job.answers.append)
-        except Unusable:
+        except InvalidOrder:
             assert order.waits and at > asked
             del self.jobs[job_id]
             return
@@ -119,19 +119,19 @@
             self.jobs[job_id].withdrawn = True  # from here on: what waits for its end may be offered within the call
             self.room.withdraw(self.numbers[job_id])
 
-    @rule(state=st.sampled_from(["scheduled", "waiting", "aged"]), hasten=st.booleans())
-    def amend(self, state, hasten):
+    @rule(state=st.sampled_from(["scheduled", "waiting", "aged"]), make_due=st.booleans())
+    def amend(self, state, make_due):
         hit = [
             e.order.id
             for e in self.room.book.entries.values()
             if e.order.origin == "faktory" and e.state.value == state
         ]
-        if hasten and state == "scheduled":
+        if make_due and state == "scheduled":
             for job_id in hit:  # it may run from now on
                 self.highest_wall = max(self.highest_wall, self.jobs[job_id].order.plan.at)
-        for job_id in hit if not hasten else ():
+        for job_id in hit if not make_due else ():
             self.jobs[job_id].withdrawn = True
-        self.room.amend(Amendment("faktory", state, hasten=hasten))
+        self.room.amend(Amendment("faktory", state, make_due=make_due))
         self.clock.run(self.clock.now() + 50)
         self.highest_wall = max(self.highest_wall, self.clock.wall())
 
