--- a/millethead/fronts/faktory/jobs.py
+++ b/millethead/frontends/faktory/jobs.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from millethead.exchange.model import MAX_PARENTS, Attempt, Order, Plan
-from millethead.fronts.faktory.resp import BadCommand
-from millethead.fronts.faktory.setup import FaktorySetup
-from millethead.fronts.times import read_rfc3339
+from millethead.frontends.faktory.resp import BadCommand
+from millethead.frontends.faktory.setup import FaktorySetup
+from millethead.frontends.times import read_rfc3339
 from millethead.net.parse import BODY
 
 ORIGIN = "faktory"
--- a/millethead/fronts/faktory/session.py
+++ b/millethead/frontends/faktory/session.py
@@ -17,9 +17,9 @@
 from millethead.exchange.model import Answer, Final, Order
 from millethead.exchange.records import Record
 from millethead.exchange.stage import Amendment, InvalidOrder, Stage
-from millethead.fronts.faktory import resp
-from millethead.fronts.faktory.jobs import ORIGIN, Jobs, read_jid
-from millethead.fronts.faktory.workers import FaktoryWorkers, Process
+from millethead.frontends.faktory import resp
+from millethead.frontends.faktory.jobs import ORIGIN, Jobs, read_jid
+from millethead.frontends.faktory.workers import FaktoryWorkers, Process
 from millethead.net.accept import FAULTS, FIRST_TIME, READ_TIME, Server
 from millethead.net.answer import WRITE_TIME
 from millethead.net.connection import Connection, within
--- a/millethead/fronts/faktory/workers.py
+++ b/millethead/frontends/faktory/workers.py
@@ -13,8 +13,8 @@
 from millethead.decide.interface import ListForm, Outcome, Report, WorkerState
 from millethead.exchange.core import Exchange
 from millethead.exchange.model import Attempt, Cancellable, Worker, WorkerListing
-from millethead.fronts.faktory import resp
-from millethead.fronts.faktory.jobs import Jobs
+from millethead.frontends.faktory import resp
+from millethead.frontends.faktory.jobs import Jobs
 from millethead.net.connection import Closed, Connection, Late, within
 
 log = structlog.get_logger()
--- a/millethead/fronts/platform.py
+++ b/millethead/frontends/http.py
@@ -10,7 +10,7 @@
 from millethead.decide import interface as api
 from millethead.exchange.model import MAX_PARENTS, Answer, Final, Order, Plan
 from millethead.exchange.stage import InvalidOrder, Stage
-from millethead.fronts.times import read_time
+from millethead.frontends.times import read_time
 from millethead.net.accept import Reply
 from millethead.net.connection import Connection
 from millethead.net.exchange import answer_of, exchange_job
@@ -29,7 +29,7 @@
 METHODS = {"/api": "POST", "/_jobs/news": "POST", "/up": "GET"}
 
 
-class PlatformFront:
+class HttpFrontend:
     def __init__(
         self,
         stage: Stage,
--- a/millethead/operators.py
+++ b/millethead/operators.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:  # what is not set up is not imported
     from millethead.admission.setup import AdmissionSetup
     from millethead.flows.setup import FlowSetup
-    from millethead.fronts.faktory.setup import FaktorySetup
+    from millethead.frontends.faktory.setup import FaktorySetup
     from millethead.members.setup import MembersSetup
     from millethead.rollout.setup import RolloutSetup
     from millethead.waiting.setup import WaitingSetup
@@ -37,7 +37,7 @@
     the key and what is wanted."""
     from millethead.admission.setup import AdmissionSetup
     from millethead.flows.setup import FlowSetup
-    from millethead.fronts.faktory.setup import faktory_setup
+    from millethead.frontends.faktory.setup import faktory_setup
     from millethead.tables import read_table
     from millethead.waiting.setup import waiting_setup
 
--- a/millethead/program.py
+++ b/millethead/program.py
@@ -22,7 +22,7 @@
 from millethead.decide.settings import report_field, report_fields
 from millethead.exchange.core import Exchange
 from millethead.exchange.stage import Stage
-from millethead.fronts.platform import PlatformFront
+from millethead.frontends.http import HttpFrontend
 from millethead.net.accept import BACKLOG, Acceptor
 from millethead.net.discovery import Discovery, Names
 from millethead.net.exchange import LoopClock
@@ -37,7 +37,7 @@
     from millethead.console.desk import FrontDesk
     from millethead.console.server import Console
     from millethead.flows.ipfix import Exporter
-    from millethead.fronts.faktory.session import FaktoryServer
+    from millethead.frontends.faktory.session import FaktoryServer
     from millethead.members.shell import Members
     from millethead.rollout.setup import RolloutSetup
     from millethead.rollout.shell import Rollout
@@ -94,7 +94,7 @@
         names = Names(config.names("azs"), config.names("kinds"))
         self.discovery = Discovery(self.exchange, self.workers, config.discovery, names, list_terms(config.settings))
         self.exchange.discovery = self.discovery
-        front = self.front = PlatformFront(
+        front = self.front = HttpFrontend(
             self.stage,
             config.names("classes"),
             config.names("tenants"),
@@ -106,9 +106,9 @@
         self.faktory: FaktoryServer | None = None
         room = self._share_sockets(config.sockets)
         if setup is not None:
-            from millethead.fronts.faktory.jobs import Jobs
-            from millethead.fronts.faktory.session import FaktoryServer
-            from millethead.fronts.faktory.workers import FaktoryWorkers
+            from millethead.frontends.faktory.jobs import Jobs
+            from millethead.frontends.faktory.session import FaktoryServer
+            from millethead.frontends.faktory.workers import FaktoryWorkers
 
             jobs = Jobs(
                 setup, config.names("classes"), config.names("tenants"), [c.deadline for c in config.settings.classes]
--- a/tests/dispatcher_fixture.py
+++ b/tests/dispatcher_fixture.py
@@ -38,11 +38,11 @@
     "millethead.net.accept.FIRST_TIME",
     "millethead.net.accept.READ_TIME",
     "millethead.net.accept.ASKED_TIME",
-    "millethead.fronts.faktory.session.FIRST_TIME",
-    "millethead.fronts.faktory.session.READ_TIME",
+    "millethead.frontends.faktory.session.FIRST_TIME",
+    "millethead.frontends.faktory.session.READ_TIME",
     "millethead.net.probes.PROBE_TIME",
     "millethead.net.send.CANCEL_TIME",
-    "millethead.fronts.faktory.session.FETCH_WAIT_S",
+    "millethead.frontends.faktory.session.FETCH_WAIT_S",
     "millethead.console.server.CALL_TIME",
 )
 CLASSES: list[dict[str, Any]] = [
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -11,7 +11,7 @@
 from millethead.admission.setup import AdmissionSetup
 from millethead.console.figures import Figures, render
 from millethead.exchange.counters import JobCounters
-from millethead.fronts.platform import PlatformFront
+from millethead.frontends.http import HttpFrontend
 from millethead.lab.clock import VirtualClock
 from millethead.members.setup import MembersSetup
 from millethead.members.shell import Members
@@ -54,7 +54,7 @@
             key.write_bytes(b"k" * 16)
             members = Members(MembersSetup(listen=Local(("127.0.0.1", 1)), key_file=str(key)), "n", "", 1, print)
         admission = AdmissionQueue(Inner(), AdmissionSetup(), VirtualClock(), 1)
-        front = PlatformFront(Inner(), [], [], print, print)
+        front = HttpFrontend(Inner(), [], [], print, print)
         more = [*members.figures(), *admission.figures(), *front.figures()]
         page = render(Figures([], JobCounters(0), 0, 0, 0, more)).decode()
         self.assertEqual(figures, set(re.findall(r"# TYPE (\S+)", page)))
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -155,7 +155,7 @@
     def test_the_exchange_imports_no_network_code(self):
         code = (
             "import sys, millethead.exchange as x; print(sorted(m for m in sys.modules if 'tornado' in m"
-            " or m.startswith(('http', 'millethead.net', 'millethead.fronts'))))"
+            " or m.startswith(('http', 'millethead.net', 'millethead.frontends'))))"
         )
         done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
         self.assertEqual(done.stdout.strip(), "[]")
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -10,7 +10,7 @@
 
 from dispatcher_fixture import OPERATOR, TIMEOUT_S, DispatcherFixture
 
-from millethead.fronts.faktory.session import password_hash
+from millethead.frontends.faktory.session import password_hash
 
 
 async def read_http(reader):
