--- a/millethead/exchange/model.py
+++ b/millethead/exchange/model.py
@@ -59,6 +59,8 @@
     waits: the client's timeout runs from the submission, not from the time at which the job is due.
     once_key: the client's idempotency key.
     repeat: the client marked this request as a retry.
+    fresh: a `left` below the deadline of the class is the client's wish, and not what earlier attempts have left.
+    reserve: the time in ms for which one worker may hold the job.
     origin: the front end through which the job came; with `id` it identifies the job.
     client: the name of the submitter, where more than its address (`peer`) is known.
     flow: the decision module's flow in which the job waits, if that is not the flow of its tenant.
@@ -80,7 +82,7 @@
     fresh: bool = False
     jobtype: str = ""
     queue: str = ""
-    reserve: float = float("inf")  # ms for which one worker may hold the job
+    reserve: float = float("inf")
     origin: str = ""
     peer: tuple[str, int] | None = None
     asked: float = float("inf")
@@ -95,8 +97,11 @@
 class WorkerListing:
     """One entry of a worker list.
 
-    `started` is Unix time in ms, 0 if the worker started long ago. `takes` are the job classes that the worker
-    accepts (None: all). `confirms`: the worker acknowledges a job before it runs it.
+    cell: the group of workers that share their detection of repeated jobs; negative if the worker detects none.
+    rating: the weight of the worker in the list.
+    started: Unix time in ms, 0 if the worker started long ago.
+    takes: the job classes that the worker accepts (None: all).
+    confirms: the worker acknowledges each job that it accepts.
     """
 
     name: str
--- a/millethead/frontends/http.py
+++ b/millethead/frontends/http.py
@@ -30,6 +30,8 @@
 
 
 class HttpFrontend:
+    """Handles the requests of clients, and the callbacks of workers."""
+
     def __init__(
         self,
         stage: Stage,
@@ -160,6 +162,7 @@
 
 
 def reply_for(answer: Answer) -> Reply:
+    """The HTTP reply for a job's final answer."""
     if answer.final is Final.SERVED:
         return Reply(200, answer.result, job=True)
     if answer.final is Final.REFUSED:
