--- /dev/null
+++ b/millethead/frontends/faktory/__init__.py
@@ -0,0 +1,1 @@
+"""The Faktory work protocol: clients push jobs, and workers fetch them."""
--- a/millethead/program.py
+++ b/millethead/program.py
@@ -22,7 +22,7 @@
 from millethead.decide.settings import report_field, report_fields
 from millethead.exchange.core import Exchange
 from millethead.exchange.stage import Stage
-from millethead.fronts.platform import PlatformFront
+from millethead.frontends.http import HttpFrontend
 from millethead.net.accept import BACKLOG, Acceptor
 from millethead.net.discovery import Discovery, Names
 from millethead.net.exchange import LoopClock
@@ -37,7 +37,7 @@
     from millethead.console.desk import FrontDesk
     from millethead.console.server import Console
     from millethead.flows.ipfix import Exporter
-    from millethead.fronts.faktory.session import FaktoryServer
+    from millethead.frontends.faktory.session import FaktoryServer
     from millethead.members.shell import Members
     from millethead.rollout.setup import RolloutSetup
     from millethead.rollout.shell import Rollout
@@ -78,11 +78,13 @@
         self.exchange = Exchange(config.settings, config.seed, clock, flows)
         # the stages that a job passes, from the last to the first
         self.stage: Stage = self.exchange
-        door = self.operator.door
-        if door is not None:
-            from millethead.door.door import Door
+        admission_setup = self.operator.door
+        if admission_setup is not None:
+            from millethead.admission.queue import AdmissionQueue
 
-            at_door = self.stage = Door(self.stage, door, clock, config.seed, config.names("tenants"))
+            admission = self.stage = AdmissionQueue(
+                self.stage, admission_setup, clock, config.seed, config.names("tenants")
+            )
         if waiting is not None:
             from millethead.waiting.stage import WaitingStage
 
@@ -91,22 +93,22 @@
         self.workers = HttpWorkers(self.exchange, self.pool, Probes(self.exchange, self.pool, report), report)
         names = Names(config.names("azs"), config.names("kinds"))
         self.discovery = Discovery(self.exchange, self.workers, config.discovery, names, list_terms(config.settings))
-        self.exchange.roster = self.discovery
-        front = self.front = PlatformFront(
+        self.exchange.discovery = self.discovery
+        front = self.front = HttpFrontend(
             self.stage,
             config.names("classes"),
             config.names("tenants"),
             self.workers.news,
             report,
-            door.header if door is not None else "",
+            admission_setup.header if admission_setup is not None else "",
         )
         setup = self.operator.faktory
         self.faktory: FaktoryServer | None = None
         room = self._share_sockets(config.sockets)
         if setup is not None:
-            from millethead.fronts.faktory.jobs import Jobs
-            from millethead.fronts.faktory.session import FaktoryServer
-            from millethead.fronts.faktory.workers import FaktoryWorkers
+            from millethead.frontends.faktory.jobs import Jobs
+            from millethead.frontends.faktory.session import FaktoryServer
+            from millethead.frontends.faktory.workers import FaktoryWorkers
 
             jobs = Jobs(
                 setup, config.names("classes"), config.names("tenants"), [c.deadline for c in config.settings.classes]
@@ -162,8 +164,8 @@
             )
             self.console = Console(Calls(self.desk), CALLERS)
             self.desk.more.append(front.figures)
-            if door is not None:
-                self.desk.more.append(at_door.figures)
+            if admission_setup is not None:
+                self.desk.more.append(admission.figures)
         self.goes_on = GOES_ON
         self._leaving: asyncio.Task[None] | None = None
         self._until = math.inf  # steady clock, s: when it has to end, once it was told to
@@ -336,7 +338,7 @@
         room = sockets * 6 // 10 - (CALLERS if self.config.console is not None else 0)
         setup = self.operator.faktory
         if setup is None:  # each job holds its client's connection: some stay for workers that tell of them
-            self.exchange.most = max(1, room - max(CALL_BACKS, room // 16))
+            self.exchange.max_unanswered = max(1, room - max(CALL_BACKS, room // 16))
         return room - (min(setup.connections, room // 2) if setup is not None else 0)
 
     def stop(self) -> None:
--- a/millethead/waiting/batch.py
+++ b/millethead/waiting/batch.py
@@ -6,10 +6,10 @@
 from graphlib import CycleError, TopologicalSorter
 
 from millethead.exchange.model import Order
-from millethead.exchange.stage import Unusable
+from millethead.exchange.stage import InvalidOrder
 
 
-def sort_by_dependency(orders: Sequence[Order]) -> tuple[list[int], dict[int, Unusable]]:
+def sort_by_dependency(orders: Sequence[Order]) -> tuple[list[int], dict[int, InvalidOrder]]:
     """Returns the indexes of the orders that can be submitted, parents first, and the errors of all others by index.
     Members of a dependency cycle and jobs that depend on one are not submitted."""
     indexes = {(order.origin, order.id): index for index, order in enumerate(orders)}
@@ -34,10 +34,10 @@
         graph.done(*ready)
     unsorted = set(range(len(orders))) - set(sorted_indexes)
     unsorted_parents = {parent for index in unsorted for parent in parents.get(index, ())} & unsorted
-    errors: dict[int, Unusable] = {}
+    errors: dict[int, InvalidOrder] = {}
     for index in unsorted:
         if index in cycle or index in unsorted_parents:
-            errors[index] = Unusable("it waits for itself through the jobs that it names: a cycle")
+            errors[index] = InvalidOrder("it waits for itself through the jobs that it names: a cycle")
         else:
-            errors[index] = Unusable("a job that it waits for was not taken")
+            errors[index] = InvalidOrder("a job that it waits for was not taken")
     return sorted_indexes, errors
--- a/millethead/waiting/delayed_jobs.py
+++ b/millethead/waiting/delayed_jobs.py
@@ -16,7 +16,7 @@
 from millethead.decide.interface import JobClass
 from millethead.exchange.model import Answer, Final, Order
 from millethead.exchange.records import Record
-from millethead.exchange.stage import Amendment, Reply, Unusable
+from millethead.exchange.stage import Amendment, InvalidOrder, Reply
 from millethead.waiting.ageing import ANSWER_MARGIN_MS, ClassDeadlines, FlowQueue
 from millethead.waiting.calendar import Calendar
 from millethead.waiting.dependencies import Dependencies
@@ -88,7 +88,7 @@
     # ---- events --------------------------------------------------------------------------------------
 
     def arrive(self, order: Order, reply: Reply, lookup: RecordLookup, now: float, wall: float) -> Entry:
-        """Adds a job. Raises Unusable for an invalid order and LimitReached if a limit does not allow it."""
+        """Adds a job. Raises InvalidOrder for an invalid order and LimitReached if a limit does not allow it."""
         self._now, plan = now, order.plan
         if plan is None:
             entry = self._new_entry(order, reply, now)
@@ -97,9 +97,9 @@
             self._actions.append(Offer(entry, order))
             return entry
         if plan.at > wall + self.setup.horizon_s * 1000:
-            raise Unusable(f"the set time is more than {self.setup.horizon_s:.0f} s ahead")
+            raise InvalidOrder(f"the set time is more than {self.setup.horizon_s:.0f} s ahead")
         if order.waits and plan.at > wall + order.asked:
-            raise Unusable("the set time is later than the client waits for its answer")
+            raise InvalidOrder("the set time is later than the client waits for its answer")
         parents: dict[int, Entry] = {}
         parent_failed = False
         for parent_id in plan.after:
@@ -107,9 +107,9 @@
             if parent is not None:
                 parents[parent.number] = parent
             elif record is None:
-                raise Unusable(f"no job {parent_id} is known to wait for")
+                raise InvalidOrder(f"no job {parent_id} is known to wait for")
             else:
-                parent_failed |= record.final is not Final.SERVED and not plan.any_end
+                parent_failed |= record.final is not Final.SERVED and not plan.run_if_parent_fails
         if self.stopping:
             raise LimitReached("stopping")
         self._check_limits(order, len(parents))
@@ -176,7 +176,7 @@
     def _amend_each(self, amendment: Amendment, candidates: Iterable[Entry]) -> Iterator[None]:
         for entry in candidates:
             if entry.state.value == amendment.state and amendment.jobtype in ("", entry.order.jobtype):
-                if not amendment.hasten:
+                if not amendment.make_due:
                     self._finish(entry, None, EndReason.WITHDRAWN)
                 elif entry.state is JobState.SCHEDULED:
                     self._set_time_reached(entry, self._now)
@@ -283,7 +283,7 @@
         """The entry of a parent that has not ended, or the record of one that has. The origin of the order is searched
         first, then the others."""
         if job_id == order.id:
-            raise Unusable("a job cannot wait for itself")
+            raise InvalidOrder("a job cannot wait for itself")
         for origin in (order.origin, *(other for other in self._entries_by_id if other != order.origin)):
             entry = self.find(origin, job_id)
             if entry is not None:
@@ -391,7 +391,7 @@
         for child in self._dependencies.release(parent, children):
             if child is not None:
                 plan = child.order.plan
-                if not served and not (plan is not None and plan.any_end):
+                if not served and not (plan is not None and plan.run_if_parent_fails):
                     self._finish(child, Answer(Final.FAILED), EndReason.PARENT_FAILED)
                 elif not child.parents and child.state is JobState.WAITING:
                     self._become_due(child, self._now)
--- a/millethead/waiting/stage.py
+++ b/millethead/waiting/stage.py
@@ -19,7 +19,7 @@
 from millethead.decide.interface import Settings
 from millethead.exchange.model import Answer, Cancellable, Final, Order
 from millethead.exchange.records import Record, Records, ended_unsent
-from millethead.exchange.stage import Amendment, Finished, Reply, Stage, Unusable, repeated
+from millethead.exchange.stage import Amendment, Finished, InvalidOrder, Reply, Stage, reject_repeated
 from millethead.logs import Sparing
 from millethead.waiting.batch import sort_by_dependency
 from millethead.waiting.delayed_jobs import DelayedJobs
@@ -110,7 +110,7 @@
 
     def arrive(self, order: Order, reply: Reply) -> int:
         if self.record(order.origin, order.id) is not None:
-            return repeated(order, reply)
+            return reject_repeated(order, reply)
         try:
             entry = self.delayed_jobs.arrive(order, reply, self._ended_record, self.clock.now(), self.clock.wall())
         except LimitReached as limit:
@@ -122,13 +122,13 @@
         self._run_slice()
         return entry.number if entry.state is not JobState.ENDED else 0
 
-    def arrive_all(self, orders: Sequence[tuple[Order, Reply]]) -> list[int | Unusable]:
+    def arrive_all(self, orders: Sequence[tuple[Order, Reply]]) -> list[int | InvalidOrder]:
         indexes, errors = sort_by_dependency([order for order, _ in orders])
-        results: dict[int, int | Unusable] = dict(errors)
+        results: dict[int, int | InvalidOrder] = dict(errors)
         for index in indexes:
             try:
                 results[index] = self.arrive(*orders[index])
-            except Unusable as unusable:
+            except InvalidOrder as unusable:
                 results[index] = unusable
         return [results[index] for index in range(len(orders))]
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -3,10 +3,10 @@
 import unittest
 
 from millethead.decide import interface as api
-from millethead.exchange import Exchange, Final, Listed, Order
+from millethead.exchange import Exchange, Final, Order, WorkerListing
 from millethead.exchange.model import Answer, Plan
 from millethead.exchange.records import Record
-from millethead.exchange.stage import Amendment, Unusable
+from millethead.exchange.stage import Amendment, InvalidOrder
 from millethead.lab.clock import VirtualClock
 from millethead.waiting.ageing import ANSWER_MARGIN_MS, aged_flow
 from millethead.waiting.calendar import BUCKET_WIDTH_MS, Calendar
@@ -82,8 +82,8 @@
         self.stage = WaitingStage(self.inner, setup, NAMES, self.clock, **more)
         self.start = self.clock.now()
 
-    def order(self, job_id, job_class=0, at=0.0, after=(), any_end=False, origin="faktory", **more):
-        plan = Plan(self.clock.wall() + at if at else 0.0, tuple(after), any_end) if at or after else None
+    def order(self, job_id, job_class=0, at=0.0, after=(), run_if_parent_fails=False, origin="faktory", **more):
+        plan = Plan(self.clock.wall() + at if at else 0.0, tuple(after), run_if_parent_fails) if at or after else None
         return Order(job_id, job_class, 5000.0, origin=origin, plan=plan, **more)
 
     def push(self, job_id, *args, **more):
@@ -113,7 +113,7 @@
     def test_past_set_time_means_now_and_one_beyond_the_horizon_is_an_error(self):
         self.push("a", at=-5000.0)
         self.assertEqual(list(self.inner.held_jobs), ["a"])
-        with self.assertRaisesRegex(Unusable, "7200 s ahead"):
+        with self.assertRaisesRegex(InvalidOrder, "7200 s ahead"):
             self.push("b", at=7_200_001.0)
         self.assertIsNone(self.stage.record("faktory", "b"))
         self.assertEqual(len(self.stage.delayed_jobs.entries), 1)
@@ -181,7 +181,7 @@
                 self.push("a")
                 self.push("b", after=["a"])
                 self.push("c", after=["b"])
-                self.push("d", after=["a"], any_end=True)
+                self.push("d", after=["a"], run_if_parent_fails=True)
                 self.inner.end("a", final)
                 self.assertEqual(self.answers[1:], [("b", Final.FAILED), ("c", Final.FAILED)])
                 self.assertIn("d", self.inner.held_jobs)
@@ -203,7 +203,7 @@
 
     def test_unknown_parent_self_reference_and_cycle_are_errors_and_leave_nothing_behind(self):
         for after, message in (["nobody"], "no job nobody is known"), (["a"], "cannot wait for itself"):
-            with self.assertRaisesRegex(Unusable, message):
+            with self.assertRaisesRegex(InvalidOrder, message):
                 self.push("a", after=after)
         batch = [
             self.order("x", after=["y"]),
@@ -217,7 +217,7 @@
         ]
         results = self.stage.arrive_all([(order, self.answers.append) for order in batch])
         self.assertEqual(
-            [str(n) if isinstance(n, Unusable) else n > 0 for n in results],
+            [str(n) if isinstance(n, InvalidOrder) else n > 0 for n in results],
             [
                 *["it waits for itself through the jobs that it names: a cycle"] * 3,
                 "a job that it waits for was not taken",
@@ -304,7 +304,7 @@
         self.assertEqual(self.answers, [("r", Final.REFUSED)])
         self.run_for(1000)
         self.assertEqual(self.answers[1:], [("c", Final.REFUSED)])
-        with self.assertRaisesRegex(Unusable, "later than the client waits"):
+        with self.assertRaisesRegex(InvalidOrder, "later than the client waits"):
             self.push("d", 2, origin="http", waits=True, asked=4000.0, at=5000.0)
 
     def test_offers_of_a_flow_are_limited_and_flows_take_turns(self):
@@ -354,7 +354,7 @@
         self.stage.amend(Amendment("faktory", "scheduled", frozenset({"a0", "nobody"})))
         self.assertEqual(self.stage.record("faktory", "a0").state, "withdrawn")
         self.stage.amend(Amendment("faktory", "waiting", jobtype="Report"))  # no job is in that state
-        self.stage.amend(Amendment("faktory", "scheduled", frozenset({"a1"}), hasten=True))
+        self.stage.amend(Amendment("faktory", "scheduled", frozenset({"a1"}), make_due=True))
         self.assertEqual(list(self.inner.held_jobs), ["a1"])
         self.stage.amend(Amendment("faktory", "scheduled", jobtype="Report"))
         self.run_for(1100)
@@ -432,7 +432,7 @@
         exchange = Exchange(SETTINGS, 1, clock, (aged_flow(setup),))
         stage = WaitingStage(exchange, setup, NAMES, clock)
         side = FakeServerSide()
-        exchange.listed(side, api.ListForm.FULL, [Listed("w1")])
+        exchange.listed(side, api.ListForm.FULL, [WorkerListing("w1")])
         stage.arrive(Order("b", 1, 5000.0, origin="http", asked=5000.0), answers.append)
         stage.arrive(Order("r", 2, 5000.0, origin="faktory"), answers.append)
         clock.run(clock.now() + 4900)  # the booking holds the only slot; the report was refused and queued again
