--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -671,7 +671,7 @@
     bench = Bench()
     bench.agent()
     for number in range(3):
-        bench.head.scheduler.health.ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, bench.clock.at)
+        bench.head.scheduler.health.run_ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, bench.clock.at)
     with structlog.testing.capture_logs() as lines:
         bench.pass_time(1.5)
     (line,) = [line for line in lines if line["event"] == "worker_standing"]
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -91,7 +91,7 @@
     bench = Bench()
     bench.agent(info=worker())
     for number in range(3):
-        bench.head.scheduler.health.ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, 0.0)
+        bench.head.scheduler.health.run_ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, 0.0)
     assert read(head_figures(bench.head))["workers", "alpha", "avoided"] == 1
 
 
