--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -691,7 +691,9 @@
     harness = HeadHarness()
     harness.agent()
     for number in range(3):
-        harness.head.scheduler.health.ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, harness.clock.at)
+        harness.head.scheduler.health.run_ended(
+            (StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, harness.clock.at
+        )
     with structlog.testing.capture_logs() as lines:
         harness.pass_time(1.5)
     (line,) = [line for line in lines if line["event"] == "worker_standing"]
