--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from prometheus_client.parser import text_string_to_metric_families
-from test_waiting import Inner
+from test_waiting import FakeNextStage
 
 from millethead.admission.fair_queue import FairQueue, Item
 from millethead.admission.queue import AdmissionQueue, hash_client
@@ -173,7 +173,7 @@
 
 class AdmissionQueueTest(unittest.TestCase):
     def setUp(self):
-        self.clock, self.inner, self.answers = VirtualClock(), Inner(), []
+        self.clock, self.inner, self.answers = VirtualClock(), FakeNextStage(), []
         setup = AdmissionSetup(jobs=50, wait_ms=2000.0, window_least=2, window_most=2)
         self.admission = AdmissionQueue(self.inner, setup, self.clock, 1)
 
@@ -184,13 +184,13 @@
     def test_the_window_limits_admitted_jobs_and_others_follow_as_those_start(self):
         for n in range(4):
             self.assertTrue(self.submit(f"j{n}"))
-        self.assertEqual(list(self.inner.taken), ["j0", "j1"])
+        self.assertEqual(list(self.inner.held_jobs), ["j0", "j1"])
         self.assertEqual(self.admission.record("http", "j2").state, "queued")
         self.inner.records["http", "j0"].attempts = 1
         self.clock.run(self.clock.now() + 10)
-        self.assertEqual(list(self.inner.taken), ["j0", "j1", "j2"])
+        self.assertEqual(list(self.inner.held_jobs), ["j0", "j1", "j2"])
         self.inner.end("j1")
-        self.assertEqual(list(self.inner.taken), ["j0", "j2", "j3"])
+        self.assertEqual(list(self.inner.held_jobs), ["j0", "j2", "j3"])
         self.assertEqual(self.answers, [("j1", Final.SERVED, 0.0)])
 
     def test_a_job_that_would_wait_too_long_gets_a_retry_time_and_priority_then(self):
@@ -204,7 +204,7 @@
         self.clock.run(self.clock.now() + pause)
         self.submit("back", "c" + job_id[1:])
         self.inner.end("j0")
-        self.assertIn("back", self.inner.taken)  # before the jobs that are queued
+        self.assertIn("back", self.inner.held_jobs)  # before the jobs that are queued
         self.assertEqual(self.admission.reservations.counts["called"], 1)
 
     def test_a_queued_job_is_refused_before_its_deadline(self):
@@ -220,7 +220,7 @@
         for n in range(3):
             self.submit(f"j{n}", left=1000.0)
         self.assertEqual(self.submit("j2"), 0)
-        self.assertEqual((self.answers, list(self.inner.taken)), ([("j2", Final.FAILED, 0.0)], ["j0", "j1"]))
+        self.assertEqual((self.answers, list(self.inner.held_jobs)), ([("j2", Final.FAILED, 0.0)], ["j0", "j1"]))
         self.clock.run(self.clock.now() + 1000)
         self.assertEqual(self.admission.record("http", "j2").final, Final.REFUSED)
         self.assertEqual(self.submit("j2"), 0)
@@ -231,7 +231,7 @@
             self.admission.arrive(Order("a", 0, 5000.0, plan=Plan(self.clock.now() + 1)), self.answers.append)
         number = self.admission.arrive(Order("b", 0, 5000.0, plan=Plan(self.clock.now())), self.answers.append)
         self.admission.withdraw(number)
-        self.assertEqual((self.inner.left, self.admission.held), (["b"], 0))
+        self.assertEqual((self.inner.withdrawn, self.admission.held), (["b"], 0))
 
     def test_shutdown_refuses_all_queued_jobs_except_withdrawn_ones(self):
         for n in range(4):
@@ -294,8 +294,8 @@
                     number = self.submit(f"j{count}", f"c{rng.randrange(5)}", left=rng.choice([300.0, 5000.0]))
                     if number:
                         live[f"j{count}"] = number
-                elif draw < 0.7 and self.inner.taken:
-                    job_id = rng.choice(sorted(self.inner.taken))
+                elif draw < 0.7 and self.inner.held_jobs:
+                    job_id = rng.choice(sorted(self.inner.held_jobs))
                     self.inner.records["http", job_id].attempts = 1
                     self.inner.end(job_id, rng.choice(list(Final)))
                 elif draw < 0.75 and live:
@@ -307,7 +307,7 @@
                 else:
                     self.clock.run(self.clock.now() + rng.choice([1, 50, 700]))
             self.admission.leave(None)
-            for job_id in sorted(self.inner.taken):
+            for job_id in sorted(self.inner.held_jobs):
                 self.inner.end(job_id)
             self.assertEqual(Counter(a[0] for a in self.answers), Counter(f"j{n + 1}" for n in range(count)))
             self.assertEqual(
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -5,7 +5,7 @@
 import unittest
 from pathlib import Path
 
-from test_waiting import Inner
+from test_waiting import FakeNextStage
 
 from millethead.admission.queue import AdmissionQueue
 from millethead.admission.setup import AdmissionSetup
@@ -53,8 +53,8 @@
             key = Path(folder, "key")
             key.write_bytes(b"k" * 16)
             members = Members(MembersSetup(listen=Local(("127.0.0.1", 1)), key_file=str(key)), "n", "", 1, print)
-        admission = AdmissionQueue(Inner(), AdmissionSetup(), VirtualClock(), 1)
-        front = HttpFrontend(Inner(), [], [], print, print)
+        admission = AdmissionQueue(FakeNextStage(), AdmissionSetup(), VirtualClock(), 1)
+        front = HttpFrontend(FakeNextStage(), [], [], print, print)
         more = [*members.figures(), *admission.figures(), *front.figures()]
         page = render(Figures([], JobCounters(0), 0, 0, 0, more)).decode()
         self.assertEqual(figures, set(re.findall(r"# TYPE (\S+)", page)))
