--- a/tests/test_waiting_states.py
+++ b/tests/test_waiting_states.py
@@ -53,7 +53,7 @@
             job = self.jobs[order.id]
             assert not job.ended, "offered after its end"
             plan = job.order.plan
-            # `amend` runs the clock for 50 ms before it updates highest_wall, so an offer within them needs the time now
+            # `amend` runs the clock for 50 ms before it updates highest_wall, so offers need the time now
             self.highest_wall = max(self.highest_wall, self.clock.wall())
             if plan is not None:
                 assert plan.at <= self.highest_wall, "offered before its set time"
