--- a/millethead/lab/core_durability.py
+++ b/millethead/lab/core_durability.py
@@ -12,9 +12,9 @@
 from millethead.replication.view import View
 from millethead.rollout.store import PLACE
 from millethead.storage import identity as identities
-from millethead.storage.identity import COPY_AT, IDENTITY_NAME
+from millethead.storage.identity import COPY_OFFSET, IDENTITY_NAME
 from millethead.storage.log import LOG_NAME, CorruptLog, LogFile
-from millethead.storage.records import Header, read_header
+from millethead.storage.records import Header, decode_header
 from millethead.storage.register_file import SLOTS, RegisterFile
 
 COPY_BYTES = 16  # of each copy, in which a bit that goes bad is noticed
@@ -65,7 +65,7 @@
     """Where the copies lie that have an equal one: of the identity, and of the acceptor's places."""
     found: list[tuple[Path, int]] = []
     for name, distance, starts in (
-        (IDENTITY_NAME, COPY_AT, (0,)),
+        (IDENTITY_NAME, COPY_OFFSET, (0,)),
         (ACCEPTOR_NAME, SLOTS * PLACE, tuple(slot * PLACE for slot in range(SLOTS))),
     ):
         data = lasting_bytes(disk, FOLDER / name) or b""
@@ -81,7 +81,7 @@
     data = lasting_bytes(disk, FOLDER / LOG_NAME) or b""
     headers: list[Header] = []
     at = 0
-    while (header := read_header(data[at:])) is not None:
+    while (header := decode_header(data[at:])) is not None:
         headers.append(header)
         at = header.end
     return range(headers[0].end, headers[-1].synced) if headers else range(0)
--- a/millethead/lab/core_machine.py
+++ b/millethead/lab/core_machine.py
@@ -30,7 +30,7 @@
 from millethead.rpc.codec import Record
 from millethead.rpc.loop_budget import IterationBudget
 from millethead.storage.log import Entry, Recovered, Snapshot
-from millethead.storage.sync_times import HELD_UP_S
+from millethead.storage.sync_times import MIN_LOOP_DELAY_S
 
 LINK_RETRY_S = 0.05
 COMPACT_ENTRIES = 12  # entries after the snapshot that have the log rewritten: few, so that it comes about often
@@ -242,7 +242,7 @@
         if self.replica is not replica:
             return
         now = self.now()
-        if self.storage is not None and self._tick_due and now - self._tick_due >= HELD_UP_S:
+        if self.storage is not None and self._tick_due and now - self._tick_due >= MIN_LOOP_DELAY_S:
             self.storage.held_up(self._tick_due)
         replica.tick(now)
         self._maintain_disk()
--- a/millethead/lab/core_mutants.py
+++ b/millethead/lab/core_mutants.py
@@ -25,7 +25,7 @@
 from millethead.replication.messages import PaxosMessage
 from millethead.replication.replica import Replica, ReplicaSettings
 from millethead.replication.view import View
-from millethead.storage.files import Files
+from millethead.storage.files import FileSystem
 from millethead.storage.identity import DiskIdentity
 from millethead.storage.log import Entry, LogFile
 from millethead.storage.replay import Cursor
@@ -181,7 +181,7 @@
 class _NamesNotSynced:
     """Files whose folders are not synced."""
 
-    def __init__(self, files: Files) -> None:
+    def __init__(self, files: FileSystem) -> None:
         self._files = files
 
     def __getattr__(self, name: str) -> Any:
@@ -197,12 +197,12 @@
     replace_file = LogFile._replace_file
 
     def replace(self: LogFile, records: Any) -> None:
-        files = self._files
-        self._files = _NamesNotSynced(files)
+        files = self._file_system
+        self._file_system = _NamesNotSynced(files)
         try:
             replace_file(self, records)
         finally:
-            self._files = files
+            self._file_system = files
 
     with mock.patch.object(LogFile, "_replace_file", replace):
         yield
--- a/millethead/lab/core_storage.py
+++ b/millethead/lab/core_storage.py
@@ -16,7 +16,7 @@
 from millethead.programs.core_disk import ACCEPTOR_NAME
 from millethead.rollout.register import Kept
 from millethead.storage import identity as identities
-from millethead.storage.files import Files
+from millethead.storage.files import FileSystem
 from millethead.storage.identity import IDENTITY_NAME, DiskIdentity
 from millethead.storage.log import LOG_NAME, CorruptLog, Entry, LogFile, Recovered, Snapshot
 from millethead.storage.register_file import RegisterFile
@@ -56,7 +56,7 @@
     return new.offset <= old.offset and old.offset + len(old.data) <= new.offset + len(new.data)
 
 
-def write_lasting(files: Files, path: Path, data: bytes) -> None:
+def write_lasting(files: FileSystem, path: Path, data: bytes) -> None:
     """Write a file whole, its name on the disk too; raises OSError."""
     new = path.with_name(f"{path.name}.new")
     file = files.create(new)
@@ -67,7 +67,7 @@
     files.sync_folder(path.parent)
 
 
-def read_whole(files: Files, path: Path) -> bytes | None:
+def read_whole(files: FileSystem, path: Path) -> bytes | None:
     """The bytes of a file, or None where there is none."""
     try:
         file = files.open(path)
@@ -201,7 +201,7 @@
 
     def held_up(self, since: float) -> None:
         """The event loop should have gone on at `since`, and does so only now."""
-        self._sync_times.held_up(since)
+        self._sync_times.record_loop_delay(since)
 
     def latency_ms(self) -> int:
         """The longest sync lately, or how long the present one is pending if that is more."""
@@ -216,7 +216,7 @@
         waiting_since = self.writer.pending_since
         if not self._working and not self.writer.broken and waiting_since is not None:
             self._working = True
-            self._sync_times.started(waiting_since)
+            self._sync_times.record_start(waiting_since)
             sync_s = self._sync_s()
             self._stepped = sync_s < SHORT_S and self._random.random() < EARLY
             if self._stepped:
@@ -226,7 +226,7 @@
     def _synced(self) -> None:
         if not self._stepped:
             self.writer.step()
-        self._sync_times.finished()
+        self._sync_times.record_end()
         due, self._due = self._due, []
         self._working = False
         for call in due:
--- a/millethead/lab/disk.py
+++ b/millethead/lab/disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory that loses and tears what was not synced, by a seed; it stands in for `storage.files.OS_FILES`.
+"""A disk in memory that loses and tears what was not synced, by a seed; stands in for `storage.files.OS_FILE_SYSTEM`.
 
 At a loss of power each write and each new length since a file's last sync is present, absent or torn on its own, and
 so is each change of a name since its folder's; some losses wipe all of them out. A new file's name lasts once the file
--- a/millethead/programs/control.py
+++ b/millethead/programs/control.py
@@ -35,7 +35,7 @@
 from millethead.rpc.connection import Connection, InputBudget
 from millethead.rpc.loop_budget import IterationBudget
 from millethead.storage.log import Entry, Recovered, Snapshot
-from millethead.storage.sync_times import HELD_UP_S
+from millethead.storage.sync_times import MIN_LOOP_DELAY_S
 from millethead.web.metrics import MetricFamily
 from millethead.web.server import HttpLimits, HttpServer
 
@@ -181,7 +181,7 @@
     def _note_hold_up(self, now: float) -> None:
         """Where this tick is late, the disk is not to blame for what has waited meanwhile."""
         late_s = now - self._tick_due
-        if late_s < HELD_UP_S:
+        if late_s < MIN_LOOP_DELAY_S:
             return
         if self._disk is not None:
             self._disk.held_up(self._tick_due)
--- a/millethead/programs/control_figures.py
+++ b/millethead/programs/control_figures.py
@@ -29,7 +29,7 @@
         yield gauge("log_bytes", "Bytes of the log's file.", disk.size)
         yield gauge("disk_sync_seconds", "Longest write to the disk lately.", disk.latency_ms() / MS)
         yield gauge("disk_broken", "1 while the disk takes no writes.", disk.broken)
-        yield counter("disk_scrubs", "Passes of the background scrub over the whole log.", scrubber.passes)
+        yield counter("disk_scrubs", "Passes of the background scrub over the whole log.", scrubber.completed_passes)
 
 
 def head_figures(head: Head | None) -> Iterator[MetricFamily]:
--- a/millethead/programs/core_disk.py
+++ b/millethead/programs/core_disk.py
@@ -11,7 +11,7 @@
 import structlog
 
 from millethead.rollout.register import Kept
-from millethead.storage.files import OS_FILES
+from millethead.storage.files import OS_FILE_SYSTEM
 from millethead.storage.identity import (
     DiskIdentity,
     bootstrap_done,
@@ -89,7 +89,7 @@
         self.identity: DiskIdentity = load_identity(self._folder, bootstrap, self._random)
         self._log = LogFile(self._folder)
         self.recovered: Recovered = self._log.recover()
-        self._register = RegisterFile(OS_FILES, self._folder / ACCEPTOR_NAME)
+        self._register = RegisterFile(OS_FILE_SYSTEM, self._folder / ACCEPTOR_NAME)
         self.kept: Kept = self._register.load()
         self._write_anew()
 
@@ -170,7 +170,7 @@
 
     def held_up(self, since: float) -> None:
         """The event loop should have gone on at `since`, and does so only now."""
-        self._sync_times.held_up(since)
+        self._sync_times.record_loop_delay(since)
 
     def latency_ms(self) -> int:
         """The longest sync lately, or how long the present one is pending if that is more."""
--- a/millethead/programs/offline.py
+++ b/millethead/programs/offline.py
@@ -19,12 +19,12 @@
 from millethead.replication.view import NO_VIEW, View
 from millethead.rollout.register import Refused
 from millethead.rpc.codec import CodecError
-from millethead.storage.files import OS_FILES, drop_cached
+from millethead.storage.files import OS_FILE_SYSTEM, drop_cached
 from millethead.storage.identity import IDENTITY_NAME, DiskIdentity, load_identity
 from millethead.storage.log import LOG_NAME, LogFile, Recovered
 from millethead.storage.records import CorruptLog, Snapshot
 from millethead.storage.register_file import RegisterFile
-from millethead.storage.replay import Contents, replay
+from millethead.storage.replay import LogContents, replay
 
 
 class NoLog(Exception):
@@ -109,7 +109,7 @@
 
 
 def _read_view(folder: Path, log: LogReport) -> View:
-    register = RegisterFile(OS_FILES, folder / ACCEPTOR_NAME)
+    register = RegisterFile(OS_FILE_SYSTEM, folder / ACCEPTOR_NAME)
     if not register.path.exists():
         if log.last_sequence:
             raise CorruptLog(f"{register.path.name}: missing beside a log with entries")
@@ -136,7 +136,7 @@
     return LogReport(path, size, whole, contents.snapshot, len(contents.entries), epoch, sequence, state)
 
 
-def _replayed(contents: Contents) -> ReplicatedLog:
+def _replayed(contents: LogContents) -> ReplicatedLog:
     try:
         return ReplicatedLog(ControlState(), Recovered(contents.snapshot, tuple(contents.entries)))
     except (CodecError, DamagedState, InvalidJob, ValueError) as error:
--- a/millethead/programs/restoring.py
+++ b/millethead/programs/restoring.py
@@ -18,7 +18,7 @@
 from millethead.replication.view import ChainMember, Member, View
 from millethead.rollout.register import Kept
 from millethead.rpc.codec import encode
-from millethead.storage.files import OS_FILES
+from millethead.storage.files import OS_FILE_SYSTEM
 from millethead.storage.identity import DISK_ID_BITS, load_identity
 from millethead.storage.log import LogFile
 from millethead.storage.records import Snapshot
@@ -52,7 +52,7 @@
         log.rewrite(snapshot, ())
     finally:
         log.close()
-    register = RegisterFile(OS_FILES, folder / ACCEPTOR_NAME)
+    register = RegisterFile(OS_FILE_SYSTEM, folder / ACCEPTOR_NAME)
     register.load()  # makes the file
     ballot = (view.epoch, member.name)
     register.save(Kept(ballot, ballot, encode(view)))
--- a/millethead/storage/__init__.py
+++ b/millethead/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The durable state of one replica: its log, the thread that writes it, and the identity of its disk."""
+"""Durable state of one replica: write-ahead log, log writer thread, disk identity and acceptor register."""
--- a/millethead/storage/files.py
+++ b/millethead/storage/files.py
@@ -1,7 +1,7 @@
-"""The calls on a disk that the log makes, so that a simulated disk can stand in for the real one.
+"""File system calls used by the write-ahead log, behind an interface that a simulated disk can implement.
 
-Every call may raise OSError. A write counts as durable only once the file was synced, a name (new by a rename, or
-removed) only once its folder was.
+Every call may raise OSError. Written data is durable only after the file was synced. A name that was created, renamed
+or removed is durable only after its folder was synced.
 """
 
 from __future__ import annotations
@@ -13,60 +13,62 @@
 
 
 class File(Protocol):
-    """An open file; offsets and lengths are bytes."""
+    """An open file. Offsets and lengths are in bytes."""
 
     def read(self, offset: int, length: int) -> bytes:
-        """Up to `length` bytes from `offset` on; fewer only where the file ends."""
+        """Returns up to `length` bytes starting at `offset`. Fewer are returned only at the end of the file."""
 
     def write(self, offset: int, data: bytes) -> None:
-        """All of `data`; after an OSError any part of it may be in the file."""
+        """Writes all of `data` at `offset`. After an OSError any part of it may be in the file."""
 
     def truncate(self, size: int) -> None:
-        """Set the length."""
+        """Sets the length of the file."""
 
     def size(self) -> int:
-        """The length."""
+        """Returns the length of the file."""
 
     def fdatasync(self) -> None:
-        """Make the contents durable. After an OSError nothing since the last sync may be believed."""
+        """Makes the contents durable. After an OSError any write since the previous sync may be lost."""
 
     def fsync(self) -> None:
-        """Make contents and length durable, a shortened length too."""
+        """Makes the contents and the length durable, also after the file was shortened."""
 
     def drop_cached(self) -> None:
-        """Have later reads come from the disk itself, where the system can and the bytes were synced."""
+        """Drops synced data from the page cache so that later reads come from the disk, if the system supports it."""
 
     def close(self) -> None:
-        """Let go of the file; nothing is synced."""
+        """Closes the file without syncing it."""
 
 
-class Files(Protocol):
-    """The names in a folder and the files behind them."""
+class FileSystem(Protocol):
+    """Opens, creates, renames and removes files."""
 
     def open(self, path: Path) -> File:
-        """For reading and writing; raises FileNotFoundError."""
+        """Opens a file for reading and writing. Raises FileNotFoundError if it does not exist."""
 
     def create(self, path: Path) -> File:
-        """An empty file for reading and writing, in place of one of that name."""
+        """Creates an empty file for reading and writing. Replaces an existing file of the same name."""
 
     def rename(self, old: Path, new: Path) -> None:
-        """Give the file the name `new`, in place of one of that name."""
+        """Renames a file. Replaces an existing file named `new`."""
 
     def remove(self, path: Path) -> None:
-        """Take the name away; raises FileNotFoundError."""
+        """Removes a file. Raises FileNotFoundError if it does not exist."""
 
     def sync_folder(self, folder: Path) -> None:
-        """Make the names in the folder durable."""
+        """Makes creations, renames and removals in the folder durable."""
 
 
 def drop_cached(descriptor: int) -> None:
-    """Have later reads of an open file come from the disk itself, where the system can and the bytes were synced."""
+    """Drops the synced data of an open file from the page cache so that later reads come from the disk, if the system
+    supports it.
+    """
     with contextlib.suppress(OSError):
         os.posix_fadvise(descriptor, 0, 0, os.POSIX_FADV_DONTNEED)
 
 
 class OsFile:
-    """A file of the operating system; not buffered."""
+    """An unbuffered file of the operating system."""
 
     def __init__(self, path: Path, flags: int) -> None:
         self._descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC | flags, 0o600)
@@ -80,11 +82,11 @@
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     def write(self, offset: int, data: bytes) -> None:
-        rest = memoryview(data)
-        while rest:
-            written = os.pwrite(self._descriptor, rest, offset)
+        remaining = memoryview(data)
+        while remaining:
+            written = os.pwrite(self._descriptor, remaining, offset)
             offset += written
-            rest = rest[written:]
+            remaining = remaining[written:]
 
     def truncate(self, size: int) -> None:
         os.ftruncate(self._descriptor, size)
@@ -105,8 +107,8 @@
         os.close(self._descriptor)
 
 
-class OsFiles:
-    """The files of the operating system."""
+class OsFileSystem:
+    """The file system of the operating system."""
 
     def open(self, path: Path) -> File:
         return OsFile(path, 0)
@@ -128,4 +130,4 @@
             os.close(descriptor)
 
 
-OS_FILES: Files = OsFiles()
+OS_FILE_SYSTEM: FileSystem = OsFileSystem()
--- a/millethead/storage/identity.py
+++ b/millethead/storage/identity.py
@@ -1,4 +1,4 @@
-"""The identity of a disk: a replica that comes back with another one is another voter."""
+"""The identity of a disk. A replica that restarts with a different disk identity is a different voter."""
 
 from __future__ import annotations
 
@@ -11,31 +11,32 @@
 from pathlib import Path
 
 from millethead.rollout.store import write_lasting
-from millethead.storage.files import OS_FILES
+from millethead.storage.files import OS_FILE_SYSTEM
 from millethead.storage.log import LOG_NAME, CorruptLog
 
 IDENTITY_NAME = "identity"
 MAGIC = b"MHI1"
 DISK_ID_BITS = 64
 _FIELDS = struct.Struct(">4sQ?")
-_CHECK = struct.Struct(">I")
-_COPY_SIZE = _FIELDS.size + _CHECK.size
-COPY_AT = 4096  # offset of the second copy, in another page of the disk
+_CHECKSUM = struct.Struct(">I")
+_COPY_SIZE = _FIELDS.size + _CHECKSUM.size
+COPY_OFFSET = 4096  # byte offset of the second copy, in another page of the disk
 
 
 @dataclass(frozen=True, slots=True)
 class DiskIdentity:
-    """A disk's number, of 64 random bits, and whether the first start of the whole system is still under way on it."""
+    """The random 64-bit ID of a disk, and whether the first start of the whole system is still in progress on it."""
 
     disk_id: int
     bootstrapping: bool
 
 
 def load_identity(folder: Path, bootstrap: bool, random: Callable[[], int]) -> DiskIdentity:
-    """The identity of this disk; a new one where there is none, with `bootstrap` as its flag and a number from
-    `random` (64 random bits). What is returned is durable. Load it before anything else is created in the folder.
+    """Returns the identity of the disk. If there is none, creates one with `bootstrap` as its flag and an ID from
+    `random`, which returns 64 random bits.
 
-    Raises OSError, and CorruptLog where it cannot be read, or is missing beside a log.
+    The returned identity is durable. Must be called before anything else is created in the folder. Raises OSError, and
+    CorruptLog if the file is unreadable or is missing although a log exists.
     """
     path = folder / IDENTITY_NAME
     try:
@@ -43,20 +44,23 @@
     except FileNotFoundError:
         return _create(folder, bootstrap, random)
     identity = decode_identity(data)
-    OS_FILES.sync_folder(folder)  # a process killed in a write may have left the name unsynced
+    OS_FILE_SYSTEM.sync_folder(folder)  # a process killed during the write may not have synced the name
     return identity
 
 
 def bootstrap_done(folder: Path, identity: DiskIdentity) -> DiskIdentity:
-    """The identity with its flag cleared, durably; raises OSError, and then the old one stands."""
-    done = replace(identity, bootstrapping=False)
-    write_lasting(folder / IDENTITY_NAME, encode_identity(done))
-    return done
+    """Clears the bootstrapping flag durably and returns the new identity. After an OSError the old identity remains
+    valid.
+    """
+    cleared = replace(identity, bootstrapping=False)
+    write_lasting(folder / IDENTITY_NAME, encode_identity(cleared))
+    return cleared
 
 
 def repair_identity(folder: Path, identity: DiskIdentity) -> bool:
-    """Read the identity's file again, and write it anew where it holds anything else. Whether that was needed. Raises
-    OSError."""
+    """Reads the identity file and rewrites it if its contents differ from `identity`. Returns whether it was rewritten.
+    Raises OSError.
+    """
     path, expected = folder / IDENTITY_NAME, encode_identity(identity)
     with contextlib.suppress(FileNotFoundError):
         if path.read_bytes() == expected:
@@ -66,14 +70,17 @@
 
 
 def discard_disk(folder: Path, others: Iterable[str] = ()) -> None:
-    """Forget a disk that is not believed: its identity first, durably, then the log and the files named `others`. Cut
-    short, it leaves what `load_identity` refuses, or an empty disk, never an old identity without its promises. Raises
-    OSError."""
+    """Removes the identity, then the files named `others`, then the log. Used for a disk whose contents cannot be
+    trusted.
+
+    The identity is removed first, durably. If the removal is interrupted, the folder is either rejected by
+    `load_identity` or empty. An old identity never remains without the promises of its acceptor. Raises OSError.
+    """
     _remove(folder / IDENTITY_NAME)
-    OS_FILES.sync_folder(folder)
-    for name in (*others, LOG_NAME):  # the log last: while it is there, the rest is known to be left over
+    OS_FILE_SYSTEM.sync_folder(folder)
+    for name in (*others, LOG_NAME):  # the log is last: while it exists, `load_identity` rejects the folder
         _remove(folder / name)
-        OS_FILES.sync_folder(folder)
+        OS_FILE_SYSTEM.sync_folder(folder)
 
 
 def _create(folder: Path, bootstrap: bool, random: Callable[[], int]) -> DiskIdentity:
@@ -85,25 +92,31 @@
 
 
 def encode_identity(identity: DiskIdentity) -> bytes:
-    """The bytes of the file: two copies, in pages of their own."""
+    """Returns the contents of the file: two copies in separate pages."""
     fields = _FIELDS.pack(MAGIC, identity.disk_id, identity.bootstrapping)
-    copy = fields + _CHECK.pack(zlib.crc32(fields))
-    return copy.ljust(COPY_AT, b"\0") + copy
+    copy = fields + _CHECKSUM.pack(zlib.crc32(fields))
+    return copy.ljust(COPY_OFFSET, b"\0") + copy
 
 
 def decode_identity(data: bytes) -> DiskIdentity:
-    """The identity that either copy holds, or the only one of an earlier version; raises CorruptLog."""
-    copies = {identity for at in (0, COPY_AT) if (identity := _read_copy(data[at : at + _COPY_SIZE])) is not None}
+    """Returns the identity from either copy, or from the only copy of an earlier version. Raises CorruptLog if no copy
+    is valid or the two differ.
+    """
+    copies = {
+        identity
+        for start in (0, COPY_OFFSET)
+        if (identity := _decode_copy(data[start : start + _COPY_SIZE])) is not None
+    }
     if len(copies) != 1:
         raise CorruptLog(f"{IDENTITY_NAME}: not of this version, or bad")
     return copies.pop()
 
 
-def _read_copy(copy: bytes) -> DiskIdentity | None:
+def _decode_copy(copy: bytes) -> DiskIdentity | None:
     if len(copy) != _COPY_SIZE or not copy.startswith(MAGIC):
         return None
-    (check,) = _CHECK.unpack_from(copy, _FIELDS.size)
-    if zlib.crc32(copy[: _FIELDS.size]) != check:
+    (checksum,) = _CHECKSUM.unpack_from(copy, _FIELDS.size)
+    if zlib.crc32(copy[: _FIELDS.size]) != checksum:
         return None
     _, disk_id, bootstrapping = _FIELDS.unpack_from(copy)
     return DiskIdentity(disk_id, bootstrapping)
--- a/millethead/storage/log.py
+++ b/millethead/storage/log.py
@@ -1,10 +1,12 @@
-"""The durable log of one replica: one append-only file of checksummed records, rewritten when it gets long.
+"""The write-ahead log of one replica: an append-only file of checksummed records, rewritten when it gets long.
 
-What recovery does about a bad record. After a loss of power each write since the last sync may be present, absent or
-torn, one in the middle too; what was synced is whole on a disk that is well. Each record's header says how far the file
-had surely been synced when it was written. So bad bytes below what any later header names were durable once: the disk
-is not believed (CorruptLog). Bad bytes at or beyond it were never known to be synced: the file is cut there, and what
-came after is dropped. A record that was synced, but after which nothing was appended, is not told from a torn tail.
+After a power loss, each write since the last sync may be present, absent or torn, independently of later writes. Synced
+data is intact unless the disk is faulty. Each record header contains the offset up to which the file was known to be
+synced when the record was written (`synced`). Recovery therefore treats invalid bytes as follows:
+
+Below the `synced` offset of any later header, they were durable once. The disk cannot be trusted, and recovery raises
+CorruptLog. At or above it, they were never known to be synced. The file is truncated there, and everything after is
+dropped. If nothing was appended after a synced record, damage to that record cannot be told from a torn write.
 """
 
 from __future__ import annotations
@@ -16,27 +18,37 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from millethead.storage.files import OS_FILES, File, Files
+from millethead.storage.files import OS_FILE_SYSTEM, File, FileSystem
 from millethead.storage.records import (
     CorruptLog,
     Entry,
-    Kind,
+    RecordKind,
     Snapshot,
     Tail,
-    entries_bodies,
-    snapshot_records,
-    truncation_body,
+    encode_entries,
+    encode_snapshot,
+    encode_truncation,
 )
-from millethead.storage.replay import CHUNK, Cursor, Extent, SequenceError, replay
-
-__all__ = ["LOG_NAME", "CorruptLog", "Entry", "Files", "LogFile", "Recovered", "ScrubPass", "SequenceError", "Snapshot"]
+from millethead.storage.replay import CHUNK_BYTES, Cursor, SequenceError, SequenceRange, replay
+
+__all__ = [
+    "LOG_NAME",
+    "CorruptLog",
+    "Entry",
+    "FileSystem",
+    "LogFile",
+    "Recovered",
+    "ScrubPass",
+    "SequenceError",
+    "Snapshot",
+]
 
 LOG_NAME = "log"
 
 
 @dataclass(frozen=True, slots=True)
 class Recovered:
-    """What a log holds: a snapshot, and the entries after it with contiguous sequences."""
+    """The contents of a log: a snapshot, and the entries after it with contiguous sequences."""
 
     snapshot: Snapshot | None
     entries: tuple[Entry, ...]
@@ -44,53 +56,56 @@
 
 @dataclass(frozen=True, slots=True)
 class ScrubPass:
-    """One reading of the whole file again, up to where it ended when the pass began."""
+    """The progress of one scrub of the whole file, up to where the file ended when the pass began."""
 
     cursor: Cursor
     end: Tail
 
 
 def random_generation() -> int:
-    """64 random bits that tell one log file from every other."""
+    """Returns 64 random bits that identify a log file."""
     return secrets.randbits(64)
 
 
 class LogFile:
-    """The log's file; its calls block, and are made from one thread. Call `recover` (or `rewrite`) first.
+    """The log file. Calls block and must be made from one thread. Call `recover` or `rewrite` first.
 
-    An OSError from a write or sync leaves it unknown what the file holds. From then on every call raises OSError, but
-    for `recover`, which reads the file anew, and `rewrite`, which does not need it. After a failed sync `rewrite` is
-    the safe one: an operating system may count as clean what it could not write.
+    After an OSError from a write or sync the contents of the file are unknown. Every later call raises OSError, except
+    `recover`, which reads the file again, and `rewrite`, which does not depend on its contents. After a failed sync
+    only `rewrite` is safe, because an operating system may mark pages as clean that it failed to write.
     """
 
     def __init__(
         self,
         folder: Path,
-        files: Files = OS_FILES,
+        file_system: FileSystem = OS_FILE_SYSTEM,
         name: str = LOG_NAME,
         *,
         generation: Callable[[], int] = random_generation,
     ) -> None:
-        self._folder, self._files, self._generation = folder, files, generation
-        self._path, self._new_path = folder / name, folder / f"{name}.new"
+        self._folder, self._file_system, self._generation = folder, file_system, generation
+        self._path, self._rewrite_path = folder / name, folder / f"{name}.new"
         self._file: File | None = None
         self._tail = Tail(0)
-        self._extent = Extent()
+        self._sequences = SequenceRange()
         self._usable = False
 
     @property
     def size(self) -> int:
-        """Bytes of the file."""
+        """Size of the file in bytes."""
         return self._tail.offset
 
     def recover(self) -> Recovered:
-        """Read the file, or create it; what is returned is durable. Raises OSError, and CorruptLog where something
-        that was durable cannot be read: the file is then as it was, and only `rewrite` makes the log usable."""
+        """Reads the file, or creates it. The returned contents are durable.
+
+        Raises OSError, and CorruptLog if data that was durable is unreadable. The file is then unchanged, and only
+        `rewrite` makes the log usable.
+        """
         self.close()
         with contextlib.suppress(FileNotFoundError):
-            self._files.remove(self._new_path)  # left by a rewrite that was cut short
+            self._file_system.remove(self._rewrite_path)  # left by an interrupted rewrite
         try:
-            file = self._files.open(self._path)
+            file = self._file_system.open(self._path)
         except FileNotFoundError:
             self._replace_file(())
             return Recovered(None, ())
@@ -98,38 +113,41 @@
             tail, contents = replay(file)
             if tail.offset != file.size():
                 file.truncate(tail.offset)
-            file.fsync()  # what a killed process had written, or cut, but not synced
-            self._files.sync_folder(self._folder)  # as it may have renamed the file
+            file.fsync()  # a killed process may have written or truncated without syncing
+            self._file_system.sync_folder(self._folder)  # it may also have renamed the file
         except BaseException:
             file.close()
             raise
         tail.synced = tail.offset
-        self._adopt(file, tail, contents.extent)
+        self._adopt(file, tail, contents.sequences)
         return Recovered(contents.snapshot, tuple(contents.entries))
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Write entries that follow on the last one, not synced; raises OSError, and SequenceError for others."""
+        """Writes entries that follow the last one, without syncing. Raises OSError, and SequenceError if they do not
+        follow.
+        """
         if entries:
-            _check_contiguous(self._extent.last, entries)
-            self._write((Kind.ENTRIES, body) for body in entries_bodies(entries))
-            self._extent.extend(entries[0].sequence, entries[-1].sequence)
+            _check_contiguous(self._sequences.last, entries)
+            self._write((RecordKind.ENTRIES, body) for body in encode_entries(entries))
+            self._sequences.extend(entries[0].sequence, entries[-1].sequence)
 
     def truncate(self, sequence: int) -> None:
-        """Entries above `sequence` are void, once synced; raises OSError, and SequenceError for a sequence below the
-        snapshot's. The file grows by a marker."""
-        self._extent.check_truncation(sequence)
-        if self._extent.last is not None and sequence < self._extent.last:
-            self._write([(Kind.TRUNCATION, truncation_body(sequence))])
-            self._extent.truncate(sequence)
+        """Invalidates the entries above `sequence` by appending a marker, effective once synced. Raises OSError, and
+        SequenceError if `sequence` is below the snapshot.
+        """
+        self._sequences.check_truncation(sequence)
+        if self._sequences.last is not None and sequence < self._sequences.last:
+            self._write([(RecordKind.TRUNCATION, encode_truncation(sequence))])
+            self._sequences.truncate(sequence)
 
     def install(self, snapshot: Snapshot) -> None:
-        """Once synced, the snapshot is in place of everything before; raises OSError."""
-        for record in snapshot_records(snapshot):
+        """Appends a snapshot that replaces everything before it once it is synced. Raises OSError."""
+        for record in encode_snapshot(snapshot):
             self._write([record])
-        self._extent.restart(snapshot.sequence)
+        self._sequences.reset(snapshot.sequence)
 
     def sync(self) -> None:
-        """Make what was written durable; raises OSError."""
+        """Makes all writes durable. Raises OSError."""
         file = self._usable_file()
         if self._tail.synced == self._tail.offset:
             return
@@ -139,36 +157,43 @@
         self._tail.synced = self._tail.offset
 
     def rewrite(self, snapshot: Snapshot, entries: Sequence[Entry]) -> None:
-        """Put a new file with just these contents in the old one's place; it is durable when this returns, and until
-        then the old one is. `entries` are all that are to be kept, those not yet synced too. Raises OSError."""
+        """Replaces the file by a new one that contains only the snapshot and `entries`.
+
+        `entries` are all entries to be kept, including those not yet synced. The new file is durable on return. If the
+        call is interrupted, the old file remains valid. Raises OSError.
+        """
         _check_contiguous(snapshot.sequence, entries)
-        self._replace_file(_records(snapshot, entries))
-        self._extent.restart(snapshot.sequence)
+        self._replace_file(_encode_records(snapshot, entries))
+        self._sequences.reset(snapshot.sequence)
         if entries:
-            self._extent.extend(entries[0].sequence, entries[-1].sequence)
+            self._sequences.extend(entries[0].sequence, entries[-1].sequence)
 
     def scrub(self) -> int:
-        """Read the whole file again; the number of bytes whose checksums hold. Raises OSError and CorruptLog."""
+        """Reads the whole file and verifies all checksums. Returns the number of bytes verified. Raises OSError and
+        CorruptLog.
+        """
         scrub = self.begin_scrub()
-        while not self.scrub_slice(scrub, CHUNK):
+        while not self.scrub_slice(scrub, CHUNK_BYTES):
             pass
         return scrub.end.offset
 
     def begin_scrub(self) -> ScrubPass:
-        """Begin to read the whole file again, from the disk where the system can be told so. Raises OSError and
-        CorruptLog."""
+        """Starts a scrub of the whole file. Drops it from the page cache first, if the system supports it. Raises
+        OSError and CorruptLog.
+        """
         file, end = self._usable_file(), replace(self._tail)
         file.drop_cached()
         return ScrubPass(Cursor(file, end.offset), end)
 
-    def scrub_slice(self, scrub: ScrubPass, most: int) -> bool:
-        """Check about `most` bytes more; whether the pass is over, as it is too where the file was replaced. Raises
-        OSError and CorruptLog."""
+    def scrub_slice(self, scrub: ScrubPass, max_bytes: int) -> bool:
+        """Verifies about `max_bytes` more. Returns whether the pass is finished, which it also is if the file was
+        replaced. Raises OSError and CorruptLog.
+        """
         self._usable_file()
         if scrub.end.generation != self._tail.generation:
             return True
         cursor = scrub.cursor
-        until = cursor.tail.offset + most
+        until = cursor.tail.offset + max_bytes
         while cursor.tail.offset < until:
             if cursor.advance() is None:
                 self._check_scrub_end(scrub)
@@ -181,7 +206,7 @@
             raise CorruptLog(f"{self._path.name}: bad bytes at {tail.offset}")
 
     def close(self) -> None:
-        """Let go of the file; nothing is synced."""
+        """Closes the file without syncing it."""
         file, self._file, self._usable = self._file, None, False
         if file is not None:
             with contextlib.suppress(OSError):
@@ -189,46 +214,47 @@
 
     def _usable_file(self) -> File:
         if self._file is None or not self._usable:
-            raise OSError(errno.EIO, "the log is not open, or a call on its file failed before", str(self._path))
+            raise OSError(errno.EIO, "log is not open, or an earlier call on its file failed", str(self._path))
         return self._file
 
-    def _write(self, records: Iterator[tuple[Kind, bytes]] | Sequence[tuple[Kind, bytes]]) -> None:
+    def _write(self, records: Iterator[tuple[RecordKind, bytes]] | Sequence[tuple[RecordKind, bytes]]) -> None:
         file, offset = self._usable_file(), self._tail.offset
-        data = b"".join(self._tail.add(kind, body) for kind, body in records)
+        data = b"".join(self._tail.encode_record(kind, body) for kind, body in records)
         self._usable = False
         file.write(offset, data)
         self._usable = True
 
-    def _replace_file(self, records: Iterator[tuple[Kind, bytes]] | Sequence[tuple[Kind, bytes]]) -> None:
-        """Write a new file and give it the log's name, and start with an empty extent."""
-        file, tail = self._files.create(self._new_path), Tail(self._generation())
+    def _replace_file(self, records: Iterator[tuple[RecordKind, bytes]] | Sequence[tuple[RecordKind, bytes]]) -> None:
+        """Writes a new file, renames it to the name of the log and resets the sequence range."""
+        file, tail = self._file_system.create(self._rewrite_path), Tail(self._generation())
         try:
-            file.write(0, tail.add(Kind.FILE, b""))
+            file.write(0, tail.encode_record(RecordKind.FILE, b""))
             for kind, body in records:
                 offset = tail.offset
-                file.write(offset, tail.add(kind, body))
+                file.write(offset, tail.encode_record(kind, body))
             file.fsync()
-            self._files.rename(self._new_path, self._path)
+            self._file_system.rename(self._rewrite_path, self._path)
         except OSError:
             file.close()
             with contextlib.suppress(OSError):
-                self._files.remove(self._new_path)
+                self._file_system.remove(self._rewrite_path)
             raise
-        self._adopt(file, tail, Extent())
-        self._usable = False  # until the name is durable: the old file could come back without what is appended
-        self._files.sync_folder(self._folder)
+        self._adopt(file, tail, SequenceRange())
+        # A power loss before the rename is durable could restore the old file, without later appends.
+        self._usable = False
+        self._file_system.sync_folder(self._folder)
         tail.synced = tail.offset
         self._usable = True
 
-    def _adopt(self, file: File, tail: Tail, extent: Extent) -> None:
+    def _adopt(self, file: File, tail: Tail, sequences: SequenceRange) -> None:
         self.close()
-        self._file, self._tail, self._extent, self._usable = file, tail, extent, True
+        self._file, self._tail, self._sequences, self._usable = file, tail, sequences, True
 
 
-def _records(snapshot: Snapshot, entries: Sequence[Entry]) -> Iterator[tuple[Kind, bytes]]:
-    yield from snapshot_records(snapshot)
-    for body in entries_bodies(entries):
-        yield Kind.ENTRIES, body
+def _encode_records(snapshot: Snapshot, entries: Sequence[Entry]) -> Iterator[tuple[RecordKind, bytes]]:
+    yield from encode_snapshot(snapshot)
+    for body in encode_entries(entries):
+        yield RecordKind.ENTRIES, body
 
 
 def _check_contiguous(last: int | None, entries: Sequence[Entry]) -> None:
--- a/millethead/storage/register_file.py
+++ b/millethead/storage/register_file.py
@@ -1,11 +1,11 @@
-"""The file of a member's acceptor: what it has promised and accepted, in two copies.
+"""The register file of a member's acceptor: its durable promises and accepted value, in two copies.
 
-Four places of fixed size: two that are written in turn, and a copy of each. A promise is answered once its first copy
-is synced; the second one is written after that. So a write that is cut short spoils one copy at most, of what was never
-answered, and the promise before it has two. A place that has gone bad is read from its copy; where both copies of a
-place are bad, it is not known what was promised, and the disk is not believed.
+The file has four blocks of fixed size: two slots that are written alternately, and a copy of each. A promise is
+answered once its first copy is synced, and the second copy is written after that. So an interrupted write damages at
+most one copy of a promise that was not answered, and the previous promise has two copies. A damaged block is read from
+its copy. If both copies of a slot are damaged, the newest promise is unknown and the disk cannot be trusted.
 
-A file of an earlier version has the first two places only.
+A file of an earlier version has only the first two blocks.
 """
 
 from __future__ import annotations
@@ -15,25 +15,28 @@
 
 from millethead.rollout.register import Kept
 from millethead.rollout.store import PLACE, decode_place, encode_place
-from millethead.storage.files import Files
+from millethead.storage.files import FileSystem
 from millethead.storage.log import CorruptLog
 
-SLOTS = 2  # written in turn
+SLOTS = 2  # written alternately
 COPIES = 2
 
 
 class RegisterFile:
-    """Read with `load` before anything else. All calls may raise OSError."""
+    """The register file. Call `load` first. Every call may raise OSError."""
 
-    def __init__(self, files: Files, path: Path) -> None:
-        self._files, self.path = files, path
+    def __init__(self, file_system: FileSystem, path: Path) -> None:
+        self._file_system, self.path = file_system, path
         self._number = 0
-        self._last = Kept()
-        self._copied = True
+        self._saved = Kept()
+        self._copy_written = True
 
     def load(self) -> Kept:
-        """What was kept, written anew: a process that was killed may have left it unsynced, and what a failed sync gave
-        up can still be read. Makes the file where there is none; raises CorruptLog as `read` does."""
+        """Reads the register and writes it again. Creates the file if there is none.
+
+        It is written again because a killed process may have left it unsynced, and because data remains readable after
+        a failed sync although it is not on the disk. Raises CorruptLog like `read`.
+        """
         try:
             kept = self.read()
         except FileNotFoundError:
@@ -44,80 +47,81 @@
         return kept
 
     def read(self) -> Kept:
-        """What was kept; raises FileNotFoundError, and CorruptLog where it cannot be known."""
-        file = self._files.open(self.path)
+        """Returns the newest register. Raises FileNotFoundError, and CorruptLog if the newest register is unknown."""
+        file = self._file_system.open(self.path)
         try:
-            self._number, self._last = self._newest(file.read(0, SLOTS * COPIES * PLACE))
+            self._number, self._saved = self._find_newest(file.read(0, SLOTS * COPIES * PLACE))
         finally:
             file.close()
-        return self._last
+        return self._saved
 
     def save(self, kept: Kept) -> None:
-        """Have it on the disk when this returns; after an OSError what was there still counts."""
-        before = self._number, self._last
-        self._number, self._last = self._number + 1, kept
+        """Writes the register durably. After an OSError the previous register remains valid."""
+        previous = self._number, self._saved
+        self._number, self._saved = self._number + 1, kept
         try:
             self._write_synced(range(1))
         except OSError:
-            self._number, self._last = before
+            self._number, self._saved = previous
             raise
-        self._copied = False
+        self._copy_written = False
 
     def save_copy(self) -> None:
-        """Write the second copy of what was saved last."""
-        if not self._copied:
+        """Writes the second copy of the register saved last."""
+        if not self._copy_written:
             self._write_synced(range(1, COPIES))
-            self._copied = True
+            self._copy_written = True
 
     def repair(self) -> bool:
-        """Read both copies of what was saved last, and write them anew where they are not there; whether that was
-        needed."""
-        expected = encode_place(self._number, self._last)
-        file = self._files.open(self.path)
+        """Verifies both copies of the register saved last, and rewrites those that are damaged. Returns whether any
+        was.
+        """
+        expected = encode_place(self._number, self._saved)
+        file = self._file_system.open(self.path)
         try:
-            bad = [copy for copy in range(COPIES) if file.read(self._offset(copy), PLACE) != expected]
+            damaged = [copy for copy in range(COPIES) if file.read(self._offset(copy), PLACE) != expected]
         finally:
             file.close()
-        if bad:
-            self._write_synced(bad)
-            self._copied = True
-        return bool(bad)
+        if damaged:
+            self._write_synced(damaged)
+            self._copy_written = True
+        return bool(damaged)
 
     def _create(self) -> None:
-        new = self.path.with_name(f"{self.path.name}.new")
-        file = self._files.create(new)
+        new_path = self.path.with_name(f"{self.path.name}.new")
+        file = self._file_system.create(new_path)
         try:
             file.write(0, encode_place(0, Kept()) * (SLOTS * COPIES))
             file.fdatasync()
         finally:
             file.close()
-        self._files.rename(new, self.path)
-        self._files.sync_folder(self.path.parent)
+        self._file_system.rename(new_path, self.path)
+        self._file_system.sync_folder(self.path.parent)
 
-    def _newest(self, data: bytes) -> tuple[int, Kept]:
-        places = [data[at : at + PLACE] for at in range(0, len(data), PLACE)]
-        found = [decode_place(place) for place in places]
-        if len(found) < SLOTS:
+    def _find_newest(self, data: bytes) -> tuple[int, Kept]:
+        blocks = [data[offset : offset + PLACE] for offset in range(0, len(data), PLACE)]
+        decoded = [decode_place(block) for block in blocks]
+        if len(decoded) < SLOTS:
             raise CorruptLog(f"{self.path.name}: cut short")
         for slot in range(SLOTS):
-            copies = found[slot::SLOTS]
+            copies = decoded[slot::SLOTS]
             if len(copies) == COPIES and not any(copies):
                 raise CorruptLog(f"{self.path.name}: both copies of a place are bad")
-        readable = [read for read in found if read is not None]
-        if not readable:
+        valid = [numbered for numbered in decoded if numbered is not None]
+        if not valid:
             raise CorruptLog(f"{self.path.name}: no place can be read")
-        return max(readable, key=lambda read: read[0])
+        return max(valid, key=lambda numbered: numbered[0])
 
     def _offset(self, copy: int) -> int:
         return PLACE * (SLOTS * copy + self._number % SLOTS)
 
     def _write_synced(self, copies: Iterable[int]) -> None:
-        """Write copies of what was saved last, each synced before the next."""
-        place = encode_place(self._number, self._last)
-        file = self._files.open(self.path)
+        """Writes the given copies of the register saved last. Each is synced before the next is written."""
+        block = encode_place(self._number, self._saved)
+        file = self._file_system.open(self.path)
         try:
             for copy in copies:
-                file.write(self._offset(copy), place)
+                file.write(self._offset(copy), block)
                 file.fdatasync()
         finally:
             file.close()
--- a/millethead/storage/register_writer.py
+++ b/millethead/storage/register_writer.py
@@ -1,7 +1,7 @@
-"""Saves of the acceptor's state through the thread that waits on the disk.
+"""Saves the register of an acceptor through the disk thread.
 
-The newest state stands for those before it: what was promised in these holds in it too. So saves that wait for the disk
-are one write, and a burst of rounds cannot make a queue that grows. The second copy is written once no save waits.
+The newest register includes all earlier promises. Therefore all saves that wait for the disk are combined into one
+write, and a burst of rounds cannot grow the queue without bound. The second copy is written once no save is waiting.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 class DiskThread(Protocol):
-    """Where blocking jobs are done, in their order."""
+    """Executes blocking disk jobs in order."""
 
     def run(self, job: Callback, done: Callback, timed: bool = False) -> None:
-        """Do a job, then have `done` called on the event loop."""
+        """Executes a job, then calls `done` on the event loop."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,42 +32,42 @@
 
 
 class RegisterWriter:
-    """`save` is called on the event loop."""
+    """Combines concurrent saves. `save` is called on the event loop."""
 
-    def __init__(self, register: RegisterFile, disk: DiskThread) -> None:
-        self._register, self._disk = register, disk
-        self._lock = Lock()  # guards what follows
-        self._due: list[_Save] = []
-        self._written: deque[list[_Save]] = deque()  # whose ends are not told yet
+    def __init__(self, register: RegisterFile, disk_thread: DiskThread) -> None:
+        self._register, self._disk_thread = register, disk_thread
+        self._lock = Lock()  # guards the attributes below
+        self._pending: list[_Save] = []
+        self._written: deque[list[_Save]] = deque()  # callbacks not called yet
 
     def save(self, kept: Kept, done: Callback) -> None:
-        """Have a state on the disk, and then `done` called."""
+        """Saves a register durably, then calls `done`."""
         with self._lock:
-            self._due.append(_Save(kept, done))
-            queued = len(self._due) > 1
+            self._pending.append(_Save(kept, done))
+            queued = len(self._pending) > 1
         if not queued:
-            self._disk.run(self._write, self._tell, timed=True)
-            self._disk.run(self._copy, _nothing)
+            self._disk_thread.run(self._write_register, self._report_saved, timed=True)
+            self._disk_thread.run(self._write_copy, _ignore)
 
-    def _write(self) -> None:
+    def _write_register(self) -> None:
         with self._lock:
-            saves, self._due = self._due, []
+            saves, self._pending = self._pending, []
         self._register.save(saves[-1].kept)
         with self._lock:
             self._written.append(saves)
 
-    def _tell(self) -> None:
+    def _report_saved(self) -> None:
         with self._lock:
             saves = self._written.popleft()
         for save in saves:
             save.done()
 
-    def _copy(self) -> None:
+    def _write_copy(self) -> None:
         with self._lock:
-            waiting = bool(self._due)
-        if not waiting:  # else the copy follows their write
+            save_waiting = bool(self._pending)
+        if not save_waiting:  # otherwise the copy follows the next write
             self._register.save_copy()
 
 
-def _nothing() -> None:
-    """Nobody waits for the second copy."""
+def _ignore() -> None:
+    """No caller waits for the second copy."""
--- a/millethead/storage/scrubber.py
+++ b/millethead/storage/scrubber.py
@@ -1,5 +1,7 @@
-"""The background scrub of a member's disk: what is on it is read again, a slice at a time, while the state in memory
-can still replace what has gone bad. Found only at the next start, the same bytes would cost the disk its identity.
+"""Background scrub of a member's disk: reads the log again in slices while the process runs.
+
+Damage found during service is repaired from the state in memory. If it were found only at the next start, the disk
+would lose its identity.
 """
 
 from __future__ import annotations
@@ -10,7 +12,7 @@
 
 from millethead.storage.log import CorruptLog, LogFile, ScrubPass
 
-SLICE_BYTES = 256 << 10  # read in one job of the writer's thread, so that appends wait a few ms at most
+SLICE_BYTES = 256 << 10  # per job of the writer's thread, so that appends are delayed by a few ms at most
 SLICE_PAUSE_S = 0.1  # between two slices of a pass
 PASS_PAUSE_S = 300.0  # between two passes, and before the first one
 
@@ -18,73 +20,80 @@
 
 
 class ScrubState(enum.Enum):
-    """What the scrub does at present."""
+    """The state of the scrubber."""
 
-    RESTING = enum.auto()  # between two passes
-    READING = enum.auto()  # a slice is with the writer's thread
+    IDLE = enum.auto()  # between two passes
+    READING = enum.auto()  # a slice is queued or being read in the writer's thread
     PAUSING = enum.auto()  # between two slices
 
 
 @dataclass(frozen=True, slots=True)
-class _Slice:
-    """How a slice ended. `damage`: what is bad, empty where all was whole."""
+class _SliceResult:
+    """The result of a slice. `damage` describes damage that was found, and is empty if there was none."""
 
-    over: bool
+    pass_finished: bool
     damage: str = ""
 
 
 class Scrubber:
-    """Reads `log` again by jobs given to `run` (as `LogWriter.run` takes them). `begin_pass` is done in such a job at
-    the start of each pass. `damaged(why)` is called on the event loop where the log cannot be read whole: it is to be
-    rewritten. `clock`: steady seconds.
+    """Scrubs `log` in jobs that it passes to `run` (a function like `LogWriter.run`).
+
+    `on_pass_start` is called in such a job at the start of each pass. `on_damage(why)` is called on the event loop if
+    the log is damaged or unreadable and must be rewritten. `clock` returns seconds of a monotonic clock.
     """
 
     def __init__(
         self,
         log: LogFile,
         run: Callable[[Callback, Callback], None],
-        begin_pass: Callback,
-        damaged: Callable[[str], None],
+        on_pass_start: Callback,
+        on_damage: Callable[[str], None],
         clock: Callable[[], float],
     ) -> None:
-        self._log, self._run, self._begin_pass, self._damaged, self._clock = log, run, begin_pass, damaged, clock
-        self._state = ScrubState.RESTING
-        self._due = clock() + PASS_PAUSE_S
-        self._pass: ScrubPass | None = None
-        self._read = _Slice(True)
-        self.passes = 0  # that were read to the end, with or without damage
+        self._log, self._run, self._on_pass_start, self._on_damage, self._clock = (
+            log,
+            run,
+            on_pass_start,
+            on_damage,
+            clock,
+        )
+        self._state = ScrubState.IDLE
+        self._due_at = clock() + PASS_PAUSE_S
+        self._current_pass: ScrubPass | None = None
+        self._last_slice = _SliceResult(True)
+        self.completed_passes = 0  # with or without damage
 
     def tick(self) -> None:
-        """Begin the next slice if it is due."""
-        if self._state is not ScrubState.READING and self._clock() >= self._due:
-            self._enter(ScrubState.READING)
+        """Starts the next slice if it is due."""
+        if self._state is not ScrubState.READING and self._clock() >= self._due_at:
+            self._set_state(ScrubState.READING)
             self._run(self._read_slice, self._slice_done)
 
     def _read_slice(self) -> None:
-        """In the writer's thread."""
+        """Runs in the writer's thread."""
         try:
-            if self._pass is None:
-                self._begin_pass()
-                self._pass = self._log.begin_scrub()
-            self._read = _Slice(self._log.scrub_slice(self._pass, SLICE_BYTES))
+            if self._current_pass is None:
+                self._on_pass_start()
+                self._current_pass = self._log.begin_scrub()
+            self._last_slice = _SliceResult(self._log.scrub_slice(self._current_pass, SLICE_BYTES))
         except (CorruptLog, OSError) as error:
-            self._read = _Slice(True, str(error))
-        if self._read.over:
-            self._pass = None
+            self._last_slice = _SliceResult(True, str(error))
+        if self._last_slice.pass_finished:
+            self._current_pass = None
 
     def _slice_done(self) -> None:
-        """On the event loop."""
-        self._enter(ScrubState.RESTING if self._read.over else ScrubState.PAUSING)
-        if self._read.damage:
-            self._damaged(self._read.damage)
+        """Runs on the event loop."""
+        self._set_state(ScrubState.IDLE if self._last_slice.pass_finished else ScrubState.PAUSING)
+        if self._last_slice.damage:
+            self._on_damage(self._last_slice.damage)
 
-    def _enter(self, state: ScrubState) -> None:
+    def _set_state(self, state: ScrubState) -> None:
         self._state = state
         match state:
-            case ScrubState.RESTING:
-                self.passes += 1
-                self._due = self._clock() + PASS_PAUSE_S
+            case ScrubState.IDLE:
+                self.completed_passes += 1
+                self._due_at = self._clock() + PASS_PAUSE_S
             case ScrubState.PAUSING:
-                self._due = self._clock() + SLICE_PAUSE_S
+                self._due_at = self._clock() + SLICE_PAUSE_S
             case ScrubState.READING:
                 pass
--- a/millethead/storage/sync_times.py
+++ b/millethead/storage/sync_times.py
@@ -1,9 +1,10 @@
-"""How long a disk has taken lately, by which a member leaves the chain or returns.
+"""Measures the recent latency of the disk. A member leaves or rejoins the replication chain by it.
 
-Only the disk is measured. A job may also wait because the thread that writes, or the event loop that waits for it, has
-no processor: that says nothing about the disk, and a busy head that took it for a slow disk would hand over to the next
-member, which has the same work to do. So the writer's thread tells when the disk has work, and the event loop tells
-when it was held up itself: the thread may have waited for the interpreter meanwhile, with its write long done.
+Only time spent in the disk counts. A job may also wait because the writer's thread or the event loop does not get a
+processor, which says nothing about the disk. If a busy head mistook such a delay for a slow disk, it would hand
+leadership to the next member, which then has the same load. Therefore the writer's thread reports when the disk starts
+and finishes work, and the event loop reports its own delays: during these the thread may have been waiting for the
+interpreter lock although its write was finished.
 """
 
 from __future__ import annotations
@@ -13,71 +14,77 @@
 from dataclasses import dataclass
 from threading import Lock
 
-MEMORY_S = 2.0  # writes are remembered for so long
-HELD_UP_S = 0.01  # an event loop that goes on so late was held up
+WINDOW_S = 2.0  # age up to which writes count
+MIN_LOOP_DELAY_S = 0.01  # shorter delays of the event loop are ignored
 MS = 1000
 
 
 @dataclass(frozen=True, slots=True)
-class _Span:
-    """Seconds of the clock from `since` to `until`."""
+class _Interval:
+    """An interval of the clock, in seconds."""
 
-    since: float
-    until: float
+    start: float
+    end: float
 
-    def overlap(self, other: _Span) -> float:
-        """How long both last at once."""
-        return max(0.0, min(self.until, other.until) - max(self.since, other.since))
+    def overlap(self, other: _Interval) -> float:
+        """Returns the length of the intersection of two intervals, in seconds."""
+        return max(0.0, min(self.end, other.end) - max(self.start, other.start))
 
 
 class SyncTimes:
-    """Told by whoever does the writes, in its thread; read on the event loop. `clock`: steady seconds."""
+    """Records disk writes in the thread that executes them, and computes their latency on the event loop. `clock`
+    returns monotonic seconds.
+    """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._lock = Lock()  # guards all that follows
-        self._writes: deque[_Span] = deque()
-        self._held_up: deque[_Span] = deque()  # spans that follow one another
+        self._lock = Lock()  # guards the attributes below
+        self._writes: deque[_Interval] = deque()
+        self._loop_delays: deque[_Interval] = deque()  # in order, without overlap
         self._idle_since = clock()
-        self._began: float | None = None  # when the disk began to be what the oldest job under way waits for
+        self._busy_since: float | None = None  # time from which the oldest job in progress waits for the disk
 
-    def started(self, waiting_since: float) -> None:
-        """The disk is given work whose oldest job was queued at `waiting_since`. Of its wait the part counts in which
-        the disk did what was queued before."""
+    def record_start(self, queued_at: float) -> None:
+        """Records that the disk starts a group of jobs, the oldest of which was queued at `queued_at`.
+
+        The time that this job waited while the disk was busy with earlier jobs counts as latency.
+        """
         with self._lock:
             now = self._clock()
-            self._began = now - max(0.0, self._idle_since - waiting_since)
+            self._busy_since = now - max(0.0, self._idle_since - queued_at)
 
-    def finished(self, counts: bool = True) -> None:
-        """The disk has done that work; `counts` false: it was not a write that anybody waits for."""
+    def record_end(self, counts: bool = True) -> None:
+        """Records that the disk has finished that work. `counts` is false for work that is not a write with a caller
+        waiting for it.
+        """
         with self._lock:
             now = self._clock()
-            if self._began is not None and counts:
-                self._writes.append(_Span(self._began, now))
-            self._began = None
+            if self._busy_since is not None and counts:
+                self._writes.append(_Interval(self._busy_since, now))
+            self._busy_since = None
             self._idle_since = now
 
-    def held_up(self, since: float) -> None:
-        """The event loop should have gone on at `since`, and does so only now."""
+    def record_loop_delay(self, due_at: float) -> None:
+        """Records that the event loop should have continued at `due_at` and continues only now."""
         with self._lock:
-            self._held_up.append(_Span(since, self._clock()))
+            self._loop_delays.append(_Interval(due_at, self._clock()))
 
     def latency_ms(self) -> int:
-        """The longest write lately, or how long the present one is under way if that is more."""
+        """Returns the longest recent write, or the duration of the write in progress if that is longer."""
         with self._lock:
             now = self._clock()
-            _forget(self._writes, now - MEMORY_S)
-            spans = list(self._writes)
-            if self._began is not None:
-                spans.append(_Span(self._began, now))
-            _forget(self._held_up, min([now - MEMORY_S, *(span.since for span in spans)]))
-            return int(MS * max(map(self._at_disk, spans), default=0.0))
+            _drop_before(self._writes, now - WINDOW_S)
+            intervals = list(self._writes)
+            if self._busy_since is not None:
+                intervals.append(_Interval(self._busy_since, now))
+            _drop_before(self._loop_delays, min([now - WINDOW_S, *(interval.start for interval in intervals)]))
+            return int(MS * max(map(self._disk_time, intervals), default=0.0))
 
-    def _at_disk(self, write: _Span) -> float:
-        """How long a write took (s), without the time in which the process was held up."""
-        return write.until - write.since - sum(map(write.overlap, self._held_up))
+    def _disk_time(self, write: _Interval) -> float:
+        """Returns the duration of a write in seconds, without the delays of the event loop during it."""
+        return write.end - write.start - sum(map(write.overlap, self._loop_delays))
 
 
-def _forget(spans: deque[_Span], before: float) -> None:
-    while spans and spans[0].until < before:
-        spans.popleft()
+def _drop_before(intervals: deque[_Interval], before: float) -> None:
+    while intervals and intervals[0].end < before:
+        intervals.popleft()
--- a/millethead/storage/writer.py
+++ b/millethead/storage/writer.py
@@ -1,6 +1,7 @@
-"""The thread that waits on the disk, so that the event loop does not; many appends ride on one sync.
+"""A thread that executes blocking disk operations, so that the event loop does not block. One sync covers many appends.
 
-Jobs on the log are done in the order they were queued, a group of them for each sync. Other disk jobs go before.
+Log jobs are executed in the order in which they were queued, in groups of one sync each. Other disk jobs take
+precedence.
 """
 
 from __future__ import annotations
@@ -18,24 +19,24 @@
 from millethead.storage.log import Entry, LogFile, Snapshot
 from millethead.storage.sync_times import SyncTimes
 
-GROUP_BYTES = 4 << 20  # no more is added to a group that holds as much, so that other disk jobs get their turn
+GROUP_BYTES = 4 << 20  # size at which a group is complete, so that other disk jobs are not delayed for long
 
 Callback = Callable[[], None]
 
 
 class WriterState(enum.Enum):
-    """What becomes of a job that is queued."""
+    """Whether the writer accepts and executes jobs."""
 
-    OPEN = enum.auto()  # it is done
-    CLOSING = enum.auto()  # it is dropped; those queued before are done
-    BROKEN = enum.auto()  # it is dropped, as were those queued before
+    OPEN = enum.auto()  # jobs are accepted and executed
+    CLOSING = enum.auto()  # new jobs are dropped, queued ones are executed
+    BROKEN = enum.auto()  # after a failure: new and queued jobs are dropped
 
 
 @dataclass(frozen=True, slots=True)
 class _Append:
-    since: float
+    queued_at: float
     entries: Sequence[Entry]
-    durable: Callback
+    on_durable: Callback
 
     @property
     def size(self) -> int:
@@ -44,16 +45,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _Truncate:
-    since: float
+    queued_at: float
     sequence: int
     size = 0
 
 
 @dataclass(frozen=True, slots=True)
 class _Install:
-    since: float
+    queued_at: float
     snapshot: Snapshot
-    durable: Callback
+    on_durable: Callback
 
     @property
     def size(self) -> int:
@@ -62,30 +63,31 @@
 
 @dataclass(frozen=True, slots=True)
 class _Rewrite:
-    since: float
+    queued_at: float
     snapshot: Snapshot
     entries: Sequence[Entry]
     size = GROUP_BYTES
 
 
 @dataclass(frozen=True, slots=True)
-class _Run:
-    since: float
+class _DiskJob:
+    queued_at: float
     job: Callback
     done: Callback
     timed: bool
 
 
 _LogJob = _Append | _Truncate | _Install | _Rewrite
-_Job = TypeVar("_Job", _LogJob, _Run)
+_Job = TypeVar("_Job", _LogJob, _DiskJob)
 
 
 class LogWriter:
-    """Owns the log, and does all blocking disk jobs in one background thread.
+    """Owns the log, and executes all blocking disk jobs in one background thread.
 
-    `post(f)` schedules `f` on the event loop; `failed(error)` is posted once, when a job has failed. From then on
-    nothing is done, and `durable` and `done` are no longer called. With `threaded` false nothing is done but by calls
-    of `step`, for a simulation. `clock` gives monotonic seconds. `times` is told of each write that is done.
+    `post(f)` schedules `f` on the event loop. `failed(error)` is posted once, after the first job that fails. From then
+    on no job is executed, and no `on_durable` or `done` callback is called. If `threaded` is false, jobs are executed
+    only by calls of `step`, for simulations. `clock` returns monotonic seconds. `times` records the duration of each
+    write.
     """
 
     def __init__(
@@ -98,57 +100,60 @@
         threaded: bool = True,
         times: SyncTimes | None = None,
     ) -> None:
-        self._times = times if times is not None else SyncTimes(clock)
-        self._log, self._post_to_loop, self._failed, self._clock = log, post, failed, clock
-        self._wake = threading.Condition()  # guards all that follows
+        self._sync_times = times if times is not None else SyncTimes(clock)
+        self._log, self._schedule, self._on_failure, self._clock = log, post, failed, clock
+        self._condition = threading.Condition()  # guards the attributes below
         self._state = WriterState.OPEN
         self._log_jobs = deque[_LogJob]()
-        self._runs = deque[_Run]()
-        self._working_since: float | None = None
-        self._thread = threading.Thread(target=self._work, name="log-writer", daemon=True) if threaded else None
+        self._disk_jobs = deque[_DiskJob]()
+        self._executing_since: float | None = None
+        self._thread = threading.Thread(target=self._run_thread, name="log-writer", daemon=True) if threaded else None
         if self._thread is not None:
             self._thread.start()
 
     @property
     def broken(self) -> bool:
-        """A job has failed, and nothing more is done."""
+        """Whether a job has failed, after which no job is executed."""
         return self._state is WriterState.BROKEN
 
     @property
     def pending_since(self) -> float | None:
-        """The time of the clock since which the oldest unfinished job has waited; None when there is none."""
-        with self._wake:
-            waits = [queue[0].since for queue in (self._log_jobs, self._runs) if queue]
-            if self._working_since is not None:
-                waits.append(self._working_since)
+        """The time at which the oldest unfinished job was queued. None if there is none."""
+        with self._condition:
+            waits = [queue[0].queued_at for queue in (self._log_jobs, self._disk_jobs) if queue]
+            if self._executing_since is not None:
+                waits.append(self._executing_since)
         return min(waits, default=None)
 
-    def append(self, entries: Sequence[Entry], durable: Callback) -> None:
-        """Append entries; `durable` is posted once they, and all jobs on the log before, are synced. Without entries
-        it says just that."""
-        self._add(self._log_jobs, _Append(self._clock(), entries, durable))
+    def append(self, entries: Sequence[Entry], on_durable: Callback) -> None:
+        """Appends entries. `on_durable` is posted once these and all earlier log jobs are synced, also if `entries` is
+        empty.
+        """
+        self._enqueue(self._log_jobs, _Append(self._clock(), entries, on_durable))
 
     def truncate(self, sequence: int) -> None:
-        """Make the entries above `sequence` void."""
-        self._add(self._log_jobs, _Truncate(self._clock(), sequence))
+        """Invalidates the entries above `sequence`."""
+        self._enqueue(self._log_jobs, _Truncate(self._clock(), sequence))
 
-    def install(self, snapshot: Snapshot, durable: Callback) -> None:
-        """Put a snapshot in place of everything queued or written before."""
-        self._add(self._log_jobs, _Install(self._clock(), snapshot, durable))
+    def install(self, snapshot: Snapshot, on_durable: Callback) -> None:
+        """Replaces everything queued or written before by a snapshot."""
+        self._enqueue(self._log_jobs, _Install(self._clock(), snapshot, on_durable))
 
     def rewrite(self, snapshot: Snapshot, entries: Sequence[Entry]) -> None:
-        """Write the log anew; `entries` are all after the snapshot that are to be kept, queued ones too."""
-        self._add(self._log_jobs, _Rewrite(self._clock(), snapshot, entries))
+        """Rewrites the log. `entries` are all entries after the snapshot that are to be kept, including queued ones."""
+        self._enqueue(self._log_jobs, _Rewrite(self._clock(), snapshot, entries))
 
     def run(self, job: Callback, done: Callback, timed: bool = False) -> None:
-        """Do another blocking disk job, in order with others of its sort and before the queued jobs on the log.
-        `timed`: how long it takes tells how fast the disk is."""
-        self._add(self._runs, _Run(self._clock(), job, done, timed))
+        """Executes another blocking disk job, in order with others of this kind and before the queued log jobs.
+
+        If `timed` is true, its duration counts as disk latency.
+        """
+        self._enqueue(self._disk_jobs, _DiskJob(self._clock(), job, done, timed))
 
     def close(self, timeout: float | None = None) -> None:
-        """Finish what is queued; waits for it, at most `timeout` seconds. The log stays open."""
-        with self._wake:
-            self._enter(WriterState.CLOSING)
+        """Executes the queued jobs and waits up to `timeout` seconds for them. The log stays open."""
+        with self._condition:
+            self._set_state(WriterState.CLOSING)
         if self._thread is not None:
             self._thread.join(timeout)
             return
@@ -156,59 +161,61 @@
             pass
 
     def step(self) -> bool:
-        """Do one other job, or else one group of jobs on the log; false when nothing is queued. Blocks on the disk."""
-        with self._wake:
-            run, group = self._take()
-        if run is None and not group:
+        """Executes one other disk job, or else one group of log jobs. Returns false if no job is queued. Blocks on the
+        disk.
+        """
+        with self._condition:
+            disk_job, group = self._dequeue()
+        if disk_job is None and not group:
             return False
-        self._times.started(run.since if run is not None else group[0].since)
+        self._sync_times.record_start(disk_job.queued_at if disk_job is not None else group[0].queued_at)
         try:
-            if run is not None:
-                run.job()
-                self._post(run.done)
+            if disk_job is not None:
+                disk_job.job()
+                self._post(disk_job.done)
             else:
-                self._commit(group)
+                self._execute_group(group)
         except OSError as error:
-            self._break(error)
-        except Exception as error:  # a fault in the program: the disk's state is as unknown
+            self._fail(error)
+        except Exception as error:  # a bug: the state of the disk is unknown as well
             failure = OSError(errno.EIO, f"{type(error).__name__}: {error}")
             failure.__cause__ = error
-            self._break(failure)
+            self._fail(failure)
         finally:
-            self._times.finished(_is_timed(run, group))
-            with self._wake:
-                self._working_since = None
+            self._sync_times.record_end(_is_timed(disk_job, group))
+            with self._condition:
+                self._executing_since = None
         return True
 
-    def _work(self) -> None:
+    def _run_thread(self) -> None:
         while True:
-            with self._wake:
-                while not self._runs and not self._log_jobs:
+            with self._condition:
+                while not self._disk_jobs and not self._log_jobs:
                     if self._state is not WriterState.OPEN:
                         return
-                    self._wake.wait()
+                    self._condition.wait()
             self.step()
 
-    def _add(self, queue: deque[_Job], job: _Job) -> None:
-        with self._wake:
+    def _enqueue(self, queue: deque[_Job], job: _Job) -> None:
+        with self._condition:
             if self._state is WriterState.OPEN:
                 queue.append(job)
-                self._wake.notify()
+                self._condition.notify()
 
-    def _take(self) -> tuple[_Run | None, list[_LogJob]]:
-        if self._runs:
-            run = self._runs.popleft()
-            self._working_since = run.since
-            return run, []
+    def _dequeue(self) -> tuple[_DiskJob | None, list[_LogJob]]:
+        if self._disk_jobs:
+            disk_job = self._disk_jobs.popleft()
+            self._executing_since = disk_job.queued_at
+            return disk_job, []
         group, size = list[_LogJob](), 0
         while self._log_jobs and size < GROUP_BYTES:
             group.append(self._log_jobs.popleft())
             size += group[-1].size
         if group:
-            self._working_since = group[0].since
+            self._executing_since = group[0].queued_at
         return None, group
 
-    def _commit(self, group: Sequence[_LogJob]) -> None:
+    def _execute_group(self, group: Sequence[_LogJob]) -> None:
         entries = list[Entry]()
         for job in group:
             if isinstance(job, _Append):
@@ -216,14 +223,14 @@
                 continue
             self._log.append(entries)
             entries = []
-            self._do(job)
+            self._execute(job)
         self._log.append(entries)
         self._log.sync()
-        callbacks = [job.durable for job in group if isinstance(job, _Append | _Install)]
+        callbacks = [job.on_durable for job in group if isinstance(job, _Append | _Install)]
         if callbacks:
             self._post(lambda: _call_all(callbacks))
 
-    def _do(self, job: _Truncate | _Install | _Rewrite) -> None:
+    def _execute(self, job: _Truncate | _Install | _Rewrite) -> None:
         match job:
             case _Truncate():
                 self._log.truncate(job.sequence)
@@ -232,27 +239,27 @@
             case _Rewrite():
                 self._log.rewrite(job.snapshot, job.entries)
 
-    def _break(self, error: OSError) -> None:
-        with self._wake:
-            self._enter(WriterState.BROKEN)
+    def _fail(self, error: OSError) -> None:
+        with self._condition:
+            self._set_state(WriterState.BROKEN)
             self._log_jobs.clear()
-            self._runs.clear()
-        self._post(lambda: self._failed(error))
+            self._disk_jobs.clear()
+        self._post(lambda: self._on_failure(error))
 
-    def _enter(self, state: WriterState) -> None:
+    def _set_state(self, state: WriterState) -> None:
         if self._state is not WriterState.BROKEN:
             self._state = state
-            self._wake.notify_all()
+            self._condition.notify_all()
 
     def _post(self, callback: Callback) -> None:
-        with contextlib.suppress(RuntimeError):  # the event loop is closed: nobody is left to hear of it
-            self._post_to_loop(callback)
+        with contextlib.suppress(RuntimeError):  # the event loop is closed, so the callback has no effect
+            self._schedule(callback)
 
 
-def _is_timed(run: _Run | None, group: Sequence[_LogJob]) -> bool:
-    """Whether work on the disk tells how fast it is: somebody waits for it, and it is bounded."""
-    if run is not None:
-        return run.timed
+def _is_timed(disk_job: _DiskJob | None, group: Sequence[_LogJob]) -> bool:
+    """Whether the duration of the work counts as disk latency: it is bounded, and a caller waits for it."""
+    if disk_job is not None:
+        return disk_job.timed
     return any(isinstance(job, _Append | _Install) for job in group)
 
 
--- a/tests/test_core_load.py
+++ b/tests/test_core_load.py
@@ -63,7 +63,7 @@
 @contextmanager
 def disk_times_by_the_loop() -> Iterator[None]:
     """A write takes until the loop hears of it, however busy the loop was."""
-    with mock.patch.object(SyncTimes, "held_up", lambda self, since: None):
+    with mock.patch.object(SyncTimes, "record_loop_delay", lambda self, since: None):
         yield
 
 
--- a/tests/test_large_state.py
+++ b/tests/test_large_state.py
@@ -37,7 +37,7 @@
 from millethead.replication.successor import COPY_BYTES
 from millethead.rpc.codec import encode_any
 from millethead.storage.log import Entry, LogFile, Recovered, Snapshot
-from millethead.storage.records import MAX_RECORD
+from millethead.storage.records import MAX_RECORD_BYTES
 
 TERMS = QueueTerms("slow", "alpha", 1, 2, 500, 2000)
 PART = 10  # bytes, in the place of the copy's own
@@ -64,7 +64,7 @@
     for sequence in range(1, 10_001):
         log.append(Entry(1, sequence, encode_any(submitted(sequence))))
     snapshot = log.compact()
-    assert len(snapshot.payload) > MAX_RECORD
+    assert len(snapshot.payload) > MAX_RECORD_BYTES
     file = LogFile(tmp_path)
     file.recover()
     file.rewrite(snapshot, [])
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -113,7 +113,7 @@
         chain=SimpleNamespace(log=SimpleNamespace(last=(7, 90)), committed=88),
     )
     disk_state = SimpleNamespace(size=4096, broken=False, latency_ms=lambda: 12)
-    page = read(member_figures(replica, *((disk_state, SimpleNamespace(passes=3)) if disk else (None, None))))
+    page = read(member_figures(replica, *((disk_state, SimpleNamespace(completed_passes=3)) if disk else (None, None))))
     assert (page["view_epoch",], page["chain_members",], page["voters",]) == (7, 2, 3)
     assert (page["log_last_entry",], page["log_committed_entry",]) == (90, 88)
     assert page.get(("disk_sync_seconds",)) == (0.012 if disk else None)
--- a/tests/test_register_file.py
+++ b/tests/test_register_file.py
@@ -146,16 +146,16 @@
 
 
 def test_what_an_earlier_version_stored_is_read(tmp_path: Path) -> None:
-    from millethead.storage.files import OS_FILES
+    from millethead.storage.files import OS_FILE_SYSTEM
 
     store = Store(tmp_path, "view")
     store.load()
     store.save(kept(1))
-    register = RegisterFile(OS_FILES, store.path)
+    register = RegisterFile(OS_FILE_SYSTEM, store.path)
     assert register.load() == kept(1)
     register.save(kept(2))
     register.save_copy()
-    assert RegisterFile(OS_FILES, store.path).read() == kept(2)
+    assert RegisterFile(OS_FILE_SYSTEM, store.path).read() == kept(2)
 
 
 class DiskThread:
@@ -195,11 +195,11 @@
     thread.do()
     assert told == [3]
     thread.do()  # the copy of the first is left out: the second write follows
-    assert register._copied is False
+    assert register._copy_written is False
     thread.do()
     assert told == [3, 4]
     thread.do()
-    assert register._copied and not register.repair() and read(disk) == kept(4)
+    assert register._copy_written and not register.repair() and read(disk) == kept(4)
 
 
 def test_what_is_told_as_saved_is_on_the_disk() -> None:
--- a/tests/test_scrubbing.py
+++ b/tests/test_scrubbing.py
@@ -134,10 +134,10 @@
     desk.after(PASS_PAUSE_S - 1)
     assert desk.begun == 0
     desk.after(1)
-    assert (desk.begun, desk.scrubber.passes) == (1, 0)
+    assert (desk.begun, desk.scrubber.completed_passes) == (1, 0)
     desk.after(SLICE_PAUSE_S / 2)
     slices = 1
-    while not desk.scrubber.passes:
+    while not desk.scrubber.completed_passes:
         desk.after(SLICE_PAUSE_S)
         slices += 1
     assert slices == read_through(desk.log)
@@ -160,13 +160,13 @@
     desk = Scrubbing()
     desk.disk.flip_bit(LOG, desk.log.size - 1)
     desk.after(PASS_PAUSE_S)
-    while not desk.scrubber.passes:
+    while not desk.scrubber.completed_passes:
         desk.after(SLICE_PAUSE_S)
     assert len(desk.found) == 1 and not desk.writer.broken
     desk.writer.rewrite(Snapshot(1, 12, b"state"), ())
     desk.after(0.0)
     desk.after(PASS_PAUSE_S)
-    while desk.scrubber.passes < 2:
+    while desk.scrubber.completed_passes < 2:
         desk.after(SLICE_PAUSE_S)
     assert len(desk.found) == 1
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -19,10 +19,10 @@
 from millethead.lab.disk import Operation, SimulatedDisk
 from millethead.storage import identity as identities
 from millethead.storage import records, replay
-from millethead.storage.files import OS_FILES
+from millethead.storage.files import OS_FILE_SYSTEM
 from millethead.storage.identity import DiskIdentity, bootstrap_done, discard_disk, load_identity
 from millethead.storage.log import CorruptLog, Entry, LogFile, Recovered, SequenceError, Snapshot
-from millethead.storage.records import HEADER_SIZE, MAX_PAYLOAD, Kind, Tail
+from millethead.storage.records import HEADER_SIZE, MAX_PAYLOAD_BYTES, RecordKind, Tail
 from millethead.storage.writer import GROUP_BYTES, LogWriter
 
 HISTORIES = int(os.environ.get("STORAGE_HISTORIES", "400"))
@@ -171,7 +171,7 @@
     log.recover()
     writes = []
     disk.before = lambda operation, path: writes.append(operation)
-    many = entries(1, 5, size=records.BATCH_BYTES // 2 - 100)
+    many = entries(1, 5, size=records.MAX_BATCH_BYTES // 2 - 100)
     log.append(many)
     assert writes == [Operation.WRITE]
     disk.before = lambda operation, path: None
@@ -198,17 +198,17 @@
 
 
 def test_numbers_and_payloads_have_limits():
-    assert len(Entry(0, 0, bytes(MAX_PAYLOAD)).payload) < records.MAX_RECORD
+    assert len(Entry(0, 0, bytes(MAX_PAYLOAD_BYTES)).payload) < records.MAX_RECORD_BYTES
     for kind in (Entry, Snapshot):
         for epoch, sequence in ((-1, 0), (0, 1 << 63)):
             with pytest.raises(ValueError):
                 kind(epoch, sequence, b"")
     with pytest.raises(ValueError):
-        Entry(0, 0, bytes(MAX_PAYLOAD + 1))
+        Entry(0, 0, bytes(MAX_PAYLOAD_BYTES + 1))
 
 
 def test_a_snapshot_may_be_larger_than_any_record(tmp_path):
-    payload = random.Random(1).randbytes(MAX_PAYLOAD + 4321)
+    payload = random.Random(1).randbytes(MAX_PAYLOAD_BYTES + 4321)
     log = LogFile(tmp_path)
     log.recover()
     log.rewrite(Snapshot(2, 5, payload), entries(6))
@@ -223,12 +223,12 @@
 @pytest.mark.parametrize("parts", [1, 2, 3])
 def test_a_snapshot_whose_end_never_came_is_void(parts, monkeypatch):
     """The process ended while it was being installed: the log before it stands, and can be gone on with."""
-    monkeypatch.setattr(records, "PART_BYTES", 4)
+    monkeypatch.setattr(records, "SNAPSHOT_PART_BYTES", 4)
     disk = SimulatedDisk(1)
     log = open_log(disk)
     log.recover()
     log.append(entries(1, 3))
-    for record in list(records.snapshot_records(Snapshot(2, 9, b"0123456789")))[:parts]:
+    for record in list(records.encode_snapshot(Snapshot(2, 9, b"0123456789")))[:parts]:
         log._write([record])
     log.sync()
     log = LogFile(FOLDER, disk)
@@ -239,8 +239,8 @@
 
 
 def test_parts_that_do_not_make_the_snapshot_are_not_believed(monkeypatch):
-    monkeypatch.setattr(records, "PART_BYTES", 4)
-    whole = list(records.snapshot_records(Snapshot(2, 9, b"0123456789")))
+    monkeypatch.setattr(records, "SNAPSHOT_PART_BYTES", 4)
+    whole = list(records.encode_snapshot(Snapshot(2, 9, b"0123456789")))
     for wrong in (whole[1:], whole[:1] + whole[2:], [whole[0], whole[0], *whole[2:]], whole[:2] + whole[3:]):
         disk = SimulatedDisk(1)
         log = open_log(disk)
@@ -255,7 +255,7 @@
     disk = SimulatedDisk(1)
     log = open_log(disk)
     log.recover()
-    log._write([(Kind.SNAPSHOT, struct.pack(">QQ", 2, 5) + b"state")])
+    log._write([(RecordKind.SNAPSHOT, struct.pack(">QQ", 2, 5) + b"state")])
     log.sync()
     assert LogFile(FOLDER, disk).recover().snapshot == Snapshot(2, 5, b"state")
 
@@ -263,11 +263,11 @@
 def test_the_largest_record_is_written_and_read(tmp_path):
     log = LogFile(tmp_path)
     log.recover()
-    log.append([Entry(1, 1, bytes(MAX_PAYLOAD))])
+    log.append([Entry(1, 1, bytes(MAX_PAYLOAD_BYTES))])
     log.append(entries(2))
     log.sync()
     log.close()
-    assert [len(entry.payload) for entry in LogFile(tmp_path).recover().entries] == [MAX_PAYLOAD, 20]
+    assert [len(entry.payload) for entry in LogFile(tmp_path).recover().entries] == [MAX_PAYLOAD_BYTES, 20]
 
 
 def test_a_log_that_is_not_open_raises():
@@ -367,7 +367,7 @@
     data, ends = three_batches()
     for generation, shift in ((GENERATION + 1, 0), (GENERATION, 1)):
         tail = Tail(generation, offset=len(data) + 10 + shift, synced=len(data) + 5)
-        planted = data + b"?" * 10 + tail.add(Kind.TRUNCATION, records.truncation_body(1))
+        planted = data + b"?" * 10 + tail.encode_record(RecordKind.TRUNCATION, records.encode_truncation(1))
         assert recovered_from(planted).entries == tuple(entries(1, 6))
         assert ends[-1] == len(data)
 
@@ -388,12 +388,12 @@
 
 
 def test_evidence_is_found_across_the_edges_of_chunks():
-    for distance in range(replay.CHUNK - HEADER_SIZE - 3, replay.CHUNK + 4):
+    for distance in range(replay.CHUNK_BYTES - HEADER_SIZE - 3, replay.CHUNK_BYTES + 4):
         tail = Tail(GENERATION)
-        data = tail.add(Kind.FILE, b"")
+        data = tail.encode_record(RecordKind.FILE, b"")
         tail.offset += distance
         tail.synced = tail.offset
-        data += bytes(distance) + tail.add(Kind.TRUNCATION, records.truncation_body(1))
+        data += bytes(distance) + tail.encode_record(RecordKind.TRUNCATION, records.encode_truncation(1))
         with pytest.raises(CorruptLog):
             recovered_from(data)
 
@@ -402,41 +402,43 @@
     """Two logs of one file part after the first append; the record of the one in the other's place is stale."""
     data, ends = three_batches()
     tail = Tail(GENERATION, offset=ends[1], previous=1, synced=ends[1])
-    (body,) = records.entries_bodies(entries(3, 2, epoch=7))
-    assert recovered_from(data[: ends[1]] + tail.add(Kind.ENTRIES, body)).entries == tuple(entries(1, 2))
+    (body,) = records.encode_entries(entries(3, 2, epoch=7))
+    assert recovered_from(data[: ends[1]] + tail.encode_record(RecordKind.ENTRIES, body)).entries == tuple(
+        entries(1, 2)
+    )
 
 
 @pytest.mark.parametrize(
     ("kind", "body"),
     [
         (9, b""),
-        (Kind.FILE, b""),
-        (Kind.TRUNCATION, b""),
-        (Kind.SNAPSHOT, b"short"),
-        (Kind.ENTRIES, b""),
-        (Kind.ENTRIES, bytes(12)),
-        (Kind.ENTRIES, bytes(11) + b"\1" + bytes(11) + b"\1"),
-        (Kind.ENTRIES, b"\xff" * 8 + bytes(3) + b"\1" + bytes(12)),
-        (Kind.ENTRIES, next(records.entries_bodies(entries(9)))),
-        (Kind.TRUNCATION, records.truncation_body(3)),
+        (RecordKind.FILE, b""),
+        (RecordKind.TRUNCATION, b""),
+        (RecordKind.SNAPSHOT, b"short"),
+        (RecordKind.ENTRIES, b""),
+        (RecordKind.ENTRIES, bytes(12)),
+        (RecordKind.ENTRIES, bytes(11) + b"\1" + bytes(11) + b"\1"),
+        (RecordKind.ENTRIES, b"\xff" * 8 + bytes(3) + b"\1" + bytes(12)),
+        (RecordKind.ENTRIES, next(records.encode_entries(entries(9)))),
+        (RecordKind.TRUNCATION, records.encode_truncation(3)),
     ],
 )
 def test_a_whole_record_that_makes_no_sense_is_not_cut(kind, body):
     tail = Tail(GENERATION)
-    data = tail.add(Kind.FILE, b"") + tail.add(Kind.SNAPSHOT, struct.pack(">QQ", 1, 7))
+    data = tail.encode_record(RecordKind.FILE, b"") + tail.encode_record(RecordKind.SNAPSHOT, struct.pack(">QQ", 1, 7))
     with pytest.raises(CorruptLog):
-        recovered_from(data + tail.add(kind, body))
+        recovered_from(data + tail.encode_record(kind, body))
 
 
 def test_a_record_over_the_limit_is_refused_unread():
     tail = Tail(GENERATION)
-    data = tail.add(Kind.FILE, b"")
+    data = tail.encode_record(RecordKind.FILE, b"")
     with (
-        mock.patch.object(records, "MAX_BODY", 100),
-        mock.patch.object(replay, "MAX_BODY", 100),
+        mock.patch.object(records, "MAX_BODY_BYTES", 100),
+        mock.patch.object(replay, "MAX_BODY_BYTES", 100),
         pytest.raises(CorruptLog),
     ):
-        recovered_from(data + tail.add(Kind.SNAPSHOT, struct.pack(">QQ", 1, 1) + bytes(100)))
+        recovered_from(data + tail.encode_record(RecordKind.SNAPSHOT, struct.pack(">QQ", 1, 1) + bytes(100)))
 
 
 def test_a_scrub_finds_any_flipped_bit_and_counts_the_bytes():
@@ -479,15 +481,15 @@
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(st.binary(max_size=400), st.booleans())
 def test_recovery_of_arbitrary_bytes_is_a_value_or_corrupt(tail, with_start):
-    is_value_or_corrupt((Tail(GENERATION).add(Kind.FILE, b"") if with_start else b"") + tail)
+    is_value_or_corrupt((Tail(GENERATION).encode_record(RecordKind.FILE, b"") if with_start else b"") + tail)
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 6), st.binary(max_size=60)), max_size=6))
 def test_recovery_of_arbitrary_whole_records_is_a_value_or_corrupt(parts):
     tail = Tail(GENERATION)
-    data = tail.add(Kind.FILE, b"")
-    is_value_or_corrupt(data + b"".join(tail.add(kind, body) for kind, body in parts))
+    data = tail.encode_record(RecordKind.FILE, b"")
+    is_value_or_corrupt(data + b"".join(tail.encode_record(kind, body) for kind, body in parts))
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
@@ -533,12 +535,12 @@
     log.sync()
     tracemalloc.start()
     log.scrub()
-    (tmp_path / "log").write_bytes(Tail(GENERATION).add(Kind.FILE, b"") + bytes(8 << 20))
+    (tmp_path / "log").write_bytes(Tail(GENERATION).encode_record(RecordKind.FILE, b"") + bytes(8 << 20))
     tracemalloc.reset_peak()
     LogFile(tmp_path).recover()
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
-    assert peak < 4 * replay.CHUNK
+    assert peak < 4 * replay.CHUNK_BYTES
 
 
 # Refusals
@@ -1105,9 +1107,9 @@
     identity = load_identity(tmp_path, True, lambda: 7)
     path = tmp_path / identities.IDENTITY_NAME
     data = path.read_bytes()
-    size = len(data) - identities.COPY_AT
+    size = len(data) - identities.COPY_OFFSET
     for at in range(size):
-        for bad in (damaged(data, at), damaged(data, identities.COPY_AT + at), data[: len(data) - 1 - at]):
+        for bad in (damaged(data, at), damaged(data, identities.COPY_OFFSET + at), data[: len(data) - 1 - at]):
             path.write_bytes(bad)
             assert load_identity(tmp_path, False, lambda: 8) == identity
     path.write_bytes(data[:size])  # as an earlier version wrote it
@@ -1118,10 +1120,10 @@
     load_identity(tmp_path, True, lambda: 7)
     path = tmp_path / identities.IDENTITY_NAME
     data = path.read_bytes()
-    size = len(data) - identities.COPY_AT
+    size = len(data) - identities.COPY_OFFSET
     single = data[:size]
     cut = [single[:length] for length in range(size)]
-    both = [damaged(data, at, identities.COPY_AT + other) for at in range(size) for other in range(size)]
+    both = [damaged(data, at, identities.COPY_OFFSET + other) for at in range(size) for other in range(size)]
     other_disk = identities.encode_identity(DiskIdentity(8, True))[:size]
     for bad in [*cut, *both, other_disk + data[size:]]:
         path.write_bytes(bad)
@@ -1163,7 +1165,7 @@
     LogFile(tmp_path).recover()
     (tmp_path / "promises").write_bytes(b"p")
     removed, steps = [], []
-    real_remove, real_sync = os.unlink, OS_FILES.sync_folder
+    real_remove, real_sync = os.unlink, OS_FILE_SYSTEM.sync_folder
 
     def remove(path):
         steps.append(Path(path).name)
@@ -1174,7 +1176,7 @@
         steps.append("sync")
         real_sync(folder)
 
-    with mock.patch("os.unlink", remove), mock.patch.object(OS_FILES, "sync_folder", sync):
+    with mock.patch("os.unlink", remove), mock.patch.object(OS_FILE_SYSTEM, "sync_folder", sync):
         discard_disk(tmp_path, ["promises"])
     assert steps == ["identity", "sync", "promises", "sync", "log", "sync"]
     assert list(tmp_path.iterdir()) == []
--- a/tests/test_sync_times.py
+++ b/tests/test_sync_times.py
@@ -7,11 +7,11 @@
 
 from millethead.replication.planning import SLOW_DISK_MS
 from millethead.storage.log import Entry
-from millethead.storage.sync_times import MEMORY_S, SyncTimes
+from millethead.storage.sync_times import WINDOW_S, SyncTimes
 from millethead.storage.writer import LogWriter
 
 SYNC_S = 0.009
-HELD_UP_S = 0.7  # for which the event loop of a head is busy with agents that come
+LOOP_DELAY_S = 0.7  # for which the event loop of a head is busy with agents that come
 
 
 class Time:
@@ -65,7 +65,7 @@
     desk = Desk()
     desk.append()
     desk.writer.step()
-    desk.clock.now += HELD_UP_S
+    desk.clock.now += LOOP_DELAY_S
     assert desk.posted  # not called yet
     assert desk.times.latency_ms() < SLOW_DISK_MS
 
@@ -73,7 +73,7 @@
 def test_a_thread_that_waits_for_the_processor_makes_no_slow_disk() -> None:
     desk = Desk()
     desk.append()
-    desk.clock.now += HELD_UP_S
+    desk.clock.now += LOOP_DELAY_S
     assert desk.times.latency_ms() == 0  # nothing is at the disk
     desk.writer.step()
     assert near(desk.times.latency_ms(), SYNC_S)
@@ -88,8 +88,8 @@
     def sync_beside_a_busy_loop() -> None:
         desk.clock.now += SYNC_S
         due = desk.clock.now
-        desk.clock.now += HELD_UP_S
-        desk.times.held_up(due)
+        desk.clock.now += LOOP_DELAY_S
+        desk.times.record_loop_delay(due)
         seen.append(desk.times.latency_ms())
 
     desk.writer._log.sync = sync_beside_a_busy_loop
@@ -105,7 +105,7 @@
         desk.clock.now += 0.2
         due = desk.clock.now
         desk.clock.now += 0.1
-        desk.times.held_up(due)
+        desk.times.record_loop_delay(due)
         desk.clock.now += 0.2
 
     desk.writer._log.sync = slow_sync
@@ -152,7 +152,7 @@
     desk.append()
     desk.writer.step()
     assert near(desk.times.latency_ms(), 0.3)
-    desk.clock.now += MEMORY_S + 0.01
+    desk.clock.now += WINDOW_S + 0.01
     assert desk.times.latency_ms() == 0
 
 
