--- a/millethead/program.py
+++ b/millethead/program.py
@@ -38,10 +38,10 @@
     from millethead.console.server import Console
     from millethead.flows.ipfix import Exporter
     from millethead.frontends.faktory.session import FaktoryServer
+    from millethead.hot_restart.hot_restart import HotRestart, InheritedState
     from millethead.members.shell import Members
     from millethead.rollout.setup import RolloutSetup
     from millethead.rollout.shell import Rollout
-    from millethead.succession.succession import Inherited, Succession
 
 log = structlog.get_logger()
 HANDING = 1.0  # s after SIGTERM in which jobs go to a successor before any is cut short
@@ -130,16 +130,16 @@
         self.members: Members | None = None
         self.rollout: Rollout | None = None
         self.desk: FrontDesk | None = None
-        self.succession: Succession | None = None
+        self.hot_restart: HotRestart | None = None
         if config.console is not None:
             from millethead.console.calls import Calls
             from millethead.console.desk import FrontDesk
             from millethead.console.server import Console
             from millethead.console.store import OutFile
-            from millethead.succession.succession import Succession
+            from millethead.hot_restart.hot_restart import HotRestart
 
             folder, whose = Path(gettempdir()), config.whose
-            self.succession = Succession(
+            self.hot_restart = HotRestart(
                 folder,
                 config.name,
                 whose,
@@ -153,14 +153,14 @@
                 self._share_with,
                 self.stage is self.exchange,
             )
-            front.elsewhere = self.succession.elsewhere
+            front.elsewhere = self.hot_restart.deliver_elsewhere
             self.desk = FrontDesk(
                 self.exchange,
                 self.stage,
                 config.names("classes"),
                 OutFile(folder, config.name, whose),
                 self.takes,
-                self.succession.tell_out,
+                self.hot_restart.share_excluded,
             )
             self.console = Console(Calls(self.desk), CALLERS)
             self.desk.more.append(front.figures)
@@ -188,14 +188,14 @@
             self.flows.start()
         if inherited is None:
             self.discovery.known(self.config.known)
-        elif self.succession is not None and inherited.listener is not None:
-            self.discovery.inherited(inherited.index, inherited.lines)
-            self.succession.restore()
-            while not self.exchange.ready and self.succession.before is not None:
+        elif self.hot_restart is not None and inherited.listener is not None:
+            self.discovery.inherited(inherited.discovery_index, inherited.worker_listings)
+            self.hot_restart.restore_learned_state()
+            while not self.exchange.ready and self.hot_restart.predecessor is not None:
                 await asyncio.sleep(0.02)  # the process before this one serves meanwhile
             self.acceptor.add_sockets([inherited.listener])
-        if self.succession is not None:
-            self.succession.ready()
+        if self.hot_restart is not None:
+            self.hot_restart.announce_ready()
         if self.operator.members is not None:
             from millethead.members.shell import Members
 
@@ -230,8 +230,8 @@
             self.faktory.close_all()
         if self.flows is not None:
             self.flows.stop()
-        if self.succession is not None:
-            self.succession.close()
+        if self.hot_restart is not None:
+            self.hot_restart.close()
         if self.console is not None:
             self.console.stop()
             self.console.close_all()
@@ -247,16 +247,16 @@
             signal.signal(signal.SIGHUP, signal.SIG_IGN)
         log.info("ended")
 
-    async def _open_console(self) -> Inherited | None:
+    async def _open_console(self) -> InheritedState | None:
         """Listen for the staff, and ask the process before this one, if there is one, for what it has."""
-        if self.console is None or self.desk is None or self.succession is None or self.config.console is None:
+        if self.console is None or self.desk is None or self.hot_restart is None or self.config.console is None:
             return None
         _listen(self.console, self.config.console)
-        inherited = await self.succession.meet()
+        inherited = await self.hot_restart.fetch_state()
         self.desk.restore()
         if inherited is None:
             return None
-        self.exchange.take_out(inherited.out)
+        self.exchange.take_out(inherited.excluded_workers)
         listener = inherited.listener
         if listener is None or listener.getsockname()[:2] != self.config.listen:
             log.warning("predecessor_unusable", why="its listener is not ours")
@@ -362,13 +362,13 @@
         while there is time."""
         began = time.monotonic()
         until = began + (alive - TAKEN) / 1000
-        taken_over = self.succession is not None and self.succession.took_over
-        if self.succession is not None and taken_over:
-            await self.succession.hand_over(began + HANDING)
+        taken_over = self.hot_restart is not None and self.hot_restart.successor_serves
+        if self.hot_restart is not None and taken_over:
+            await self.hot_restart.hand_over(began + HANDING)
         # Faktory's clients wait for nobody: what they pushed ends by its own deadline
         self.stage.leave(alive - ANSWERED - (time.monotonic() - began) * 1000 if self.faktory is None else None)
-        if self.succession is not None and taken_over:
-            await self.succession.hand_over(until)
+        if self.hot_restart is not None and taken_over:
+            await self.hot_restart.hand_over(until)
         else:
             await asyncio.sleep(self.goes_on)
         while time.monotonic() < until and (self.acceptor.open or self.stage.held):
--- a/tests/test_client_races.py
+++ b/tests/test_client_races.py
@@ -218,11 +218,16 @@
 async def test_a_job_is_not_handed_over_over_bytes_that_the_loop_has_read(monkeypatch):
     """Neither in the buffer nor at the socket, they went to nobody."""
     async with DispatcherFixture(console=True) as stage:
-        succession, link, came, tried = stage.program.succession, mock.Mock(open=True, sent=True), Connection._came, []
+        hot_restart, link, came, tried = (
+            stage.program.hot_restart,
+            mock.Mock(open=True, all_sent=True),
+            Connection._came,
+            [],
+        )
 
         def look(conn, reading):
             if conn.job:
-                tried.append(succession._give(link, conn))
+                tried.append(hot_restart._transfer_connection(link, conn))
             came(conn, reading)
 
         monkeypatch.setattr(Connection, "_came", look)
@@ -237,7 +242,7 @@
         link.send.assert_not_called()
         (conn,) = stage.program.acceptor.open
         conn.buffer.take(1)
-        succession._give(link, conn)  # and as soon as there are none
+        hot_restart._transfer_connection(link, conn)  # and as soon as there are none
         assert link.send.call_args.args[0] == "job"
         one.close()
         worker.cancel()
@@ -292,16 +297,16 @@
     async with DispatcherFixture(console=True) as old, AsyncExitStack() as more:
         monkeypatch.setattr("millethead.program.gettempdir", lambda: str(tmp_path))  # else it would take over at once
         new = await more.enter_async_context(DispatcherFixture(console=True))
-        link, worker = mock.Mock(open=True, sent=True), asyncio.create_task(serve(old, done=False))
+        link, worker = mock.Mock(open=True, all_sent=True), asyncio.create_task(serve(old, done=False))
         one = Client(old)
         one.send(job(b"a"))
         await soon(lambda: old.program.exchange.held)
         (held,) = old.program.exchange.jobs
         await soon(lambda: held.attempts and old.program.workers.movable(held.attempts[0]))
-        old.program.succession._give(link, server_end(old))
+        old.program.hot_restart._transfer_connection(link, server_end(old))
         what, fields, body, handed = link.send.call_args.args
         assert what == "job" and not old.program.exchange.held
-        new.program.succession._adopt(fields, body, socket.socket(fileno=handed))
+        new.program.hot_restart._adopt_job(fields, body, socket.socket(fileno=handed))
         assert new.program.exchange.held
         await leave(one, before)
         await soon(lambda: not new.program.exchange.held)
