--- a/tests/test_register_file.py
+++ b/tests/test_register_file.py
@@ -1,4 +1,4 @@
-"""The acceptor's file: two copies of each promise, whatever bit goes bad and wherever a write is cut short."""
+"""The register file of an acceptor under bit rot and interrupted writes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return Kept((number, "a"), (number, "a"), b"view %d" % number)
 
 
-def made(disk: SimulatedDisk, numbers: int = 2) -> RegisterFile:
+def saved_register(disk: SimulatedDisk, numbers: int = 2) -> RegisterFile:
     register = RegisterFile(disk, PATH)
     register.load()
     for number in range(1, numbers + 1):
@@ -35,9 +35,9 @@
     return RegisterFile(disk, PATH).read()
 
 
-def test_the_newest_promise_is_read() -> None:
+def test_the_newest_register_is_read() -> None:
     disk = SimulatedDisk(1)
-    made(disk, 3)
+    saved_register(disk, 3)
     assert read(disk) == kept(3)
     register = RegisterFile(disk, PATH)
     assert register.load() == kept(3)
@@ -45,33 +45,33 @@
     assert read(disk) == kept(4)
 
 
-@pytest.mark.parametrize("place", range(SLOTS * COPIES))
+@pytest.mark.parametrize("block", range(SLOTS * COPIES))
 @pytest.mark.parametrize("at", [0, 5, 9, 17, 25])
-def test_a_place_that_has_gone_bad_is_read_from_its_copy(place: int, at: int) -> None:
+def test_a_damaged_block_is_read_from_its_copy(block: int, at: int) -> None:
     for numbers in (1, 2, 3):
         disk = SimulatedDisk(1)
-        made(disk, numbers)
-        disk.flip_bit(PATH, place * PLACE + at)
+        saved_register(disk, numbers)
+        disk.flip_bit(PATH, block * PLACE + at)
         assert read(disk) == kept(numbers)
 
 
 @pytest.mark.parametrize("slot", range(SLOTS))
-def test_a_place_whose_copies_are_both_bad_is_not_believed(slot: int) -> None:
-    """An older promise must not be taken for the newest."""
+def test_a_slot_with_two_damaged_copies_is_corrupt(slot: int) -> None:
+    """The older slot must not be returned as the newest register."""
     disk = SimulatedDisk(1)
-    made(disk)
+    saved_register(disk)
     for copy in range(COPIES):
         disk.flip_bit(PATH, (SLOTS * copy + slot) * PLACE + 9)
     with pytest.raises(CorruptLog):
         RegisterFile(disk, PATH).load()
 
 
-def test_a_bad_copy_is_written_anew() -> None:
+def test_a_damaged_copy_is_rewritten() -> None:
     disk = SimulatedDisk(1)
-    register = made(disk)
+    register = saved_register(disk)
     assert not register.repair()
     for copy in range(COPIES):
-        disk.flip_bit(PATH, SLOTS * copy * PLACE + 20)  # the second save is in the first place
+        disk.flip_bit(PATH, SLOTS * copy * PLACE + 20)  # the second save is in the first slot
         assert register.repair() and not register.repair()
     again = RegisterFile(disk, PATH)
     again.read()
@@ -81,15 +81,15 @@
 
 
 class PowerLost(BaseException):
-    """In the middle of a call."""
+    """Raised in the middle of a call to the disk."""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_what_was_saved_stands_wherever_power_is_lost(seed: int) -> None:
-    """At each call on the disk: what `save` had returned for is there, or what was being saved."""
+def test_a_saved_register_survives_a_power_loss_at_any_call(seed: int) -> None:
+    """After a power loss at each call to the disk, the last saved register or the one being saved is read."""
     for calls in range(14):
         disk = SimulatedDisk(seed)
-        register = made(disk)
+        register = saved_register(disk)
         left, answered = calls, [2]
 
         def before(operation: Operation, path: Path) -> None:
@@ -114,10 +114,10 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_start_that_is_cut_short_spoils_nothing(seed: int) -> None:
+def test_an_interrupted_load_damages_nothing(seed: int) -> None:
     for calls in range(8):
         disk = SimulatedDisk(seed)
-        made(disk)
+        saved_register(disk)
         left = calls
 
         def before(operation: Operation, path: Path) -> None:
@@ -134,7 +134,7 @@
         assert RegisterFile(disk, PATH).load() == kept(2)
 
 
-def test_a_file_of_an_earlier_version_is_read_and_gets_its_copies() -> None:
+def test_a_file_of_an_earlier_version_is_read_and_gets_copies() -> None:
     disk = SimulatedDisk(1)
     disk.put(PATH, encode_place(4, kept(4)) + encode_place(3, kept(3)))
     register = RegisterFile(disk, PATH)
@@ -145,7 +145,7 @@
     assert RegisterFile(torn, PATH).load() == kept(3)
 
 
-def test_what_an_earlier_version_stored_is_read(tmp_path: Path) -> None:
+def test_a_register_stored_by_an_earlier_version_is_read(tmp_path: Path) -> None:
     from millethead.storage.files import OS_FILE_SYSTEM
 
     store = Store(tmp_path, "view")
@@ -159,7 +159,7 @@
 
 
 class DiskThread:
-    """Jobs are done when the test says so."""
+    """Executes jobs when the test calls `do`."""
 
     def __init__(self) -> None:
         self.jobs: list = []
@@ -173,38 +173,38 @@
         done()
 
 
-def test_saves_that_wait_for_the_disk_are_one_write() -> None:
-    """Five members that outbid each other made promises faster than a disk that wrote each of them, twice: the queue
-    grew, answers came too late, and no view was agreed any more."""
-    disk, thread, told = SimulatedDisk(1), DiskThread(), list[int]()
-    writer = RegisterWriter(made(disk), thread)
+def test_waiting_saves_are_combined_into_one_write() -> None:
+    """Five members with competing proposals made promises faster than the disk could write each of them twice.
+    The queue grew, answers came too late, and no view was agreed any more."""
+    disk, thread, called = SimulatedDisk(1), DiskThread(), list[int]()
+    writer = RegisterWriter(saved_register(disk), thread)
     for number in range(3, 60):
-        writer.save(kept(number), lambda number=number: told.append(number))
+        writer.save(kept(number), lambda number=number: called.append(number))
     assert len(thread.jobs) == 2
     thread.do()
-    assert told == list(range(3, 60)) and read(disk) == kept(59)
+    assert called == list(range(3, 60)) and read(disk) == kept(59)
     thread.do()
     assert RegisterFile(disk, PATH).load() == kept(59) and thread.jobs == []
 
 
-def test_a_save_during_a_write_is_written_after_it_and_gets_the_copy() -> None:
-    disk, thread, told = SimulatedDisk(1), DiskThread(), list[int]()
-    register = made(disk)
+def test_a_save_during_a_write_follows_it_and_is_copied() -> None:
+    disk, thread, called = SimulatedDisk(1), DiskThread(), list[int]()
+    register = saved_register(disk)
     writer = RegisterWriter(register, thread)
-    writer.save(kept(3), lambda: (told.append(3), writer.save(kept(4), lambda: told.append(4))))
+    writer.save(kept(3), lambda: (called.append(3), writer.save(kept(4), lambda: called.append(4))))
     thread.do()
-    assert told == [3]
-    thread.do()  # the copy of the first is left out: the second write follows
+    assert called == [3]
+    thread.do()  # no copy of the first save, because the second write follows
     assert register._copy_written is False
     thread.do()
-    assert told == [3, 4]
+    assert called == [3, 4]
     thread.do()
     assert register._copy_written and not register.repair() and read(disk) == kept(4)
 
 
-def test_what_is_told_as_saved_is_on_the_disk() -> None:
+def test_the_callback_follows_the_write() -> None:
     disk, thread = SimulatedDisk(1), DiskThread()
-    writer = RegisterWriter(made(disk), thread)
+    writer = RegisterWriter(saved_register(disk), thread)
     seen: list[Kept] = []
     for number in (3, 4):
         writer.save(kept(number), lambda: seen.append(read(disk)))
--- a/tests/test_scrubbing.py
+++ b/tests/test_scrubbing.py
@@ -1,4 +1,4 @@
-"""The background scrub: rot on a disk in service is found and mended, and the disk keeps its entries and identity."""
+"""The background scrub detects and repairs bit rot on a disk in service, which keeps its entries and identity."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from unittest import mock
 
 import pytest
-from test_storage import Desk, entries
+from test_storage import WriterFixture, entries
 
 from millethead.lab.core_storage import FOLDER
 from millethead.lab.core_world import CoreWorld, WorldSettings
@@ -26,73 +26,73 @@
 from millethead.storage.writer import LogWriter
 
 LOG = FOLDER / LOG_NAME
-SLICE = 200  # bytes, in place of the scrub's own
+TEST_SLICE_BYTES = 200  # bytes, used instead of SLICE_BYTES
 
 
-def log_on(disk: SimulatedDisk) -> LogFile:
+def open_log(disk: SimulatedDisk) -> LogFile:
     generations = itertools.count(1)
     log = LogFile(FOLDER, disk, generation=lambda: next(generations))
     log.recover()
     return log
 
 
-def written(disk: SimulatedDisk, batches: int = 6) -> LogFile:
-    log = log_on(disk)
+def write_log(disk: SimulatedDisk, batches: int = 6) -> LogFile:
+    log = open_log(disk)
     for first in range(1, 2 * batches, 2):
         log.append(entries(first, 2))
         log.sync()
     return log
 
 
-def read_through(log: LogFile, most: int = SLICE) -> int:
-    """A whole pass; the number of its slices."""
+def run_pass(log: LogFile, max_bytes: int = TEST_SLICE_BYTES) -> int:
+    """Runs a whole pass and returns the number of its slices."""
     scrub = log.begin_scrub()
     slices = 1
-    while not log.scrub_slice(scrub, most):
+    while not log.scrub_slice(scrub, max_bytes):
         slices += 1
     return slices
 
 
-# ---- a pass over the log ---------------------------------------------------------------------------------
+# ---- a pass over the log ----------------------------------------------------------------------------------
 
 
-def test_a_pass_in_slices_finds_any_flipped_bit():
+def test_a_pass_in_slices_detects_any_flipped_bit():
     disk = SimulatedDisk(1)
-    log = written(disk)
-    assert read_through(log) > 3
+    log = write_log(disk)
+    assert run_pass(log) > 3
     for at in range(log.size):
         disk.flip_bit(LOG, at, at % 8)
         with pytest.raises(CorruptLog):
-            read_through(log)
+            run_pass(log)
         disk.flip_bit(LOG, at, at % 8)
-    read_through(log)
+    run_pass(log)
 
 
-def test_what_is_appended_during_a_pass_is_left_to_the_next_one():
+def test_entries_appended_during_a_pass_are_verified_by_the_next_pass():
     disk = SimulatedDisk(1)
-    log = written(disk)
+    log = write_log(disk)
     scrub, end = log.begin_scrub(), log.size
     log.append(entries(13, 2))
     disk.flip_bit(LOG, end + HEADER_SIZE + 3)
-    while not log.scrub_slice(scrub, SLICE):
+    while not log.scrub_slice(scrub, TEST_SLICE_BYTES):
         pass
     with pytest.raises(CorruptLog):
-        read_through(log)
+        run_pass(log)
 
 
-def test_a_pass_over_a_file_that_was_replaced_is_over():
+def test_a_pass_ends_when_the_file_is_replaced():
     disk = SimulatedDisk(1)
-    log = written(disk)
+    log = write_log(disk)
     scrub = log.begin_scrub()
-    assert not log.scrub_slice(scrub, SLICE)
+    assert not log.scrub_slice(scrub, TEST_SLICE_BYTES)
     log.rewrite(Snapshot(1, 12, b"state"), ())
-    assert log.scrub_slice(scrub, SLICE)
-    read_through(log)
+    assert log.scrub_slice(scrub, TEST_SLICE_BYTES)
+    run_pass(log)
 
 
-def test_a_pass_reads_no_further_than_a_slice_and_the_record_it_ends_in():
+def test_a_slice_ends_with_the_record_that_reaches_its_size():
     disk = SimulatedDisk(1)
-    log = written(disk)
+    log = write_log(disk)
     scrub = log.begin_scrub()
     log.scrub_slice(scrub, 1)
     first = scrub.cursor.tail.offset
@@ -100,16 +100,16 @@
     assert 0 < scrub.cursor.tail.offset - first < 2 * HEADER_SIZE + 200
 
 
-# ---- when the passes come --------------------------------------------------------------------------------
+# ---- schedule of the passes -------------------------------------------------------------------------------
 
 
-class Scrubbing(Desk):
-    """A writer stepped by hand, its log, and a scrub of it; `found` is what it has said."""
+class ScrubberFixture(WriterFixture):
+    """A writer that the test steps, its log, and a scrubber. `found` lists the reported damage."""
 
     def __init__(self):
         super().__init__()
         self.found, self.begun = [], 0
-        self.log = written(self.disk)
+        self.log = write_log(self.disk)
         self.writer = LogWriter(self.log, self.loop.post, self.failures.append, clock=lambda: self.now, threaded=False)
         self.scrubber = Scrubber(self.log, self.writer.run, self.begin, self.found.append, lambda: self.now)
 
@@ -126,63 +126,63 @@
 
 @pytest.fixture
 def small_slices(monkeypatch):
-    monkeypatch.setattr(scrubber, "SLICE_BYTES", SLICE)
+    monkeypatch.setattr(scrubber, "SLICE_BYTES", TEST_SLICE_BYTES)
 
 
-def test_a_pass_begins_after_its_pause_and_has_a_pause_between_slices(small_slices):
-    desk = Scrubbing()
-    desk.after(PASS_PAUSE_S - 1)
-    assert desk.begun == 0
-    desk.after(1)
-    assert (desk.begun, desk.scrubber.completed_passes) == (1, 0)
-    desk.after(SLICE_PAUSE_S / 2)
+def test_pauses_separate_passes_and_slices(small_slices):
+    fixture = ScrubberFixture()
+    fixture.after(PASS_PAUSE_S - 1)
+    assert fixture.begun == 0
+    fixture.after(1)
+    assert (fixture.begun, fixture.scrubber.completed_passes) == (1, 0)
+    fixture.after(SLICE_PAUSE_S / 2)
     slices = 1
-    while not desk.scrubber.completed_passes:
-        desk.after(SLICE_PAUSE_S)
+    while not fixture.scrubber.completed_passes:
+        fixture.after(SLICE_PAUSE_S)
         slices += 1
-    assert slices == read_through(desk.log)
-    desk.after(PASS_PAUSE_S / 2)
-    assert desk.begun == 1
-    desk.after(PASS_PAUSE_S)
-    assert desk.begun == 2 and desk.found == []
+    assert slices == run_pass(fixture.log)
+    fixture.after(PASS_PAUSE_S / 2)
+    assert fixture.begun == 1
+    fixture.after(PASS_PAUSE_S)
+    assert fixture.begun == 2 and fixture.found == []
 
 
-def test_one_slice_at_a_time_is_with_the_writer(small_slices):
-    desk = Scrubbing()
-    desk.now += PASS_PAUSE_S
+def test_only_one_slice_is_queued_at_a_time(small_slices):
+    fixture = ScrubberFixture()
+    fixture.now += PASS_PAUSE_S
     for _ in range(5):
-        desk.now += SLICE_PAUSE_S
-        desk.scrubber.tick()
-    assert desk.writer.step() and not desk.writer.step()
+        fixture.now += SLICE_PAUSE_S
+        fixture.scrubber.tick()
+    assert fixture.writer.step() and not fixture.writer.step()
 
 
-def test_damage_is_told_once_a_pass_and_breaks_no_writer(small_slices):
-    desk = Scrubbing()
-    desk.disk.flip_bit(LOG, desk.log.size - 1)
-    desk.after(PASS_PAUSE_S)
-    while not desk.scrubber.completed_passes:
-        desk.after(SLICE_PAUSE_S)
-    assert len(desk.found) == 1 and not desk.writer.broken
-    desk.writer.rewrite(Snapshot(1, 12, b"state"), ())
-    desk.after(0.0)
-    desk.after(PASS_PAUSE_S)
-    while desk.scrubber.completed_passes < 2:
-        desk.after(SLICE_PAUSE_S)
-    assert len(desk.found) == 1
+def test_damage_is_reported_once_per_pass_and_does_not_break_the_writer(small_slices):
+    fixture = ScrubberFixture()
+    fixture.disk.flip_bit(LOG, fixture.log.size - 1)
+    fixture.after(PASS_PAUSE_S)
+    while not fixture.scrubber.completed_passes:
+        fixture.after(SLICE_PAUSE_S)
+    assert len(fixture.found) == 1 and not fixture.writer.broken
+    fixture.writer.rewrite(Snapshot(1, 12, b"state"), ())
+    fixture.after(0.0)
+    fixture.after(PASS_PAUSE_S)
+    while fixture.scrubber.completed_passes < 2:
+        fixture.after(SLICE_PAUSE_S)
+    assert len(fixture.found) == 1
 
 
-def test_a_disk_that_cannot_be_read_counts_as_damage():
-    desk = Scrubbing()
+def test_an_unreadable_disk_counts_as_damage():
+    fixture = ScrubberFixture()
 
     def refuse(operation, path):
         raise OSError(5, "unreadable")
 
-    desk.disk.before = refuse
-    desk.after(PASS_PAUSE_S)
-    assert len(desk.found) == 1 and not desk.writer.broken
+    fixture.disk.before = refuse
+    fixture.after(PASS_PAUSE_S)
+    assert len(fixture.found) == 1 and not fixture.writer.broken
 
 
-# ---- what a member does about it -------------------------------------------------------------------------
+# ---- disk maintenance -------------------------------------------------------------------------------------
 
 
 class Log:
@@ -206,7 +206,7 @@
 
 
 class Disk:
-    """What maintenance asks of a disk, written down."""
+    """Records the calls of the disk maintenance."""
 
     def __init__(self) -> None:
         self.size, self.busy = 1000, False
@@ -247,8 +247,8 @@
     assert len(disk.done) == 2
 
 
-def test_the_bytes_of_the_snapshot_do_not_make_a_log_long():
-    """A snapshot larger than the bound would have the log rewritten every hundred entries."""
+def test_the_size_of_the_snapshot_does_not_cause_a_rewrite():
+    """Otherwise a snapshot larger than the limit would cause a rewrite every hundred entries."""
     disk, chain = Disk(), Chain(disk_maintenance.COMPACT_BYTES_ENTRIES + 1)
     chain.log.base = Snapshot(1, 1, bytes(disk_maintenance.COMPACT_BYTES))
     disk.size = 2 * disk_maintenance.COMPACT_BYTES
@@ -280,7 +280,7 @@
     assert disk.done == ["rewrite 99"]
 
 
-def test_a_member_never_rewrites_at_the_same_entry_as_its_successor():
+def test_members_of_a_chain_rewrite_at_different_entries():
     rewritten_at = []
     for place in range(5):
         disk, chain = Disk(), Chain(place=place)
@@ -293,7 +293,7 @@
     assert all(after - before >= 1000 for before, after in itertools.pairwise(rewritten_at))
 
 
-def test_only_a_member_outside_the_chain_times_writes_and_only_while_nothing_is_queued():
+def test_only_an_idle_member_outside_the_chain_probes_its_disk():
     disk, chain, now = Disk(), Chain(), 10.0
     maintenance = DiskMaintenance(disk, chain, lambda: now)
     maintenance.tick()
@@ -307,23 +307,23 @@
     assert disk.done == ["probe"]
 
 
-# ---- a whole core ----------------------------------------------------------------------------------------
+# ---- a simulated core -------------------------------------------------------------------------------------
 
 
-def with_disk(world: CoreWorld) -> list:
+def machines_with_disk(world: CoreWorld) -> list:
     return [machine for machine in world.cluster.machines() if machine.disk is not None]
 
 
 def identities(world: CoreWorld) -> list[int]:
-    return [machine.process.storage.identity.disk_id for machine in with_disk(world)]
+    return [machine.process.storage.identity.disk_id for machine in machines_with_disk(world)]
 
 
 def play_rot(seed: int, rot: str = "rot_log_in_service") -> tuple[str, bool]:
-    """The fault, if any, and whether every disk is still the one it was."""
+    """Returns the fault, if any, and whether every disk kept its identity."""
     world = CoreWorld(seed, WorldSettings(trouble_s=14.0, by_chance=False, members=((3, 1),)))
     before: list[int] = []
     world.timeline.after(1.9, lambda: before.extend(identities(world)))
-    for number, machine in enumerate(with_disk(world)):
+    for number, machine in enumerate(machines_with_disk(world)):
         world.timeline.after(2.0 + 4.0 * number, partial(getattr(world.cluster, rot), machine, 0.2))
     fault = world.play().fault
     return fault, identities(world) == before
@@ -334,32 +334,32 @@
     monkeypatch.setattr(scrubber, "PASS_PAUSE_S", 0.3)
 
 
-# the log is so short here that it is seldom rewritten for its length before the scrub comes to it
+# prevents rewrites for length, which could remove the damage before the scrub reaches it
 @pytest.fixture
 def long_logs(monkeypatch):
     monkeypatch.setattr("millethead.lab.core_machine.COMPACT_ENTRIES", 100_000)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_rot_on_every_member_in_turn_costs_no_disk(seed, frequent_passes, long_logs):
+def test_rot_on_every_member_in_turn_is_repaired(seed, frequent_passes, long_logs):
     assert play_rot(seed) == ("", True)
 
 
-def test_without_the_scrub_the_same_rot_costs_disks(long_logs):
-    assert [believed for _, believed in map(play_rot, range(3))] == [False] * 3
+def test_without_the_scrub_the_same_rot_loses_disks(long_logs):
+    assert [kept for _, kept in map(play_rot, range(3))] == [False] * 3
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_rot_in_a_copy_costs_no_disk_even_without_the_scrub(seed, long_logs):
+def test_rot_in_a_copy_loses_no_disk_even_without_the_scrub(seed, long_logs):
     assert play_rot(seed, "rot_copy_in_service") == ("", True)
 
 
-def test_a_scrub_that_mends_nothing_is_noticed(frequent_passes, long_logs, monkeypatch):
+def test_a_scrub_without_repair_loses_disks(frequent_passes, long_logs, monkeypatch):
     monkeypatch.setattr(DiskMaintenance, "_rewrite_damaged", lambda self, why: None)
-    assert not all(believed for _, believed in map(play_rot, range(3)))
+    assert not all(kept for _, kept in map(play_rot, range(3)))
 
 
-# ---- the files beside the log ----------------------------------------------------------------------------
+# ---- the files beside the log -----------------------------------------------------------------------------
 
 
 def flip(path: Path, offset: int) -> None:
@@ -369,7 +369,7 @@
 
 
 @pytest.mark.parametrize("damage", [lambda path: flip(path, 6), Path.unlink], ids=["bad", "missing"])
-def test_an_identity_that_has_gone_bad_is_written_anew(tmp_path, damage):
+def test_a_damaged_identity_is_rewritten(tmp_path, damage):
     identity = load_identity(tmp_path, True, lambda: 7)
     assert not repair_identity(tmp_path, identity)
     damage(tmp_path / IDENTITY_NAME)
@@ -377,8 +377,8 @@
     assert load_identity(tmp_path, False, lambda: 8) == identity
 
 
-def test_a_repair_does_not_bring_the_first_start_back(tmp_path):
-    """The flag is cleared in service; an identity written anew from the one that was read would set it again."""
+def test_a_repair_does_not_restore_the_bootstrapping_flag(tmp_path):
+    """The flag is cleared in service. A rewrite of the identity as read at the start would set it again."""
     disk = CoreDisk(tmp_path, True, lambda: 7)
     posted = []
     disk.start(posted.append, lambda: 0.0)
@@ -390,8 +390,8 @@
     assert not repair_identity(tmp_path, bootstrap_done(tmp_path, DiskIdentity(7, True)))
 
 
-def test_a_disk_in_service_mends_its_log_and_its_small_files(tmp_path, monkeypatch):
-    """The program's own disk, on the operating system's files, its writer's thread at work."""
+def test_a_disk_in_service_repairs_its_log_and_its_small_files(tmp_path, monkeypatch):
+    """Uses the disk class of the program with real files and the writer thread."""
     monkeypatch.setattr(scrubber, "PASS_PAUSE_S", 0.0)
     posted: queue.Queue = queue.Queue()
     disk = CoreDisk(tmp_path, False, lambda: 7)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The log of a replica on disks that tear, lose, rot and refuse; its writer thread; the identity of a disk."""
+"""The write-ahead log on faulty disks (torn and lost writes, bit rot, I/O errors), its writer and the disk identity."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class PowerLost(Exception):
-    """The process ends in the middle of a call on the disk."""
+    """Ends the process in the middle of a call to the disk."""
 
 
 def entries(first, count=1, epoch=1, size=20):
@@ -51,7 +51,7 @@
     return open_log(disk).recover()
 
 
-def recovered_from(data):
+def recover_bytes(data):
     disk = SimulatedDisk(1)
     disk.put(LOG, data)
     return recover(disk)
@@ -62,7 +62,7 @@
 
 
 def three_batches():
-    """A log of three appends, each synced: its bytes, and the offset of each record's end."""
+    """Returns the bytes of a log with three synced appends, and the offset after each record."""
     disk = SimulatedDisk(1)
     log = open_log(disk)
     log.recover()
@@ -75,14 +75,14 @@
 
 
 def offset_of(ends, entry_count):
-    """Where the bytes end that hold so many entries."""
+    """Returns the offset after the first `entry_count` entries."""
     return ends[entry_count // 2]
 
 
-# What a log gives back
+# Recovery of intact logs
 
 
-def test_an_absent_log_is_created_and_is_empty():
+def test_an_absent_log_is_created_empty():
     disk = SimulatedDisk(1)
     log = open_log(disk)
     assert log.recover() == Recovered(None, ())
@@ -92,7 +92,7 @@
     assert recover(disk) == Recovered(None, ())
 
 
-def test_what_was_written_is_recovered_in_order(tmp_path):
+def test_written_entries_are_recovered_in_order(tmp_path):
     log = LogFile(tmp_path)
     assert log.recover() == Recovered(None, ())
     log.append(entries(1, 3))
@@ -111,7 +111,7 @@
     assert LogFile(tmp_path).recover() == Recovered(snapshot, tuple(entries(10, 2)))
 
 
-def test_a_truncation_below_all_entries_leaves_an_empty_log_that_may_start_anywhere():
+def test_a_log_truncated_below_all_entries_is_empty_and_may_continue_at_any_sequence():
     disk = SimulatedDisk(1)
     log = open_log(disk)
     log.recover()
@@ -123,10 +123,10 @@
 
 
 def recover_copy(disk):
-    return recovered_from(disk.contents(LOG))
+    return recover_bytes(disk.contents(LOG))
 
 
-def test_a_truncation_never_shortens_the_file_and_one_of_nothing_does_not_grow_it():
+def test_a_truncation_appends_a_marker_only_if_it_invalidates_entries():
     log = open_log(SimulatedDisk(1))
     log.recover()
     log.append(entries(1, 3))
@@ -138,7 +138,7 @@
     assert log.size > size
 
 
-def test_a_rewrite_keeps_what_it_is_given_and_the_log_goes_on(tmp_path):
+def test_a_rewrite_keeps_the_given_contents_and_accepts_appends(tmp_path):
     log = LogFile(tmp_path)
     log.recover()
     log.append(entries(1, 100, size=500))
@@ -165,7 +165,7 @@
     assert recover_copy(disk).entries == (Entry(0, 1, b""), Entry(0, 2, b""))
 
 
-def test_an_append_is_one_write_and_long_ones_have_several_records():
+def test_an_append_is_one_write_and_long_appends_have_several_records():
     disk = SimulatedDisk(1)
     log = open_log(disk)
     log.recover()
@@ -179,7 +179,7 @@
     assert disk.contents(LOG).count(records.MAGIC) == 1 + 3
 
 
-def test_entries_that_do_not_follow_are_refused_and_change_nothing():
+def test_non_contiguous_entries_are_rejected_without_any_change():
     disk = SimulatedDisk(1)
     log = open_log(disk)
     log.recover()
@@ -221,8 +221,8 @@
 
 
 @pytest.mark.parametrize("parts", [1, 2, 3])
-def test_a_snapshot_whose_end_never_came_is_void(parts, monkeypatch):
-    """The process ended while it was being installed: the log before it stands, and can be gone on with."""
+def test_a_snapshot_without_its_end_is_ignored(parts, monkeypatch):
+    """The process ended while it installed the snapshot. The earlier log stays valid and accepts appends."""
     monkeypatch.setattr(records, "SNAPSHOT_PART_BYTES", 4)
     disk = SimulatedDisk(1)
     log = open_log(disk)
@@ -238,7 +238,7 @@
     assert [entry.sequence for entry in LogFile(FOLDER, disk).recover().entries] == [1, 2, 3, 4]
 
 
-def test_parts_that_do_not_make_the_snapshot_are_not_believed(monkeypatch):
+def test_parts_that_do_not_match_the_end_are_corrupt(monkeypatch):
     monkeypatch.setattr(records, "SNAPSHOT_PART_BYTES", 4)
     whole = list(records.encode_snapshot(Snapshot(2, 9, b"0123456789")))
     for wrong in (whole[1:], whole[:1] + whole[2:], [whole[0], whole[0], *whole[2:]], whole[:2] + whole[3:]):
@@ -251,7 +251,7 @@
             LogFile(FOLDER, disk).recover()
 
 
-def test_a_snapshot_of_the_first_form_can_still_be_read():
+def test_a_snapshot_in_a_single_record_is_still_read():
     disk = SimulatedDisk(1)
     log = open_log(disk)
     log.recover()
@@ -277,41 +277,41 @@
             call()
 
 
-# Bad bytes
+# Invalid bytes
 
 
-def test_a_tail_torn_at_any_byte_is_cut_to_the_whole_records():
+def test_a_log_torn_at_any_byte_is_truncated_to_complete_records():
     data, ends = three_batches()
     for size in range(ends[0], len(data) + 1):
-        held = sum(size >= end for end in ends[1:])
+        complete = sum(size >= end for end in ends[1:])
         disk = SimulatedDisk(1)
         disk.put(LOG, data[:size])
-        assert recover(disk).entries == tuple(entries(1, 2 * held))
-        assert len(disk.contents(LOG)) == ends[held]
+        assert recover(disk).entries == tuple(entries(1, 2 * complete))
+        assert len(disk.contents(LOG)) == ends[complete]
 
 
-def test_a_file_without_its_first_record_is_not_believed():
+def test_a_file_without_its_first_record_is_corrupt():
     data, ends = three_batches()
     for size in range(ends[0]):
         with pytest.raises(CorruptLog):
-            recovered_from(data[:size])
+            recover_bytes(data[:size])
 
 
-def test_a_flipped_bit_below_what_is_known_synced_is_never_passed_over():
+def test_a_flipped_bit_below_the_synced_offset_is_corrupt():
     data, ends = three_batches()
-    known_synced = ends[2]  # the third append says that the second was synced
+    known_synced = ends[2]  # recorded in the header of the third append
     for at in range(len(data)):
         for bit in (0, 7):
             bad = bytearray(data)
             bad[at] ^= 1 << bit
             if at < known_synced:
                 with pytest.raises(CorruptLog):
-                    recovered_from(bytes(bad))
+                    recover_bytes(bytes(bad))
             else:
-                assert recovered_from(bytes(bad)).entries == tuple(entries(1, 4))
+                assert recover_bytes(bytes(bad)).entries == tuple(entries(1, 4))
 
 
-def test_a_bad_unsynced_record_is_cut_with_the_whole_one_behind_it():
+def test_a_damaged_unsynced_record_is_dropped_with_the_complete_record_after_it():
     disk = SimulatedDisk(1)
     log = open_log(disk)
     log.recover()
@@ -322,10 +322,10 @@
     log.append(entries(5, 2))
     data = bytearray(disk.contents(LOG))
     data[middle : middle + 80] = bytes(80)
-    assert recovered_from(bytes(data)).entries == tuple(entries(1, 2))
+    assert recover_bytes(bytes(data)).entries == tuple(entries(1, 2))
 
 
-def test_the_cut_is_durable_before_anything_is_appended():
+def test_the_truncation_by_recovery_is_durable_before_any_append():
     data, ends = three_batches()
     calls = []
     disk = SimulatedDisk(1)
@@ -339,7 +339,7 @@
     assert len(disk.contents(LOG)) == ends[2]
 
 
-def test_what_is_recovered_is_durable_though_the_writer_had_not_synced_it():
+def test_recovered_entries_are_durable_even_if_they_were_not_synced_before():
     for seed in range(20):
         disk = SimulatedDisk(seed)
         log = open_log(disk)
@@ -352,42 +352,42 @@
         assert recover(disk) == first
 
 
-def test_a_body_that_holds_a_record_is_not_taken_for_one():
-    """A payload may be a copy of this very file: its records have other offsets."""
+def test_a_record_inside_a_body_is_not_mistaken_for_a_record():
+    """A payload may be a copy of the log file itself. The records in it have other offsets."""
     data, _ = three_batches()
     disk = SimulatedDisk(1)
     log = open_log(disk)
     log.recover()
     log.append([Entry(1, 1, data)])
     torn = disk.contents(LOG)[:-1]
-    assert recovered_from(torn).entries == ()
+    assert recover_bytes(torn).entries == ()
 
 
-def test_a_header_of_another_file_or_place_is_no_evidence():
+def test_a_header_of_another_file_or_offset_proves_no_sync():
     data, ends = three_batches()
     for generation, shift in ((GENERATION + 1, 0), (GENERATION, 1)):
         tail = Tail(generation, offset=len(data) + 10 + shift, synced=len(data) + 5)
         planted = data + b"?" * 10 + tail.encode_record(RecordKind.TRUNCATION, records.encode_truncation(1))
-        assert recovered_from(planted).entries == tuple(entries(1, 6))
+        assert recover_bytes(planted).entries == tuple(entries(1, 6))
         assert ends[-1] == len(data)
 
 
-def test_evidence_is_found_behind_what_only_looks_like_a_header():
+def test_a_header_after_false_magic_bytes_proves_a_sync():
     data, ends = three_batches()
     bad = data[: ends[0]] + records.MAGIC * ((ends[1] - ends[0]) // 4)
     with pytest.raises(CorruptLog):
-        recovered_from(bad.ljust(ends[1], b"M") + data[ends[1] :])
+        recover_bytes(bad.ljust(ends[1], b"M") + data[ends[1] :])
 
 
-def test_a_whole_header_with_a_torn_body_is_evidence():
+def test_a_valid_header_with_a_torn_body_proves_a_sync():
     data, ends = three_batches()
     bad = bytearray(data[:-1])
     bad[ends[1]] ^= 1
     with pytest.raises(CorruptLog):
-        recovered_from(bytes(bad))
+        recover_bytes(bytes(bad))
 
 
-def test_evidence_is_found_across_the_edges_of_chunks():
+def test_a_header_across_chunk_boundaries_proves_a_sync():
     for distance in range(replay.CHUNK_BYTES - HEADER_SIZE - 3, replay.CHUNK_BYTES + 4):
         tail = Tail(GENERATION)
         data = tail.encode_record(RecordKind.FILE, b"")
@@ -395,17 +395,15 @@
         tail.synced = tail.offset
         data += bytes(distance) + tail.encode_record(RecordKind.TRUNCATION, records.encode_truncation(1))
         with pytest.raises(CorruptLog):
-            recovered_from(data)
+            recover_bytes(data)
 
 
-def test_a_record_of_another_history_is_not_chained_on():
-    """Two logs of one file part after the first append; the record of the one in the other's place is stale."""
+def test_a_record_with_another_predecessor_is_dropped():
+    """A stale record at the right offset is rejected because it follows a different record."""
     data, ends = three_batches()
     tail = Tail(GENERATION, offset=ends[1], previous=1, synced=ends[1])
     (body,) = records.encode_entries(entries(3, 2, epoch=7))
-    assert recovered_from(data[: ends[1]] + tail.encode_record(RecordKind.ENTRIES, body)).entries == tuple(
-        entries(1, 2)
-    )
+    assert recover_bytes(data[: ends[1]] + tail.encode_record(RecordKind.ENTRIES, body)).entries == tuple(entries(1, 2))
 
 
 @pytest.mark.parametrize(
@@ -423,14 +421,14 @@
         (RecordKind.TRUNCATION, records.encode_truncation(3)),
     ],
 )
-def test_a_whole_record_that_makes_no_sense_is_not_cut(kind, body):
+def test_an_intact_record_with_invalid_contents_is_corrupt(kind, body):
     tail = Tail(GENERATION)
     data = tail.encode_record(RecordKind.FILE, b"") + tail.encode_record(RecordKind.SNAPSHOT, struct.pack(">QQ", 1, 7))
     with pytest.raises(CorruptLog):
-        recovered_from(data + tail.encode_record(kind, body))
+        recover_bytes(data + tail.encode_record(kind, body))
 
 
-def test_a_record_over_the_limit_is_refused_unread():
+def test_an_oversized_record_is_rejected_without_reading_it():
     tail = Tail(GENERATION)
     data = tail.encode_record(RecordKind.FILE, b"")
     with (
@@ -438,10 +436,10 @@
         mock.patch.object(replay, "MAX_BODY_BYTES", 100),
         pytest.raises(CorruptLog),
     ):
-        recovered_from(data + tail.encode_record(RecordKind.SNAPSHOT, struct.pack(">QQ", 1, 1) + bytes(100)))
+        recover_bytes(data + tail.encode_record(RecordKind.SNAPSHOT, struct.pack(">QQ", 1, 1) + bytes(100)))
 
 
-def test_a_scrub_finds_any_flipped_bit_and_counts_the_bytes():
+def test_a_scrub_detects_any_flipped_bit_and_returns_the_verified_bytes():
     data, _ = three_batches()
     for at in range(len(data)):
         disk = SimulatedDisk(1)
@@ -454,7 +452,7 @@
             log.scrub()
 
 
-def test_a_scrub_finds_a_file_that_got_shorter(tmp_path):
+def test_a_scrub_detects_a_shortened_file(tmp_path):
     log = LogFile(tmp_path)
     log.recover()
     log.append(entries(1, 3))
@@ -467,9 +465,9 @@
 # Arbitrary bytes
 
 
-def is_value_or_corrupt(data):
+def check_contiguous_or_corrupt(data):
     try:
-        found = recovered_from(data)
+        found = recover_bytes(data)
     except CorruptLog:
         return
     sequences = [entry.sequence for entry in found.entries]
@@ -480,21 +478,21 @@
 
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(st.binary(max_size=400), st.booleans())
-def test_recovery_of_arbitrary_bytes_is_a_value_or_corrupt(tail, with_start):
-    is_value_or_corrupt((Tail(GENERATION).encode_record(RecordKind.FILE, b"") if with_start else b"") + tail)
+def test_recovery_of_arbitrary_bytes_is_contiguous_or_corrupt(tail, with_start):
+    check_contiguous_or_corrupt((Tail(GENERATION).encode_record(RecordKind.FILE, b"") if with_start else b"") + tail)
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 6), st.binary(max_size=60)), max_size=6))
-def test_recovery_of_arbitrary_whole_records_is_a_value_or_corrupt(parts):
+def test_recovery_of_arbitrary_whole_records_is_contiguous_or_corrupt(parts):
     tail = Tail(GENERATION)
     data = tail.encode_record(RecordKind.FILE, b"")
-    is_value_or_corrupt(data + b"".join(tail.encode_record(kind, body) for kind, body in parts))
+    check_contiguous_or_corrupt(data + b"".join(tail.encode_record(kind, body) for kind, body in parts))
 
 
 @settings(max_examples=EXAMPLES, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 10_000), st.binary(min_size=1, max_size=40)), min_size=1, max_size=4))
-def test_a_damaged_log_is_a_prefix_or_corrupt(damages):
+def test_recovery_of_a_damaged_log_is_a_prefix_or_corrupt(damages):
     data, ends = three_batches()
     bad = bytearray(data)
     for at, junk in damages:
@@ -503,7 +501,7 @@
     bad = bad[: len(data)]
     first = next((at for at in range(len(data)) if bad[at] != data[at]), len(data))
     try:
-        found = recovered_from(bytes(bad)).entries
+        found = recover_bytes(bytes(bad)).entries
     except CorruptLog:
         assert first < ends[2]
         return
@@ -511,7 +509,7 @@
     assert offset_of(ends, len(found)) >= max(end for end in ends if end <= first)
 
 
-def test_recovery_reads_in_chunks_and_holds_no_more_than_it_returns(tmp_path):
+def test_recovery_memory_is_bounded_by_its_result(tmp_path):
     log = LogFile(tmp_path)
     log.recover()
     for sequence in range(1, 40):
@@ -528,7 +526,7 @@
     assert peak < 6 << 20
 
 
-def test_a_scrub_and_a_search_hold_a_chunk(tmp_path):
+def test_scrub_and_header_search_use_memory_for_one_chunk(tmp_path):
     log = LogFile(tmp_path)
     log.recover()
     log.install(Snapshot(1, 1, bytes(8 << 20)))
@@ -543,10 +541,10 @@
     assert peak < 4 * replay.CHUNK_BYTES
 
 
-# Refusals
+# I/O errors
 
 
-def test_after_a_refused_write_only_recovery_or_a_rewrite_helps():
+def test_after_a_failed_write_only_recovery_or_rewrite_work():
     for seed in range(30):
         disk = SimulatedDisk(seed)
         log = open_log(disk)
@@ -571,7 +569,7 @@
         assert recover(disk).entries[-1] == entries(3)[0]
 
 
-def test_a_failed_sync_is_not_tried_again():
+def test_a_failed_sync_is_not_retried():
     disk = SimulatedDisk(3)
     log = open_log(disk)
     log.recover()
@@ -587,14 +585,14 @@
         assert recover(disk).entries == tuple(entries(1, 2)), seed
 
 
-def test_a_refused_rewrite_leaves_the_old_file_in_use():
+def test_a_failed_rewrite_keeps_the_old_file_in_use():
     for operation in (Operation.OPEN, Operation.WRITE, Operation.SYNC, Operation.RENAME):
         disk = SimulatedDisk(1)
         log = open_log(disk)
         log.recover()
         log.append(entries(1, 2))
         log.sync()
-        disk.before = refuse(operation)
+        disk.before = fail_on(operation)
         with pytest.raises(OSError):
             log.rewrite(Snapshot(1, 2, b"s"), [])
         disk.before = lambda operation, path: None
@@ -615,7 +613,7 @@
         log.recover()
         log.append(entries(1, 3))
         log.sync()
-        disk.before = end_after(calls)
+        disk.before = fail_power_after(calls)
         try:
             log.rewrite(new.snapshot, new.entries)
         except PowerLost:
@@ -628,12 +626,10 @@
         disk.lose_power()
         assert recover(disk) == new
         break
-    assert (
-        calls == 8
-    )  # create, four writes (file, part and end of the snapshot, entries), sync, rename, sync of the folder
+    assert calls == 8  # create, four writes (file, snapshot part, snapshot end, entries), sync, rename, folder sync
 
 
-def end_after(calls):
+def fail_power_after(calls):
     done = 0
 
     def before(operation, path):
@@ -645,7 +641,7 @@
     return before
 
 
-def test_what_a_rewrite_left_when_it_was_cut_short_is_removed():
+def test_the_remains_of_an_interrupted_rewrite_are_removed():
     disk = SimulatedDisk(1)
     open_log(disk).recover()
     disk.put(FOLDER / "log.new", b"half")
@@ -653,13 +649,13 @@
     assert not disk.exists(FOLDER / "log.new")
 
 
-def test_a_rewrite_whose_name_is_not_durable_takes_no_appends():
+def test_a_rewrite_whose_rename_is_not_durable_accepts_no_appends():
     disk = SimulatedDisk(1)
     log = open_log(disk)
     log.recover()
     log.append(entries(1, 2))
     log.sync()
-    disk.before = refuse(Operation.SYNC_FOLDER)
+    disk.before = fail_on(Operation.SYNC_FOLDER)
     with pytest.raises(OSError):
         log.rewrite(Snapshot(1, 2, b"s"), [])
     disk.before = lambda operation, path: None
@@ -668,7 +664,7 @@
     assert log.recover() == Recovered(Snapshot(1, 2, b"s"), ())
 
 
-def refuse(refused):
+def fail_on(refused):
     def before(operation, path):
         if operation is refused:
             raise OSError(errno.EIO, "refused", str(path))
@@ -676,7 +672,7 @@
     return before
 
 
-def test_a_full_disk_refuses_a_rewrite_and_keeps_the_log():
+def test_a_rewrite_on_a_full_disk_fails_and_keeps_the_log():
     disk = SimulatedDisk(1)
     log = open_log(disk)
     log.recover()
@@ -688,7 +684,7 @@
     assert recover(disk).entries == tuple(entries(1, 10))
 
 
-def test_a_log_that_is_not_believed_can_be_rewritten():
+def test_a_corrupt_log_can_be_rewritten():
     data, _ = three_batches()
     disk = SimulatedDisk(1)
     disk.put(LOG, b"?" + data[1:])
@@ -701,12 +697,12 @@
     assert recover(disk) == Recovered(Snapshot(3, 9, b"from another"), ())
 
 
-# Histories
+# Random histories
 
 
 @dataclass
 class Oracle:
-    """What a log may hold after a loss of power: one of the states since the last that was surely durable."""
+    """The states that a log may have after a power loss: all since the last one known to be durable."""
 
     states: list
 
@@ -714,15 +710,15 @@
     def now(self):
         return self.states[-1]
 
-    def may_become(self, snapshot, held):
+    def add_possible(self, snapshot, held):
         self.states.append(Recovered(snapshot, tuple(held)))
 
-    def is_durable(self):
+    def set_durable(self):
         del self.states[:-1]
 
 
-class History:
-    """A seeded life of a log on one disk: calls, kills, losses of power, refusals, and ends in the middle of calls."""
+class RandomHistory:
+    """A seeded random history of a log on one disk: calls, killed processes, power losses and I/O errors."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
@@ -736,11 +732,11 @@
         self.disk.before = lambda operation, path: None
         self.disk.refusing = False
         if self.random.random() < 0.2:
-            self.countdown(self.random.randrange(8))
+            self.lose_power_after(self.random.randrange(8))
             try:
                 self.new_log().recover()
             except PowerLost:
-                self.fall()
+                self.crash()
             self.disk.before = lambda operation, path: None
         self.log = self.new_log()
         found = self.log.recover()
@@ -751,10 +747,10 @@
     def new_log(self):
         return LogFile(FOLDER, self.disk, generation=lambda: self.generations.getrandbits(64))
 
-    def countdown(self, calls):
-        self.disk.before = end_after(calls)
+    def lose_power_after(self, calls):
+        self.disk.before = fail_power_after(calls)
 
-    def fall(self):
+    def crash(self):
         if self.random.random() < 0.6:
             self.disk.lose_power()
         else:
@@ -768,7 +764,7 @@
 
     def step(self):
         if self.random.random() < 0.12:
-            self.countdown(self.random.randrange(5))
+            self.lose_power_after(self.random.randrange(5))
         self.disk.refusing = self.random.random() < 0.04
         call = self.random.choice(
             [
@@ -780,39 +776,39 @@
                 self.truncate,
                 self.install,
                 self.rewrite,
-                self.fall_now,
+                self.crash_and_start,
                 self.scrub,
             ]
         )
         try:
             call()
         except PowerLost:
-            self.fall()
+            self.crash()
             self.start()
         except OSError:
             self.disk.refusing = False
             if self.random.random() < 0.5:
-                self.fall()
+                self.crash()
             self.start()
 
     def append(self):
         now, first = self.oracle.now, self.last() + 1
         new = entries(first, self.random.randrange(1, 6), self.epoch, self.random.choice([0, 30, 700, 3000]))
-        self.oracle.may_become(now.snapshot, now.entries + tuple(new))
+        self.oracle.add_possible(now.snapshot, now.entries + tuple(new))
         self.log.append(new)
 
     def truncate(self):
         now = self.oracle.now
         floor = now.snapshot.sequence if now.snapshot else 0
         to = self.random.randint(floor, self.last())
-        self.oracle.may_become(now.snapshot, [entry for entry in now.entries if entry.sequence <= to])
+        self.oracle.add_possible(now.snapshot, [entry for entry in now.entries if entry.sequence <= to])
         self.log.truncate(to)
 
     def install(self):
         snapshot = Snapshot(
             self.epoch, self.last() + self.random.randrange(3), self.random.randbytes(self.random.choice([0, 40, 2000]))
         )
-        self.oracle.may_become(snapshot, ())
+        self.oracle.add_possible(snapshot, ())
         self.log.install(snapshot)
 
     def rewrite(self):
@@ -820,26 +816,26 @@
         at = self.random.randint(now.snapshot.sequence if now.snapshot else 0, self.last())
         snapshot = Snapshot(self.epoch, at, b"rewritten %d" % at)
         kept = tuple(entry for entry in now.entries if entry.sequence > at)
-        self.oracle.may_become(snapshot, kept)
+        self.oracle.add_possible(snapshot, kept)
         self.log.rewrite(snapshot, kept)
-        self.oracle.is_durable()
+        self.oracle.set_durable()
 
     def sync(self):
         self.log.sync()
-        self.oracle.is_durable()
+        self.oracle.set_durable()
 
     def scrub(self):
         assert self.log.scrub() == self.log.size == len(self.disk.contents(LOG))
 
-    def fall_now(self):
-        self.fall()
+    def crash_and_start(self):
+        self.crash()
         self.start()
 
 
 @pytest.mark.parametrize("part", range(8))
-def test_seeded_histories_hold_what_was_synced_and_invent_nothing(part):
+def test_random_histories_keep_synced_data_and_never_return_other_data(part):
     for seed in range(part, HISTORIES, 8):
-        history = History(seed)
+        history = RandomHistory(seed)
         for _ in range(60):
             history.step()
 
@@ -848,7 +844,7 @@
 
 
 class Loop:
-    """Takes what is posted; `run` calls it."""
+    """A stand-in for the event loop. `run` calls the posted callbacks."""
 
     def __init__(self):
         self.posted = []
@@ -861,207 +857,207 @@
             self.posted.pop(0)()
 
 
-class Desk:
-    """A writer that is stepped by hand, on a simulated disk; `heard` are the callbacks in order."""
+class WriterFixture:
+    """A writer on a simulated disk that the test steps. `called` lists the callbacks in order."""
 
     def __init__(self):
         self.now = 100.0
-        self.calls, self.heard, self.failures = [], [], []
+        self.calls, self.called, self.failures = [], [], []
         self.disk, self.loop = SimulatedDisk(1), Loop()
         self.log = open_log(self.disk)
         self.log.recover()
         self.disk.before = lambda operation, path: self.calls.append(operation)
         self.writer = LogWriter(self.log, self.loop.post, self.failures.append, clock=lambda: self.now, threaded=False)
 
-    def hears(self, what):
-        return lambda: self.heard.append(what)
+    def record(self, what):
+        return lambda: self.called.append(what)
 
 
-def test_many_appends_ride_on_one_sync_and_one_post():
-    desk = Desk()
+def test_many_appends_share_one_sync_and_one_post():
+    fixture = WriterFixture()
     for sequence in range(1, 51):
-        desk.writer.append(entries(sequence), desk.hears(sequence))
-    assert desk.writer.step()
-    assert desk.calls == [Operation.WRITE, Operation.SYNC]
-    assert len(desk.loop.posted) == 1
-    desk.loop.run()
-    assert desk.heard == list(range(1, 51))
-    assert not desk.writer.step()
+        fixture.writer.append(entries(sequence), fixture.record(sequence))
+    assert fixture.writer.step()
+    assert fixture.calls == [Operation.WRITE, Operation.SYNC]
+    assert len(fixture.loop.posted) == 1
+    fixture.loop.run()
+    assert fixture.called == list(range(1, 51))
+    assert not fixture.writer.step()
 
 
-def test_nothing_is_said_to_be_durable_before_its_sync():
-    desk = Desk()
+def test_durable_callbacks_follow_the_sync():
+    fixture = WriterFixture()
     synced = []
-    desk.disk.before = lambda operation, path: synced.append((operation, list(desk.loop.posted)))
-    desk.writer.append(entries(1), desk.hears(1))
-    desk.writer.install(Snapshot(1, 5, b""), desk.hears(5))
-    desk.writer.step()
+    fixture.disk.before = lambda operation, path: synced.append((operation, list(fixture.loop.posted)))
+    fixture.writer.append(entries(1), fixture.record(1))
+    fixture.writer.install(Snapshot(1, 5, b""), fixture.record(5))
+    fixture.writer.step()
     assert synced[-1] == (Operation.SYNC, [])
-    desk.loop.run()
-    assert desk.heard == [1, 5]
+    fixture.loop.run()
+    assert fixture.called == [1, 5]
 
 
-def test_jobs_on_the_log_keep_their_order():
-    desk = Desk()
-    desk.writer.append(entries(1, 3), desk.hears("a"))
-    desk.writer.truncate(2)
-    desk.writer.append(entries(3, 2, epoch=2), desk.hears("b"))
-    desk.writer.rewrite(Snapshot(2, 3, b"s"), entries(4, 1, epoch=2))
-    desk.writer.append(entries(5, 1, epoch=2), desk.hears("c"))
-    desk.writer.close()
-    desk.loop.run()
-    assert desk.heard == ["a", "b", "c"]
-    desk.disk.before = lambda operation, path: None
-    desk.disk.lose_power()
-    assert recover(desk.disk) == Recovered(Snapshot(2, 3, b"s"), tuple(entries(4, 2, epoch=2)))
+def test_log_jobs_keep_their_order():
+    fixture = WriterFixture()
+    fixture.writer.append(entries(1, 3), fixture.record("a"))
+    fixture.writer.truncate(2)
+    fixture.writer.append(entries(3, 2, epoch=2), fixture.record("b"))
+    fixture.writer.rewrite(Snapshot(2, 3, b"s"), entries(4, 1, epoch=2))
+    fixture.writer.append(entries(5, 1, epoch=2), fixture.record("c"))
+    fixture.writer.close()
+    fixture.loop.run()
+    assert fixture.called == ["a", "b", "c"]
+    fixture.disk.before = lambda operation, path: None
+    fixture.disk.lose_power()
+    assert recover(fixture.disk) == Recovered(Snapshot(2, 3, b"s"), tuple(entries(4, 2, epoch=2)))
 
 
 def test_a_truncation_alone_is_synced():
-    desk = Desk()
-    desk.writer.append(entries(1, 3), desk.hears(1))
-    desk.writer.step()
-    desk.writer.truncate(1)
-    desk.writer.step()
-    assert desk.calls == [Operation.WRITE, Operation.SYNC] * 2
-
-
-def test_an_append_of_nothing_says_when_what_went_before_is_durable():
-    desk = Desk()
-    desk.writer.append([], desk.hears("nothing"))
-    desk.writer.step()
-    desk.loop.run()
-    assert (desk.heard, desk.calls) == (["nothing"], [])
-
-
-def test_other_jobs_go_first_in_order():
-    desk = Desk()
-    desk.writer.append(entries(1), desk.hears("append"))
-    desk.writer.run(desk.hears("first job"), desk.hears("first done"))
-    desk.writer.run(desk.hears("second job"), desk.hears("second done"))
-    while desk.writer.step():
-        desk.loop.run()
-    assert desk.heard == ["first job", "first done", "second job", "second done", "append"]
-
-
-def test_another_job_waits_for_one_group_at_most():
-    desk = Desk()
+    fixture = WriterFixture()
+    fixture.writer.append(entries(1, 3), fixture.record(1))
+    fixture.writer.step()
+    fixture.writer.truncate(1)
+    fixture.writer.step()
+    assert fixture.calls == [Operation.WRITE, Operation.SYNC] * 2
+
+
+def test_an_empty_append_reports_that_earlier_jobs_are_durable():
+    fixture = WriterFixture()
+    fixture.writer.append([], fixture.record("nothing"))
+    fixture.writer.step()
+    fixture.loop.run()
+    assert (fixture.called, fixture.calls) == (["nothing"], [])
+
+
+def test_other_disk_jobs_precede_log_jobs_and_keep_their_order():
+    fixture = WriterFixture()
+    fixture.writer.append(entries(1), fixture.record("append"))
+    fixture.writer.run(fixture.record("first job"), fixture.record("first done"))
+    fixture.writer.run(fixture.record("second job"), fixture.record("second done"))
+    while fixture.writer.step():
+        fixture.loop.run()
+    assert fixture.called == ["first job", "first done", "second job", "second done", "append"]
+
+
+def test_another_disk_job_waits_for_at_most_one_group():
+    fixture = WriterFixture()
     for sequence in range(1, 9):
-        desk.writer.append(entries(sequence, size=GROUP_BYTES // 4), desk.hears(sequence))
-    desk.writer.step()
-    desk.writer.run(lambda: None, desk.hears("saved"))
-    while desk.writer.step():
+        fixture.writer.append(entries(sequence, size=GROUP_BYTES // 4), fixture.record(sequence))
+    fixture.writer.step()
+    fixture.writer.run(lambda: None, fixture.record("saved"))
+    while fixture.writer.step():
         pass
-    desk.loop.run()
-    assert desk.heard == [1, 2, 3, 4, "saved", 5, 6, 7, 8]
+    fixture.loop.run()
+    assert fixture.called == [1, 2, 3, 4, "saved", 5, 6, 7, 8]
 
 
 def test_pending_since_is_the_oldest_unfinished_job():
-    desk = Desk()
-    assert desk.writer.pending_since is None
-    desk.writer.append(entries(1), desk.hears(1))
-    desk.now = 101.0
-    desk.writer.run(lambda: seen.append(desk.writer.pending_since), desk.hears("saved"))
-    desk.now, seen = 102.0, []
-    assert desk.writer.pending_since == 100.0
-    desk.writer.step()
-    assert (seen, desk.writer.pending_since) == ([100.0], 100.0)
-    desk.disk.before = lambda operation, path: seen.append(desk.writer.pending_since)
-    desk.writer.step()
-    assert (seen, desk.writer.pending_since) == ([100.0] * 3, None)
+    fixture = WriterFixture()
+    assert fixture.writer.pending_since is None
+    fixture.writer.append(entries(1), fixture.record(1))
+    fixture.now = 101.0
+    fixture.writer.run(lambda: seen.append(fixture.writer.pending_since), fixture.record("saved"))
+    fixture.now, seen = 102.0, []
+    assert fixture.writer.pending_since == 100.0
+    fixture.writer.step()
+    assert (seen, fixture.writer.pending_since) == ([100.0], 100.0)
+    fixture.disk.before = lambda operation, path: seen.append(fixture.writer.pending_since)
+    fixture.writer.step()
+    assert (seen, fixture.writer.pending_since) == ([100.0] * 3, None)
 
 
 @pytest.mark.parametrize("operation", [Operation.WRITE, Operation.SYNC])
-def test_a_refusing_disk_is_said_once_and_everything_queued_is_dropped(operation):
-    desk = Desk()
-    desk.writer.append(entries(1), desk.hears(1))
-    desk.writer.step()
-    desk.disk.before = refuse(operation)
+def test_a_disk_error_is_reported_once_and_drops_all_queued_jobs(operation):
+    fixture = WriterFixture()
+    fixture.writer.append(entries(1), fixture.record(1))
+    fixture.writer.step()
+    fixture.disk.before = fail_on(operation)
     for sequence in range(2, 12):
-        desk.writer.append(entries(sequence, size=GROUP_BYTES // 2), desk.hears(sequence))
-    assert not desk.writer.broken
-    desk.writer.step()
-    assert desk.writer.broken
-    assert desk.writer.pending_since is None
-    desk.disk.before = lambda operation, path: None
-    desk.writer.append(entries(2), desk.hears(2))
-    desk.writer.run(desk.hears("job"), desk.hears("done"))
-    assert not desk.writer.step()
-    desk.writer.close()
-    desk.loop.run()
-    assert desk.heard == [1]
-    assert [failure.errno for failure in desk.failures] == [errno.EIO]
+        fixture.writer.append(entries(sequence, size=GROUP_BYTES // 2), fixture.record(sequence))
+    assert not fixture.writer.broken
+    fixture.writer.step()
+    assert fixture.writer.broken
+    assert fixture.writer.pending_since is None
+    fixture.disk.before = lambda operation, path: None
+    fixture.writer.append(entries(2), fixture.record(2))
+    fixture.writer.run(fixture.record("job"), fixture.record("done"))
+    assert not fixture.writer.step()
+    fixture.writer.close()
+    fixture.loop.run()
+    assert fixture.called == [1]
+    assert [failure.errno for failure in fixture.failures] == [errno.EIO]
 
 
 def test_a_job_that_raises_breaks_the_writer():
     for error, number in ((OSError(errno.ENOSPC, "full"), errno.ENOSPC), (ValueError("a bug"), errno.EIO)):
-        desk = Desk()
-        desk.writer.append(entries(1), desk.hears(1))
-        desk.writer.run(mock.Mock(side_effect=error), desk.hears("done"))
-        desk.writer.run(desk.hears("another"), desk.hears("done"))
-        desk.writer.close()
-        desk.loop.run()
-        assert (desk.heard, [failure.errno for failure in desk.failures]) == ([], [number])
-
-
-def test_entries_that_do_not_follow_break_the_writer():
-    desk = Desk()
-    desk.writer.append(entries(1), desk.hears(1))
-    desk.writer.append(entries(3), desk.hears(3))
-    desk.writer.step()
-    desk.loop.run()
-    assert desk.writer.broken
-    assert desk.heard == []
-
-
-def test_after_a_failure_another_writer_takes_the_log_up_by_a_rewrite():
-    desk = Desk()
-    desk.disk.before = refuse(Operation.SYNC)
-    desk.writer.append(entries(1), desk.hears(1))
-    desk.writer.step()
-    desk.disk.before = lambda operation, path: None
-    again = LogWriter(desk.log, desk.loop.post, desk.failures.append, threaded=False)
+        fixture = WriterFixture()
+        fixture.writer.append(entries(1), fixture.record(1))
+        fixture.writer.run(mock.Mock(side_effect=error), fixture.record("done"))
+        fixture.writer.run(fixture.record("another"), fixture.record("done"))
+        fixture.writer.close()
+        fixture.loop.run()
+        assert (fixture.called, [failure.errno for failure in fixture.failures]) == ([], [number])
+
+
+def test_non_contiguous_entries_break_the_writer():
+    fixture = WriterFixture()
+    fixture.writer.append(entries(1), fixture.record(1))
+    fixture.writer.append(entries(3), fixture.record(3))
+    fixture.writer.step()
+    fixture.loop.run()
+    assert fixture.writer.broken
+    assert fixture.called == []
+
+
+def test_after_a_failure_another_writer_can_rewrite_the_log():
+    fixture = WriterFixture()
+    fixture.disk.before = fail_on(Operation.SYNC)
+    fixture.writer.append(entries(1), fixture.record(1))
+    fixture.writer.step()
+    fixture.disk.before = lambda operation, path: None
+    again = LogWriter(fixture.log, fixture.loop.post, fixture.failures.append, threaded=False)
     again.rewrite(Snapshot(1, 0, b""), entries(1))
-    again.append(entries(2), desk.hears(2))
+    again.append(entries(2), fixture.record(2))
     again.close()
-    desk.loop.run()
-    assert desk.heard == [2]
-    desk.disk.lose_power()
-    assert recover(desk.disk).entries == tuple(entries(1, 2))
+    fixture.loop.run()
+    assert fixture.called == [2]
+    fixture.disk.lose_power()
+    assert recover(fixture.disk).entries == tuple(entries(1, 2))
 
 
-def test_a_closed_writer_takes_nothing():
-    desk = Desk()
-    desk.writer.append(entries(1), desk.hears(1))
-    desk.writer.close()
-    desk.writer.append(entries(2), desk.hears(2))
-    assert not desk.writer.step()
-    desk.loop.run()
-    assert desk.heard == [1]
-    assert not desk.writer.broken
+def test_a_closed_writer_accepts_no_jobs():
+    fixture = WriterFixture()
+    fixture.writer.append(entries(1), fixture.record(1))
+    fixture.writer.close()
+    fixture.writer.append(entries(2), fixture.record(2))
+    assert not fixture.writer.step()
+    fixture.loop.run()
+    assert fixture.called == [1]
+    assert not fixture.writer.broken
 
 
-def test_the_thread_does_what_is_queued_while_the_disk_stalls(tmp_path):
-    """The first sync waits until more is queued: that is one group, and pending_since shows the stall."""
+def test_jobs_queued_while_the_disk_stalls_are_executed_as_one_group(tmp_path):
+    """A stalled disk job precedes the appends. They form one group, and pending_since reports the stall."""
     log = LogFile(tmp_path)
     log.recover()
-    stalled, go_on, loop, heard, failures = threading.Event(), threading.Event(), Loop(), [], []
+    stalled, go_on, loop, called, failures = threading.Event(), threading.Event(), Loop(), [], []
     writer = LogWriter(log, loop.post, failures.append)
 
     def stall():
         stalled.set()
         go_on.wait(60)
 
-    writer.run(stall, lambda: heard.append("stalled"))
+    writer.run(stall, lambda: called.append("stalled"))
     assert stalled.wait(60)
     assert writer.pending_since is not None
     with mock.patch.object(log, "sync", wraps=log.sync) as sync:
         for sequence in range(1, 301):
-            writer.append(entries(sequence), lambda at=sequence: heard.append(at))
+            writer.append(entries(sequence), lambda at=sequence: called.append(at))
         go_on.set()
         writer.close(60)
     assert sync.call_count == 1
     loop.run()
-    assert heard == ["stalled", *range(1, 301)]
+    assert called == ["stalled", *range(1, 301)]
     assert writer.pending_since is None
     log.close()
     assert LogFile(tmp_path).recover().entries == tuple(entries(1, 300))
@@ -1079,10 +1075,10 @@
     assert LogFile(tmp_path).recover().entries == tuple(entries(1))
 
 
-# The identity
+# Disk identity
 
 
-def test_an_identity_is_created_once_and_loaded_after(tmp_path):
+def test_an_identity_is_created_once_and_loaded_afterwards(tmp_path):
     created = load_identity(tmp_path, True, lambda: 7)
     assert created == DiskIdentity(7, True)
     assert load_identity(tmp_path, False, lambda: 8) == created
@@ -1096,7 +1092,7 @@
     assert load_identity(tmp_path, False, lambda: (1 << 64) - 1) == DiskIdentity((1 << 64) - 1, False)
 
 
-def damaged(data: bytes, *offsets: int) -> bytes:
+def flip_bits(data: bytes, *offsets: int) -> bytes:
     found = bytearray(data)
     for at in offsets:
         found[at] ^= 1
@@ -1109,7 +1105,7 @@
     data = path.read_bytes()
     size = len(data) - identities.COPY_OFFSET
     for at in range(size):
-        for bad in (damaged(data, at), damaged(data, identities.COPY_OFFSET + at), data[: len(data) - 1 - at]):
+        for bad in (flip_bits(data, at), flip_bits(data, identities.COPY_OFFSET + at), data[: len(data) - 1 - at]):
             path.write_bytes(bad)
             assert load_identity(tmp_path, False, lambda: 8) == identity
     path.write_bytes(data[:size])  # as an earlier version wrote it
@@ -1123,7 +1119,7 @@
     size = len(data) - identities.COPY_OFFSET
     single = data[:size]
     cut = [single[:length] for length in range(size)]
-    both = [damaged(data, at, identities.COPY_OFFSET + other) for at in range(size) for other in range(size)]
+    both = [flip_bits(data, at, identities.COPY_OFFSET + other) for at in range(size) for other in range(size)]
     other_disk = identities.encode_identity(DiskIdentity(8, True))[:size]
     for bad in [*cut, *both, other_disk + data[size:]]:
         path.write_bytes(bad)
@@ -1142,8 +1138,8 @@
 
 
 def test_an_identity_is_durable_when_it_is_returned(tmp_path):
-    """Created, loaded (its writer may have been killed before it synced the folder) or changed: the folder is synced
-    last."""
+    """The folder is synced last after the identity is created, changed or loaded. Loading syncs it because the process
+    that wrote the file may have been killed before it synced the folder."""
     synced = []
 
     def fsync(descriptor):
@@ -1160,7 +1156,7 @@
             assert synced[-1] == tmp_path.resolve()
 
 
-def test_discarding_forgets_the_identity_first_and_the_log_last(tmp_path):
+def test_discarding_removes_the_identity_first_and_the_log_last(tmp_path):
     load_identity(tmp_path, True, lambda: 7)
     LogFile(tmp_path).recover()
     (tmp_path / "promises").write_bytes(b"p")
@@ -1182,11 +1178,11 @@
     assert list(tmp_path.iterdir()) == []
 
 
-# The simulated disk
+# Simulated disk
 
 
-def test_a_disk_loses_what_was_not_synced_and_keeps_what_was():
-    fates = set()
+def test_a_power_loss_keeps_synced_writes_and_may_lose_others():
+    outcomes = set()
     for seed in range(200):
         disk = SimulatedDisk(seed)
         path = FOLDER / "a"
@@ -1198,10 +1194,10 @@
         disk.lose_power()
         data = disk.contents(path)
         assert data[:1200] == b"old" * 400
-        fates.add((data[1200:2400] == b"new" * 400, data[2400:] == b"end", len(data) > 1200))
+        outcomes.add((data[1200:2400] == b"new" * 400, data[2400:] == b"end", len(data) > 1200))
         with pytest.raises(OSError):
             file.read(0, 1)
-    assert {(True, True, True), (False, True, True), (True, False, True), (False, False, False)} <= fates
+    assert {(True, True, True), (False, True, True), (True, False, True), (False, False, False)} <= outcomes
 
 
 def test_a_rename_may_be_lost_until_the_folder_is_synced():
@@ -1220,7 +1216,7 @@
     assert after == {(0, b"1", True), (0, b"2", False), (1, b"2", False)}
 
 
-def test_a_new_file_lasts_once_synced_though_an_earlier_one_of_its_name_did_not():
+def test_a_synced_file_survives_although_an_earlier_file_of_its_name_was_not_synced():
     for seed in range(50):
         disk = SimulatedDisk(seed)
         disk.create(FOLDER / "a")
@@ -1237,7 +1233,7 @@
         assert disk.contents(FOLDER / found[0]) == b"1"
 
 
-def test_a_disk_does_the_same_for_the_same_seed():
+def test_a_disk_is_deterministic_for_a_seed():
     def play(seed):
         disk = SimulatedDisk(seed)
         log = open_log(disk)
--- a/tests/test_sync_times.py
+++ b/tests/test_sync_times.py
@@ -1,4 +1,4 @@
-"""What counts as the disk's time: what the disk does, and not what waits for a processor."""
+"""Disk latency covers the time in the disk and not the time spent waiting for a processor."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from millethead.storage.writer import LogWriter
 
 SYNC_S = 0.009
-LOOP_DELAY_S = 0.7  # for which the event loop of a head is busy with agents that come
+LOOP_DELAY_S = 0.7  # during which the event loop of a head handles connecting agents
 
 
-class Time:
-    """A clock that the test moves."""
+class ManualClock:
+    """A clock that the test advances."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -24,11 +24,11 @@
         return self.now
 
 
-class Desk:
-    """A writer whose thread and loop get the processor when the test says so; a sync takes `sync_s`."""
+class WriterFixture:
+    """A writer whose thread and event loop run only when the test says so. A sync takes `sync_s`."""
 
     def __init__(self) -> None:
-        self.clock = Time()
+        self.clock = ManualClock()
         self.sync_s = SYNC_S
         self.times = SyncTimes(self.clock)
         self.posted: list[object] = []
@@ -48,123 +48,123 @@
     return int(1000 * seconds)
 
 
-def near(found: int, seconds: float) -> bool:
+def is_close(found: int, seconds: float) -> bool:
     return abs(found - ms(seconds)) <= 1
 
 
-def test_a_write_takes_what_the_disk_takes() -> None:
-    desk = Desk()
-    desk.append()
-    assert desk.writer.step()
-    assert near(desk.times.latency_ms(), SYNC_S)
+def test_latency_is_the_duration_of_the_sync() -> None:
+    fixture = WriterFixture()
+    fixture.append()
+    assert fixture.writer.step()
+    assert is_close(fixture.times.latency_ms(), SYNC_S)
 
 
-def test_a_loop_that_is_held_up_makes_no_slow_disk() -> None:
-    """The callback waits for the loop: a head that was busy for 0.7 s took its own disk for slow, and handed over to
-    the next member, which then was as busy."""
-    desk = Desk()
-    desk.append()
-    desk.writer.step()
-    desk.clock.now += LOOP_DELAY_S
-    assert desk.posted  # not called yet
-    assert desk.times.latency_ms() < SLOW_DISK_MS
+def test_a_delayed_event_loop_does_not_count_as_disk_latency() -> None:
+    """The callback waits for the event loop. A head that was busy for 0.7 s mistook this for a slow disk and handed
+    over to the next member, which was then just as busy."""
+    fixture = WriterFixture()
+    fixture.append()
+    fixture.writer.step()
+    fixture.clock.now += LOOP_DELAY_S
+    assert fixture.posted  # not called yet
+    assert fixture.times.latency_ms() < SLOW_DISK_MS
 
 
-def test_a_thread_that_waits_for_the_processor_makes_no_slow_disk() -> None:
-    desk = Desk()
-    desk.append()
-    desk.clock.now += LOOP_DELAY_S
-    assert desk.times.latency_ms() == 0  # nothing is at the disk
-    desk.writer.step()
-    assert near(desk.times.latency_ms(), SYNC_S)
+def test_a_delayed_writer_thread_does_not_count_as_disk_latency() -> None:
+    fixture = WriterFixture()
+    fixture.append()
+    fixture.clock.now += LOOP_DELAY_S
+    assert fixture.times.latency_ms() == 0  # the disk has no work
+    fixture.writer.step()
+    assert is_close(fixture.times.latency_ms(), SYNC_S)
 
 
-def test_a_write_that_the_loop_has_not_let_finish_makes_no_slow_disk() -> None:
-    """The thread needs the interpreter to say that a write is done. A head found its own write under way for 253 ms,
-    which it had itself held up."""
-    desk = Desk()
+def test_a_write_that_waits_for_the_interpreter_does_not_count_as_disk_latency() -> None:
+    """The thread needs the interpreter lock to report a finished write. A head measured 253 ms for a write whose report
+    it had delayed itself."""
+    fixture = WriterFixture()
     seen: list[int] = []
 
-    def sync_beside_a_busy_loop() -> None:
-        desk.clock.now += SYNC_S
-        due = desk.clock.now
-        desk.clock.now += LOOP_DELAY_S
-        desk.times.record_loop_delay(due)
-        seen.append(desk.times.latency_ms())
+    def sync_during_loop_delay() -> None:
+        fixture.clock.now += SYNC_S
+        due = fixture.clock.now
+        fixture.clock.now += LOOP_DELAY_S
+        fixture.times.record_loop_delay(due)
+        seen.append(fixture.times.latency_ms())
 
-    desk.writer._log.sync = sync_beside_a_busy_loop
-    desk.append()
-    desk.writer.step()
-    assert near(seen[0], SYNC_S) and near(desk.times.latency_ms(), SYNC_S)
+    fixture.writer._log.sync = sync_during_loop_delay
+    fixture.append()
+    fixture.writer.step()
+    assert is_close(seen[0], SYNC_S) and is_close(fixture.times.latency_ms(), SYNC_S)
 
 
-def test_a_slow_disk_is_slow_beside_a_busy_loop() -> None:
-    desk = Desk()
+def test_a_slow_disk_is_detected_despite_a_delayed_event_loop() -> None:
+    fixture = WriterFixture()
 
     def slow_sync() -> None:
-        desk.clock.now += 0.2
-        due = desk.clock.now
-        desk.clock.now += 0.1
-        desk.times.record_loop_delay(due)
-        desk.clock.now += 0.2
+        fixture.clock.now += 0.2
+        due = fixture.clock.now
+        fixture.clock.now += 0.1
+        fixture.times.record_loop_delay(due)
+        fixture.clock.now += 0.2
 
-    desk.writer._log.sync = slow_sync
-    desk.append()
-    desk.writer.step()
-    assert near(desk.times.latency_ms(), 0.4)
+    fixture.writer._log.sync = slow_sync
+    fixture.append()
+    fixture.writer.step()
+    assert is_close(fixture.times.latency_ms(), 0.4)
 
 
 def test_the_wait_behind_an_earlier_write_counts() -> None:
-    desk = Desk()
-    desk.sync_s = 0.2
-    desk.append()
-    sync = desk.writer._log.sync
+    fixture = WriterFixture()
+    fixture.sync_s = 0.2
+    fixture.append()
+    sync = fixture.writer._log.sync
 
-    def sync_while_another_comes() -> None:
-        desk.append()
+    def sync_during_another_append() -> None:
+        fixture.append()
         sync()
 
-    desk.writer._log.sync = sync_while_another_comes
-    desk.writer.step()
-    desk.writer._log.sync = sync
-    desk.writer.step()
-    assert near(desk.times.latency_ms(), 0.4)
+    fixture.writer._log.sync = sync_during_another_append
+    fixture.writer.step()
+    fixture.writer._log.sync = sync
+    fixture.writer.step()
+    assert is_close(fixture.times.latency_ms(), 0.4)
 
 
-def test_a_write_that_stands_still_is_slow_while_it_stands() -> None:
-    desk = Desk()
+def test_a_stalled_write_counts_while_it_is_in_progress() -> None:
+    fixture = WriterFixture()
     seen: list[int] = []
 
     def stall() -> None:
-        desk.clock.now += 0.5
-        seen.append(desk.times.latency_ms())
-        desk.clock.now += 0.5
+        fixture.clock.now += 0.5
+        seen.append(fixture.times.latency_ms())
+        fixture.clock.now += 0.5
 
-    desk.writer._log.sync = stall
-    desk.append()
-    desk.writer.step()
-    assert near(seen[0], 0.5) and near(desk.times.latency_ms(), 1.0)
+    fixture.writer._log.sync = stall
+    fixture.append()
+    fixture.writer.step()
+    assert is_close(seen[0], 0.5) and is_close(fixture.times.latency_ms(), 1.0)
 
 
-def test_old_writes_are_forgotten() -> None:
-    desk = Desk()
-    desk.sync_s = 0.3
-    desk.append()
-    desk.writer.step()
-    assert near(desk.times.latency_ms(), 0.3)
-    desk.clock.now += WINDOW_S + 0.01
-    assert desk.times.latency_ms() == 0
+def test_old_writes_are_ignored() -> None:
+    fixture = WriterFixture()
+    fixture.sync_s = 0.3
+    fixture.append()
+    fixture.writer.step()
+    assert is_close(fixture.times.latency_ms(), 0.3)
+    fixture.clock.now += WINDOW_S + 0.01
+    assert fixture.times.latency_ms() == 0
 
 
-def test_only_bounded_writes_that_somebody_waits_for_tell_of_the_disk() -> None:
-    desk = Desk()
+def test_only_bounded_jobs_with_a_waiting_caller_count_as_disk_latency() -> None:
+    fixture = WriterFixture()
 
     def long_read() -> None:
-        desk.clock.now += 0.4
-
-    desk.writer.run(long_read, mock.Mock())
-    desk.writer.step()
-    assert desk.times.latency_ms() == 0
-    desk.writer.run(long_read, mock.Mock(), timed=True)
-    desk.writer.step()
-    assert near(desk.times.latency_ms(), 0.4)
+        fixture.clock.now += 0.4
+
+    fixture.writer.run(long_read, mock.Mock())
+    fixture.writer.step()
+    assert fixture.times.latency_ms() == 0
+    fixture.writer.run(long_read, mock.Mock(), timed=True)
+    fixture.writer.step()
+    assert is_close(fixture.times.latency_ms(), 0.4)
