--- a/millethead/programs/core_disk.py
+++ b/millethead/programs/core_disk.py
@@ -14,8 +14,8 @@
 from millethead.storage.files import OS_FILE_SYSTEM
 from millethead.storage.identity import (
     DiskIdentity,
-    bootstrap_done,
     discard_disk,
+    finish_bootstrap,
     load_identity,
     repair_identity,
 )
@@ -155,7 +155,7 @@
             self.writer.run(self._forget_bootstrap, lambda: None)
 
     def _forget_bootstrap(self) -> None:
-        self.identity = bootstrap_done(self._folder, self.identity)
+        self.identity = finish_bootstrap(self._folder, self.identity)
 
     def scrubber(self, damaged: Callable[[str], None]) -> Scrubber:
         """A background scrub of the log, and of the identity and the acceptor's file at the start of each pass."""
--- a/millethead/storage/identity.py
+++ b/millethead/storage/identity.py
@@ -48,7 +48,7 @@
     return identity
 
 
-def bootstrap_done(folder: Path, identity: DiskIdentity) -> DiskIdentity:
+def finish_bootstrap(folder: Path, identity: DiskIdentity) -> DiskIdentity:
     """Clears the bootstrapping flag durably and returns the new identity. After an OSError the old identity remains
     valid.
     """
--- a/millethead/storage/sync_times.py
+++ b/millethead/storage/sync_times.py
@@ -53,13 +53,13 @@
             now = self._clock()
             self._busy_since = now - max(0.0, self._idle_since - queued_at)
 
-    def record_end(self, counts: bool = True) -> None:
-        """Records that the disk has finished that work. `counts` is false for work that is not a write with a caller
-        waiting for it.
+    def record_end(self, counts_as_latency: bool = True) -> None:
+        """Records that the disk has finished that work. `counts_as_latency` is false if the work was not a write that a
+        caller waits for.
         """
         with self._lock:
             now = self._clock()
-            if self._busy_since is not None and counts:
+            if self._busy_since is not None and counts_as_latency:
                 self._writes.append(_Interval(self._busy_since, now))
             self._busy_since = None
             self._idle_since = now
--- a/tests/test_scrubbing.py
+++ b/tests/test_scrubbing.py
@@ -19,7 +19,7 @@
 from millethead.programs.disk_maintenance import DiskMaintenance
 from millethead.replication.chain_ports import Role
 from millethead.storage import scrubber
-from millethead.storage.identity import IDENTITY_NAME, DiskIdentity, bootstrap_done, load_identity, repair_identity
+from millethead.storage.identity import IDENTITY_NAME, DiskIdentity, finish_bootstrap, load_identity, repair_identity
 from millethead.storage.log import LOG_NAME, CorruptLog, LogFile, Snapshot
 from millethead.storage.records import HEADER_SIZE
 from millethead.storage.scrubber import PASS_PAUSE_S, SLICE_PAUSE_S, Scrubber
@@ -387,7 +387,7 @@
     flip(tmp_path / IDENTITY_NAME, 6)
     disk._repair_small_files()
     assert load_identity(tmp_path, True, lambda: 8) == DiskIdentity(7, False)
-    assert not repair_identity(tmp_path, bootstrap_done(tmp_path, DiskIdentity(7, True)))
+    assert not repair_identity(tmp_path, finish_bootstrap(tmp_path, DiskIdentity(7, True)))
 
 
 def test_a_disk_in_service_repairs_its_log_and_its_small_files(tmp_path, monkeypatch):
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -20,7 +20,7 @@
 from millethead.storage import identity as identities
 from millethead.storage import records, replay
 from millethead.storage.files import OS_FILE_SYSTEM
-from millethead.storage.identity import DiskIdentity, bootstrap_done, discard_disk, load_identity
+from millethead.storage.identity import DiskIdentity, discard_disk, finish_bootstrap, load_identity
 from millethead.storage.log import CorruptLog, Entry, LogFile, Recovered, SequenceError, Snapshot
 from millethead.storage.records import HEADER_SIZE, MAX_PAYLOAD_BYTES, RecordKind, Tail
 from millethead.storage.writer import GROUP_BYTES, LogWriter
@@ -707,13 +707,13 @@
     states: list
 
     @property
-    def now(self):
+    def latest(self):
         return self.states[-1]
 
-    def add_possible(self, snapshot, held):
-        self.states.append(Recovered(snapshot, tuple(held)))
+    def add_possible(self, snapshot, kept_entries):
+        self.states.append(Recovered(snapshot, tuple(kept_entries)))
 
-    def set_durable(self):
+    def mark_durable(self):
         del self.states[:-1]
 
 
@@ -756,11 +756,11 @@
         else:
             self.disk.end_process()
 
-    def last(self):
-        now = self.oracle.now
-        if now.entries:
-            return now.entries[-1].sequence
-        return now.snapshot.sequence if now.snapshot else 0
+    def last_sequence(self):
+        latest = self.oracle.latest
+        if latest.entries:
+            return latest.entries[-1].sequence
+        return latest.snapshot.sequence if latest.snapshot else 0
 
     def step(self):
         if self.random.random() < 0.12:
@@ -792,37 +792,39 @@
             self.start()
 
     def append(self):
-        now, first = self.oracle.now, self.last() + 1
+        latest, first = self.oracle.latest, self.last_sequence() + 1
         new = entries(first, self.random.randrange(1, 6), self.epoch, self.random.choice([0, 30, 700, 3000]))
-        self.oracle.add_possible(now.snapshot, now.entries + tuple(new))
+        self.oracle.add_possible(latest.snapshot, latest.entries + tuple(new))
         self.log.append(new)
 
     def truncate(self):
-        now = self.oracle.now
-        floor = now.snapshot.sequence if now.snapshot else 0
-        to = self.random.randint(floor, self.last())
-        self.oracle.add_possible(now.snapshot, [entry for entry in now.entries if entry.sequence <= to])
+        latest = self.oracle.latest
+        floor = latest.snapshot.sequence if latest.snapshot else 0
+        to = self.random.randint(floor, self.last_sequence())
+        self.oracle.add_possible(latest.snapshot, [entry for entry in latest.entries if entry.sequence <= to])
         self.log.truncate(to)
 
     def install(self):
         snapshot = Snapshot(
-            self.epoch, self.last() + self.random.randrange(3), self.random.randbytes(self.random.choice([0, 40, 2000]))
+            self.epoch,
+            self.last_sequence() + self.random.randrange(3),
+            self.random.randbytes(self.random.choice([0, 40, 2000])),
         )
         self.oracle.add_possible(snapshot, ())
         self.log.install(snapshot)
 
     def rewrite(self):
-        now = self.oracle.now
-        at = self.random.randint(now.snapshot.sequence if now.snapshot else 0, self.last())
+        latest = self.oracle.latest
+        at = self.random.randint(latest.snapshot.sequence if latest.snapshot else 0, self.last_sequence())
         snapshot = Snapshot(self.epoch, at, b"rewritten %d" % at)
-        kept = tuple(entry for entry in now.entries if entry.sequence > at)
+        kept = tuple(entry for entry in latest.entries if entry.sequence > at)
         self.oracle.add_possible(snapshot, kept)
         self.log.rewrite(snapshot, kept)
-        self.oracle.set_durable()
+        self.oracle.mark_durable()
 
     def sync(self):
         self.log.sync()
-        self.oracle.set_durable()
+        self.oracle.mark_durable()
 
     def scrub(self):
         assert self.log.scrub() == self.log.size == len(self.disk.contents(LOG))
@@ -1082,7 +1084,7 @@
     created = load_identity(tmp_path, True, lambda: 7)
     assert created == DiskIdentity(7, True)
     assert load_identity(tmp_path, False, lambda: 8) == created
-    done = bootstrap_done(tmp_path, created)
+    done = finish_bootstrap(tmp_path, created)
     assert done == DiskIdentity(7, False)
     assert load_identity(tmp_path, True, lambda: 9) == done
     assert load_identity(tmp_path / ".", False, lambda: 9) == done
@@ -1149,7 +1151,7 @@
         for call in (
             lambda: load_identity(tmp_path, True, lambda: 7),
             lambda: load_identity(tmp_path, True, int),
-            lambda: bootstrap_done(tmp_path, DiskIdentity(7, True)),
+            lambda: finish_bootstrap(tmp_path, DiskIdentity(7, True)),
         ):
             synced.clear()
             call()
