--- a/millethead/control/head.py
+++ b/millethead/control/head.py
@@ -272,8 +272,8 @@
     def _lease_requested(self, session: AgentSession, sent_ms: int) -> None:
         # The lease starts at the time of the agent's request, before this member is confirmed as the head.
         """Grant a lease as soon as this member is confirmed as the head."""
-        look_gap_ms = int(self.scheduler.poll_interval_s(session.instance) * 1000)
-        grant = LeaseGrant(sent_ms, int(LEASE_S * 1000), look_gap_ms)
+        poll_interval_ms = int(self.scheduler.poll_interval_s(session.instance) * 1000)
+        grant = LeaseGrant(sent_ms, int(LEASE_S * 1000), poll_interval_ms)
         self.gate.confirm(grant, lambda released: self._grant(session, released))
 
     def _grant(self, session: AgentSession, grant: Committed[LeaseGrant]) -> None:
@@ -345,7 +345,7 @@
         for entry in report.ends:
             run = parse_task_name(entry.key.task, entry.key.run)
             if run is not None:
-                ends.append(EndedRun(run, entry.how, entry.saved))
+                ends.append(EndedRun(run, entry.how, entry.checkpoint))
                 if entry.ran_ms:
                     self.scheduler_sync.run_measured(run, report.instance, entry.ran_ms / 1000)
         open_ends = tuple(
@@ -370,8 +370,8 @@
             if run is None or task is None or not task.open or task.run != run.run:
                 continue
             self.scheduler.progress(step_key(run), run.index, task.instance, entry.percent, self.clock.now())
-            if entry.saved and entry.saved != task.saved:
-                saved.append(SavedRun(run, entry.saved, min(entry.percent, 100)))
+            if entry.checkpoint and entry.checkpoint != task.saved:
+                saved.append(SavedRun(run, entry.checkpoint, min(entry.percent, 100)))
         if saved:
             self.gate.propose(SaveProgress(tuple(saved)))
 
--- a/millethead/execution/agent.py
+++ b/millethead/execution/agent.py
@@ -1,7 +1,7 @@
 """The agent's decisions: what to start, stop and hold at its worker, and what to tell the head of the core.
 
 Events come in by one method each, with the time as the last argument (`now`, seconds of the steady clock); each
-returns the actions that follow. `next_wake` tells when `timer` is due. Nothing here does any I/O.
+returns the actions that follow. `next_timer` tells when `timer_expired` is due. Nothing here does any I/O.
 
 The rules that it keeps, whatever is lost on the way:
 
@@ -18,10 +18,10 @@
 from dataclasses import replace
 
 from millethead.execution.actions import Action, CloseSession, SendRecord
-from millethead.execution.calls import CallAnswer, CallVerdict, HoldCall, Rejection, StopCall, WorkerCall
+from millethead.execution.call_planner import AgentLimits, CallPlanner
+from millethead.execution.calls import CallAnswer, CallStatus, PollCall, Rejection, StopCall, WorkerCall
+from millethead.execution.desired_runs import apply_desired
 from millethead.execution.lease import HeadSession
-from millethead.execution.life import Life, Unstopped
-from millethead.execution.listing import conclude
 from millethead.execution.messages import (
     DesiredRuns,
     EndsNoted,
@@ -35,20 +35,20 @@
     WorkerSuspected,
     WorkerUpdate,
 )
-from millethead.execution.order_answers import take_start_answer, take_stop_answer
-from millethead.execution.reports import ReportBook
+from millethead.execution.next_timer import NextTimer
+from millethead.execution.order_answers import apply_start_answer, apply_stop_answer
+from millethead.execution.reports import PendingReports
+from millethead.execution.run_lists import record_inferred_end
 from millethead.execution.runs import RunState
-from millethead.execution.wake import Wake
-from millethead.execution.wanted import apply_desired
-from millethead.execution.worker_calls import AgentLimits, WorkerCalls
 from millethead.execution.worker_clock import MS, SLOWEST_RATE
+from millethead.execution.worker_instance import AbandonedRun, WorkerInstance
 from millethead.rpc.codec import Record
 
-SUSPICION_AFTER_S = 0.7  # of unanswered calls
+SUSPICION_DELAY_S = 0.7  # of missed_calls calls
 SUSPICION_INTERVAL_S = 0.5
-LEAVE_GRACE_S = 0.2  # from a worker's DELETE until its life counts as over, if nothing runs there
-MOST_OVER = 64  # lives remembered to be over
-MOST_KEPT = 256  # lists of the head kept for a life that is not known yet
+LEAVE_GRACE_PERIOD_S = 0.2  # from a worker's DELETE until its worker counts as over, if nothing runs there
+MAX_ENDED_INSTANCES = 64  # lives remembered to be over
+MAX_DEFERRED_LISTS = 256  # lists of the head kept for a worker that is not known yet
 
 
 class Agent:
@@ -58,14 +58,14 @@
         self._limits = limits
         self._started_at = started_at
         self._session = HeadSession()
-        self._reports = ReportBook()
-        self._life: Life | None = None
+        self._reports = PendingReports()
+        self._worker: WorkerInstance | None = None
         self._worker_known = False  # whether the head may be told that there is none
-        self._over: deque[str] = deque(maxlen=MOST_OVER)
-        self._kept: deque[DesiredRuns] = deque(maxlen=MOST_KEPT)
+        self._ended_instances: deque[str] = deque(maxlen=MAX_ENDED_INSTANCES)
+        self._deferred_lists: deque[DesiredRuns] = deque(maxlen=MAX_DEFERRED_LISTS)
         self._actions: list[Action] = []
-        self._wake = Wake()
-        self._calls = WorkerCalls(limits, self._session, self._wake, lambda action: self._actions.append(action))
+        self._timer = NextTimer()
+        self._calls = CallPlanner(limits, self._session, self._timer, lambda action: self._actions.append(action))
 
     # ---- what others may ask -------------------------------------------------------------------------
 
@@ -80,66 +80,66 @@
         return self._session.lease_end
 
     @property
-    def life(self) -> Life | None:
-        """The worker's life, to be read only."""
-        return self._life
+    def worker(self) -> WorkerInstance | None:
+        """The worker's worker, to be read only."""
+        return self._worker
 
     @property
-    def calls_under_way(self) -> int:
+    def calls_in_flight(self) -> int:
         """How many calls to the worker have not ended."""
-        return self._calls.count
+        return self._calls.in_flight_count
 
-    def next_wake(self) -> float:
-        """When `timer` is to be called; +inf: not before another event."""
-        return self._wake.at
+    def next_timer(self) -> float:
+        """When `timer_expired` is to be called; +inf: not before another event."""
+        return self._timer.at
 
     # ---- events of the worker ------------------------------------------------------------------------
 
-    def worker_beat(self, info: WorkerInfo, clock_ms: float | None, now: float) -> list[Action]:
-        """A heartbeat came. A late one, by its sequence or of a life that is over, changes nothing."""
-        if info.instance in self._over:
+    def heartbeat_received(self, info: WorkerInfo, clock_ms: float | None, now: float) -> list[Action]:
+        """A heartbeat came. A late one, by its sequence or of a worker that is over, changes nothing."""
+        if info.instance in self._ended_instances:
             return self._advance(now)
-        life = self._life
-        if life is not None and life.instance != info.instance:
-            self._end_life(life, now)
-            life = None
-        if life is None:
-            life = self._begin_life(info.instance, self._worker_known, now)
-        if life.info is None or info.sequence > life.info.sequence:
-            self._take_beat(life, info, clock_ms, now)
+        worker = self._worker
+        if worker is not None and worker.instance != info.instance:
+            self._end_instance(worker, now)
+            worker = None
+        if worker is None:
+            worker = self._begin_instance(info.instance, self._worker_known, now)
+        if worker.info is None or info.sequence > worker.info.sequence:
+            self._apply_heartbeat(worker, info, clock_ms, now)
         return self._advance(now)
 
     def worker_left(self, instance: str, now: float) -> list[Action]:
-        """The worker says that this life ends. Some serve on for a while then: the life counts as over shortly after,
+        """The worker says that this worker ends. Some serve on for a while then: the worker counts as over shortly after,
         but not while it may run something that no list or closed port has shown to be gone."""
-        life = self._life
-        if life is not None and life.instance == instance and life.leaves_at == math.inf:
-            life.leaves_at = now + LEAVE_GRACE_S
-            if life.info is not None:
-                life.info = replace(life.info, draining=True)
-                self._tell_worker()
+        worker = self._worker
+        if worker is not None and worker.instance == instance and worker.leave_deadline == math.inf:
+            worker.leave_deadline = now + LEAVE_GRACE_PERIOD_S
+            if worker.info is not None:
+                worker.info = replace(worker.info, draining=True)
+                self._send_worker_update()
         return self._advance(now)
 
     def call_ended(self, number: int, answer: CallAnswer, now: float) -> list[Action]:
         """A call to the worker has come to its end, with or without an answer."""
-        call = self._calls.ended(number)
-        life = self._life
-        if call is not None and life is not None and call.instance == life.instance:
-            self._take_answer(life, call, answer, now)
+        call = self._calls.remove(number)
+        worker = self._worker
+        if call is not None and worker is not None and call.instance == worker.instance:
+            self._apply_answer(worker, call, answer, now)
         return self._advance(now)
 
     # ---- events of the session -----------------------------------------------------------------------
 
-    def welcomed(self, epoch: int, now: float) -> list[Action]:
+    def session_opened(self, epoch: int, now: float) -> list[Action]:
         """A head has taken the session. One of an older epoch is refused."""
-        if not self._session.welcome(epoch, now):
+        if not self._session.open(epoch, now):
             return [CloseSession(f"welcome of epoch {epoch}, {self._session.epoch} is known")]
-        life = self._life
-        if life is not None:
-            life.settled = False
-            self._tell_all(life)
-        self._tell_worker()
-        for report in self._reports.open:
+        worker = self._worker
+        if worker is not None:
+            worker.desired_current = False
+            self._queue_full_report(worker)
+        self._send_worker_update()
+        for report in self._reports.unacknowledged:
             self._send(report)
         return self._advance(now)
 
@@ -148,234 +148,242 @@
         self._close_session()
         return self._advance(now)
 
-    def received(self, record: Record, now: float) -> list[Action]:
+    def record_received(self, record: Record, now: float) -> list[Action]:
         """A record of the head came in the open session."""
-        if not self._session.welcomed:
+        if not self._session.is_open:
             return []
         if isinstance(record, LeaseGrant):
             self._session.grant(record.sent_ms, record.lease_ms, now)
-            self._calls.look_gap_s = record.look_gap_ms / MS
+            self._calls.poll_interval_s = record.poll_interval_ms / MS
         elif isinstance(record, DesiredRuns):
-            self._take_desired(record, now)
+            self._apply_desired_runs(record, now)
         elif isinstance(record, EndsNoted):
-            self._take_noted(record)
+            self._apply_ends_noted(record)
         return self._advance(now)
 
-    def timer(self, now: float) -> list[Action]:
-        """The time of `next_wake` has come."""
+    def timer_expired(self, now: float) -> list[Action]:
+        """The time of `next_timer` has come."""
         return self._advance(now)
 
     # ---- lives ---------------------------------------------------------------------------------------
 
-    def _begin_life(self, instance: str, watched: bool, now: float) -> Life:
-        """A life becomes known; `watched`: the one before it was known, so nothing was ordered there yet."""
-        predecessor_gone = self._started_at + self._limits.hold_max_ms / (MS * SLOWEST_RATE) + LEAVE_GRACE_S
-        life = Life(instance, watched, now, -math.inf if watched else predecessor_gone)
-        life.ordered = life.settled = watched and self._session.welcomed
-        self._life = life
-        kept, self._kept = self._kept, deque(maxlen=MOST_KEPT)
+    def _begin_instance(self, instance: str, observed_from_start: bool, now: float) -> WorkerInstance:
+        """A worker becomes known; `observed_from_start`: the one before it was known, so nothing was desired_received there yet."""
+        predecessor_gone = self._started_at + self._limits.hold_max_ms / (MS * SLOWEST_RATE) + LEAVE_GRACE_PERIOD_S
+        worker = WorkerInstance(
+            instance, observed_from_start, now, -math.inf if observed_from_start else predecessor_gone
+        )
+        worker.desired_received = worker.desired_current = observed_from_start and self._session.is_open
+        self._worker = worker
+        kept, self._deferred_lists = self._deferred_lists, deque(maxlen=MAX_DEFERRED_LISTS)
         for desired in kept:
-            self._take_desired(desired, now)
-        return life
-
-    def _end_life(self, life: Life, now: float) -> None:
-        """The life is over for certain, and with it all that ran there."""
-        self._flush(life)
-        self._over.append(life.instance)
-        self._life = None
+            self._apply_desired_runs(desired, now)
+        return worker
+
+    def _end_instance(self, worker: WorkerInstance, now: float) -> None:
+        """The worker is over for certain, and with it all that ran there."""
+        self._flush_report(worker)
+        self._ended_instances.append(worker.instance)
+        self._worker = None
         self._worker_known = True
-        self._send(LifeOver(life.instance))
+        self._send(LifeOver(worker.instance))
 
-    def _take_beat(self, life: Life, info: WorkerInfo, clock_ms: float | None, now: float) -> None:
-        if life.leaves_at < math.inf:
+    def _apply_heartbeat(self, worker: WorkerInstance, info: WorkerInfo, clock_ms: float | None, now: float) -> None:
+        if worker.leave_deadline < math.inf:
             info = replace(info, draining=True)
-        before, life.info = life.info, info
-        life.heard_at = now
-        life.answers()
+        before, worker.info = worker.info, info
+        worker.last_contact_at = now
+        worker.reset_refusals()
         if clock_ms is not None:
-            life.clock.learn(clock_ms, None, now)
-        if not life.runs.any_at_worker():
-            life.heard(now)
+            worker.clock.add_reading(clock_ms, None, now)
+        if not worker.runs.any_at_worker():
+            worker.record_answer(now)
         self._worker_known = True
-        if before is None or _settled_facts(before) != _settled_facts(info):
-            self._tell_worker()
+        if before is None or _without_countdowns(before) != _without_countdowns(info):
+            self._send_worker_update()
 
-    def _tell_worker(self) -> None:
+    def _send_worker_update(self) -> None:
         """Tell the head of the worker as it is; nothing where this process does not know."""
-        life = self._life
-        if life is not None and life.info is not None:
-            self._send(WorkerUpdate(life.info))
-        elif self._worker_known and life is None:
+        worker = self._worker
+        if worker is not None and worker.info is not None:
+            self._send(WorkerUpdate(worker.info))
+        elif self._worker_known and worker is None:
             self._send(WorkerUpdate(None))
 
-    def _tell_all(self, life: Life) -> None:
+    def _queue_full_report(self, worker: WorkerInstance) -> None:
         """Repeat to a new session what runs."""
-        running = [run for run in life.runs if run.state is RunState.RUNNING and run.order is not None]
-        life.draft.started = [run.key for run in running]
-        life.draft.progress = [RunProgress(run.key, run.saved, run.percent) for run in running if run.told_at]
+        running = [run for run in worker.runs if run.state is RunState.RUNNING and run.order is not None]
+        worker.report_draft.started = [run.key for run in running]
+        worker.report_draft.progress = [
+            RunProgress(run.key, run.checkpoint, run.percent) for run in running if run.progress_sent_at
+        ]
 
     # ---- the head's lists ----------------------------------------------------------------------------
 
-    def _take_desired(self, desired: DesiredRuns, now: float) -> None:
-        life = self._life
-        if desired.instance in self._over:
+    def _apply_desired_runs(self, desired: DesiredRuns, now: float) -> None:
+        worker = self._worker
+        if desired.instance in self._ended_instances:
             self._send(LifeOver(desired.instance))
-        elif life is None and not self._worker_known:
-            self._kept.append(desired)
-            self._begin_life(desired.instance, False, now)
-        elif life is not None and life.instance == desired.instance:
-            apply_desired(life, desired, now)
-        elif life is None or life.confirmed or life.watched:
-            self._over.append(desired.instance)
+        elif worker is None and not self._worker_known:
+            self._deferred_lists.append(desired)
+            self._begin_instance(desired.instance, False, now)
+        elif worker is not None and worker.instance == desired.instance:
+            apply_desired(worker, desired, now)
+        elif worker is None or worker.has_answered or worker.observed_from_start:
+            self._ended_instances.append(desired.instance)
             self._send(LifeOver(desired.instance))
         else:
-            self._kept.append(desired)
+            self._deferred_lists.append(desired)
 
-    def _take_noted(self, noted: EndsNoted) -> None:
-        life = self._life
-        for end in self._reports.note(noted.instance, noted.sequence):
-            if life is None or life.instance != noted.instance:
+    def _apply_ends_noted(self, noted: EndsNoted) -> None:
+        worker = self._worker
+        for end in self._reports.acknowledge(noted.instance, noted.sequence):
+            if worker is None or worker.instance != noted.instance:
                 continue
             if end.number:
-                life.last_seen.note(end.number)
-            life.runs.forget(end.key)
+                worker.last_seen.acknowledge(end.number)
+            worker.runs.forget(end.key)
 
     # ---- answers of the worker -----------------------------------------------------------------------
 
-    def _take_answer(self, life: Life, call: WorkerCall, answer: CallAnswer, now: float) -> None:
-        if answer.result is CallVerdict.WRONG_LIFE:
-            self._end_life(life, now)
-            self._tell_worker()
-            if self._kept:
-                self._begin_life(self._kept[0].instance, False, now)
+    def _apply_answer(self, worker: WorkerInstance, call: WorkerCall, answer: CallAnswer, now: float) -> None:
+        if answer.status is CallStatus.WRONG_INSTANCE:
+            self._end_instance(worker, now)
+            self._send_worker_update()
+            if self._deferred_lists:
+                self._begin_instance(self._deferred_lists[0].instance, False, now)
             return
-        if answer.no_listener and life.refused(now):
-            self._end_life(life, now)
-            self._tell_worker()
+        if answer.no_listener and worker.record_refusal(now):
+            self._end_instance(worker, now)
+            self._send_worker_update()
             return
-        if _missed(call, answer):
-            if isinstance(call, HoldCall):
-                life.missed_hold(min(now, answer.sent_at + call.wait_ms / MS), now)
+        if _is_missed(call, answer):
+            if isinstance(call, PollCall):
+                worker.record_missed_poll(min(now, answer.sent_at + call.wait_ms / MS), now)
             else:
-                life.missed(answer.sent_at)
+                worker.record_missed_call(answer.sent_at)
         else:
-            self._take_heard(life, call, answer, now)
-        if isinstance(call, HoldCall):
-            self._calls.take_hold_answer(life, call, answer, now)
+            self._apply_received_answer(worker, call, answer, now)
+        if isinstance(call, PollCall):
+            self._calls.apply_poll_answer(worker, call, answer, now)
         elif isinstance(call, StopCall):
-            take_stop_answer(life, call, answer, now)
+            apply_stop_answer(worker, call, answer, now)
         else:
-            take_start_answer(life, call, answer, now)
+            apply_start_answer(worker, call, answer, now)
 
-    def _take_heard(self, life: Life, call: WorkerCall, answer: CallAnswer, now: float) -> None:
-        life.heard(now)
-        life.confirmed = True
+    def _apply_received_answer(self, worker: WorkerInstance, call: WorkerCall, answer: CallAnswer, now: float) -> None:
+        worker.record_answer(now)
+        worker.has_answered = True
         if answer.clock_ms is not None:
-            life.clock.learn(answer.clock_ms, answer.sent_at, answer.ended_at)
+            worker.clock.add_reading(answer.clock_ms, answer.sent_at, answer.ended_at)
         if answer.rejection is Rejection.FENCE and call.fence == self.epoch:  # else a newer call has overtaken it
             self._fence_rejected()
-        while self._kept:
-            over = self._kept.popleft().instance
-            if over not in self._over and over != life.instance:
-                self._over.append(over)
+        while self._deferred_lists:
+            over = self._deferred_lists.popleft().instance
+            if over not in self._ended_instances and over != worker.instance:
+                self._ended_instances.append(over)
                 self._send(LifeOver(over))
 
     def _fence_rejected(self) -> None:
-        """The worker has seen a newer epoch: whoever welcomed this session is not the head any more."""
+        """The worker has seen a newer epoch: whoever session_opened this session is not the head any more."""
         self._session.fence_stale = True
         self._end_session("the worker has seen a higher fence")
 
     # ---- what follows --------------------------------------------------------------------------------
 
     def _advance(self, now: float) -> list[Action]:
-        """Everything that is due now; sets the next wake-up time."""
-        self._wake.clear()
-        self._keep_session(now)
-        life = self._life
-        if life is not None and self._wake.due(life.leaves_at, now) and not life.runs.any_at_worker():
-            self._end_life(life, now)
-            self._tell_worker()
-            life = None
-        if life is not None:
-            self._tend_life(life, now)
+        """Everything that is due now; sets the next timer-up time."""
+        self._timer.reset()
+        self._maintain_session(now)
+        worker = self._worker
+        if worker is not None and self._timer.is_due(worker.leave_deadline, now) and not worker.runs.any_at_worker():
+            self._end_instance(worker, now)
+            self._send_worker_update()
+            worker = None
+        if worker is not None:
+            self._update_worker(worker, now)
         actions, self._actions = self._actions, []
         return actions
 
-    def _tend_life(self, life: Life, now: float) -> None:
-        self._check_lapse(life, now)
-        for run in life.runs:
-            self._calls.settle_run(life, run, now)
-        self._calls.stop_runs(life, now)
-        self._calls.start_runs(life, now)
-        self._calls.look(life, now)
-        self._suspect(life, now)
-        self._flush(life)
-
-    def _keep_session(self, now: float) -> None:
+    def _update_worker(self, worker: WorkerInstance, now: float) -> None:
+        self._check_expiry(worker, now)
+        for run in worker.runs:
+            self._calls.update_run(worker, run, now)
+        self._calls.stop_runs(worker, now)
+        self._calls.start_runs(worker, now)
+        self._calls.poll_if_due(worker, now)
+        self._report_suspicion(worker, now)
+        self._flush_report(worker)
+
+    def _maintain_session(self, now: float) -> None:
         session = self._session
-        if session.welcomed and self._wake.due(session.silent_at, now):
+        if session.is_open and self._timer.is_due(session.grant_deadline, now):
             self._end_session("the head grants no lease")
-        if session.welcomed and self._wake.due(session.request_at, now):
+        if session.is_open and self._timer.is_due(session.request_at, now):
             self._send(LeaseRequest(session.request(now)))
-            self._wake.due(session.request_at, now)
-            self._wake.due(session.silent_at, now)
+            self._timer.is_due(session.request_at, now)
+            self._timer.is_due(session.grant_deadline, now)
 
     def _end_session(self, cause: str) -> None:
-        if self._session.welcomed:
+        if self._session.is_open:
             self._actions.append(CloseSession(cause))
             self._close_session()
 
     def _close_session(self) -> None:
         self._session.close()
-        if self._life is not None:
-            self._life.settled = False
+        if self._worker is not None:
+            self._worker.desired_current = False
 
-    def _check_lapse(self, life: Life, now: float) -> None:
+    def _check_expiry(self, worker: WorkerInstance, now: float) -> None:
         """A worker that has not answered since its hold lapsed has killed everything."""
-        if not life.runs.any_at_worker() or life.listed_at >= life.lapsed_at:
+        if not worker.runs.any_at_worker() or worker.last_list_requested_at >= worker.expired_at:
             return
-        if not self._wake.due(life.lapsed_at, now):
+        if not self._timer.is_due(worker.expired_at, now):
             return
-        for run in life.runs.at_worker():
-            if run.seen_at is None and run.state is not RunState.CLOSED:
-                life.unstopped[run.key] = Unstopped(now)
-            conclude(life, run, RunEnd.LOST, now)
+        for run in worker.runs.at_worker():
+            if run.first_seen_at is None and run.state is not RunState.CLOSED:
+                worker.abandoned_runs[run.key] = AbandonedRun(now)
+            record_inferred_end(worker, run, RunEnd.LOST, now)
 
     # ---- silence -------------------------------------------------------------------------------------
 
-    def _suspect(self, life: Life, now: float) -> None:
-        """Tell the head of a worker that leaves calls unanswered, or whose heartbeats stay away."""
+    def _report_suspicion(self, worker: WorkerInstance, now: float) -> None:
+        """Tell the head of a worker that leaves calls missed_calls, or whose heartbeats stay away."""
         from_calls = math.inf
-        if life.missed_since is not None and life.is_doubted and (life.runs.any_at_worker() or self._calls.count):
-            from_calls = life.missed_since + SUSPICION_AFTER_S
-        begins_at = min(from_calls, life.quiet_at(self._limits.heartbeat_s))
-        if not self._wake.due(max(begins_at, life.suspected_at + SUSPICION_INTERVAL_S), now):
+        if (
+            worker.calls_missed_since is not None
+            and worker.is_unresponsive
+            and (worker.runs.any_at_worker() or self._calls.in_flight_count)
+        ):
+            from_calls = worker.calls_missed_since + SUSPICION_DELAY_S
+        begins_at = min(from_calls, worker.silence_deadline(self._limits.heartbeat_s))
+        if not self._timer.is_due(max(begins_at, worker.suspicion_sent_at + SUSPICION_INTERVAL_S), now):
             return
-        life.suspected_at = now
-        self._wake.due(now + SUSPICION_INTERVAL_S, now)
-        since = life.heard_at if life.missed_since is None else life.missed_since
-        self._send(WorkerSuspected(life.instance, int((now - since) * MS)))
+        worker.suspicion_sent_at = now
+        self._timer.is_due(now + SUSPICION_INTERVAL_S, now)
+        since = worker.last_contact_at if worker.calls_missed_since is None else worker.calls_missed_since
+        self._send(WorkerSuspected(worker.instance, int((now - since) * MS)))
 
     # ---- actions -------------------------------------------------------------------------------------
 
     def _send(self, record: Record) -> None:
-        if self._session.welcomed:
+        if self._session.is_open:
             self._actions.append(SendRecord(record))
 
-    def _flush(self, life: Life) -> None:
-        """Report what has been learnt about the life since the last time."""
-        report: RunReport | None = life.draft.take(life.instance)
+    def _flush_report(self, worker: WorkerInstance) -> None:
+        """Report what has been learnt about the worker since the last time."""
+        report: RunReport | None = worker.report_draft.take(worker.instance)
         if report is not None:
             self._send(self._reports.add(report))
 
 
-def _missed(call: WorkerCall, answer: CallAnswer) -> bool:
+def _is_missed(call: WorkerCall, answer: CallAnswer) -> bool:
     """Whether the worker has not answered, or has turned a hold down, which is as good as none."""
-    if isinstance(call, HoldCall) and answer.result in (CallVerdict.UNHEALTHY, CallVerdict.INVALID):
+    if isinstance(call, PollCall) and answer.status in (CallStatus.UNHEALTHY, CallStatus.INVALID):
         return True
-    return answer.result in (CallVerdict.UNCLEAR, CallVerdict.NOT_SENT)
+    return answer.status in (CallStatus.UNCLEAR, CallStatus.NOT_SENT)
 
 
-def _settled_facts(info: WorkerInfo) -> WorkerInfo:
+def _without_countdowns(info: WorkerInfo) -> WorkerInfo:
     """What the head is told of a worker, without what merely counts down or up."""
     return replace(info, sequence=0, cold_left_ms=0, remaining_ms=-1 if info.remaining_ms < 0 else 0)
--- a/millethead/execution/calls.py
+++ b/millethead/execution/calls.py
@@ -10,9 +10,9 @@
 
 from millethead.execution.messages import EndEntry, RunEnd, RunKey, RunProgress
 
-START_PATH, STOP_PATH, HOLD_PATH = "/-/run-start", "/-/run-stop", "/-/hold"
-LIFE_HEADER = "X-Expect-Instance"
-MOST_ENDS_LISTED = 500  # by one answer; a list of that length may not be complete
+START_PATH, STOP_PATH, POLL_PATH = "/-/run-start", "/-/run-stop", "/-/hold"
+INSTANCE_HEADER = "X-Expect-Instance"
+MAX_LISTED_ENDS = 500  # by one answer; a list of that length may not be complete
 _ENDS = {
     "done": RunEnd.DONE,
     "failed": RunEnd.FAILED,
@@ -29,10 +29,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HoldCall:
+class PollCall:
     """Hold what runs until `deadline_ms` on the worker's clock (None: only look), and list runs and ends."""
 
-    call: int
+    number: int
     instance: str
     timeout_s: float
     fence: int
@@ -45,7 +45,7 @@
 class StartCall:
     """Start a run, held until `deadline_ms` on the worker's clock."""
 
-    call: int
+    number: int
     instance: str
     timeout_s: float
     fence: int
@@ -59,22 +59,22 @@
 class StopCall:
     """Stop a run; if it is not there yet, the worker is to reject it."""
 
-    call: int
+    number: int
     instance: str
     timeout_s: float
     fence: int
     key: RunKey
 
 
-WorkerCall = HoldCall | StartCall | StopCall
+WorkerCall = PollCall | StartCall | StopCall
 
 
-class CallVerdict(Enum):
+class CallStatus(Enum):
     """What came of a call, as far as the agent's decisions go."""
 
     DONE = "done"  # 200
     REJECTED = "rejected"  # 409, with a reason
-    WRONG_LIFE = "wrong_life"  # 421
+    WRONG_INSTANCE = "wrong_life"  # 421
     UNHEALTHY = "unhealthy"  # 429 or 503: the worker has done nothing
     INVALID = "invalid"  # another 4xx: the worker has done nothing
     NOT_SENT = "not_sent"  # no connection: certainly not carried out
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HoldLists:
+class RunLists:
     """What a hold answers: the runs that are there, and the ends above the call's `last_seen`, by rising number."""
 
     running: tuple[RunProgress, ...]
@@ -101,7 +101,7 @@
     @property
     def complete(self) -> bool:
         """Whether no end can have been left out."""
-        return len(self.ends) < MOST_ENDS_LISTED
+        return len(self.ends) < MAX_LISTED_ENDS
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,26 +109,26 @@
     """The outcome of a call; times are seconds of the agent's steady clock, `clock_ms` is the worker's. `no_listener`:
     no process listens at the worker's address."""
 
-    result: CallVerdict
+    status: CallStatus
     sent_at: float
     ended_at: float
     rejection: Rejection = Rejection.OTHER
     clock_ms: float | None = None
-    lists: HoldLists | None = None
+    lists: RunLists | None = None
     no_listener: bool = False
 
 
-def path_of(call: WorkerCall) -> str:
+def request_path(call: WorkerCall) -> str:
     """The path that the call goes to."""
-    if isinstance(call, HoldCall):
-        return HOLD_PATH
+    if isinstance(call, PollCall):
+        return POLL_PATH
     return START_PATH if isinstance(call, StartCall) else STOP_PATH
 
 
-def body_of(call: WorkerCall) -> bytes:
+def encode_request(call: WorkerCall) -> bytes:
     """The call's body in JSON."""
-    if isinstance(call, HoldCall):
-        return _hold_body(call)
+    if isinstance(call, PollCall):
+        return _encode_poll(call)
     body: dict[str, Any] = {"task": call.key.task, "run": call.key.run}
     if isinstance(call, StartCall):
         body |= {"spec": call.spec, "deadline_ms": call.deadline_ms}
@@ -137,7 +137,7 @@
     return _encode(body | {"fence": call.fence})
 
 
-def _hold_body(call: HoldCall) -> bytes:
+def _encode_poll(call: PollCall) -> bytes:
     body: dict[str, Any] = {"fence": call.fence, "last_seen": call.last_seen}
     if call.deadline_ms is not None:
         body["deadline_ms"] = call.deadline_ms
@@ -149,35 +149,35 @@
 def read_answer(call: WorkerCall, status: int, body: bytes, sent_at: float, ended_at: float) -> CallAnswer:
     """The outcome that an HTTP answer stands for. An answer that cannot be read leaves the outcome unclear."""
     try:
-        return _read(call, status, body, sent_at, ended_at)
+        return _decode_answer(call, status, body, sent_at, ended_at)
     except (msgspec.DecodeError, ValueError, TypeError, KeyError, AttributeError):
-        return CallAnswer(CallVerdict.UNCLEAR, sent_at, ended_at)
+        return CallAnswer(CallStatus.UNCLEAR, sent_at, ended_at)
 
 
-def _read(call: WorkerCall, status: int, body: bytes, sent_at: float, ended_at: float) -> CallAnswer:
-    result = _result(status)
-    if result in (CallVerdict.UNHEALTHY, CallVerdict.INVALID, CallVerdict.WRONG_LIFE, CallVerdict.UNCLEAR):
-        return CallAnswer(result, sent_at, ended_at)
+def _decode_answer(call: WorkerCall, status: int, body: bytes, sent_at: float, ended_at: float) -> CallAnswer:
+    call_status = _call_status(status)
+    if call_status in (CallStatus.UNHEALTHY, CallStatus.INVALID, CallStatus.WRONG_INSTANCE, CallStatus.UNCLEAR):
+        return CallAnswer(call_status, sent_at, ended_at)
     fields = msgspec.json.decode(body)
     clock_ms = float(fields["clock_ms"]) if "clock_ms" in fields else None
-    if result is CallVerdict.REJECTED:
-        return CallAnswer(result, sent_at, ended_at, _rejection(fields.get("reason")), clock_ms)
-    lists = read_lists(fields) if isinstance(call, HoldCall) else None
-    return CallAnswer(result, sent_at, ended_at, Rejection.OTHER, clock_ms, lists)
+    if call_status is CallStatus.REJECTED:
+        return CallAnswer(call_status, sent_at, ended_at, _rejection(fields.get("reason")), clock_ms)
+    lists = read_lists(fields) if isinstance(call, PollCall) else None
+    return CallAnswer(call_status, sent_at, ended_at, Rejection.OTHER, clock_ms, lists)
 
 
-def _result(status: int) -> CallVerdict:
+def _call_status(status: int) -> CallStatus:
     known = {
-        200: CallVerdict.DONE,
-        409: CallVerdict.REJECTED,
-        421: CallVerdict.WRONG_LIFE,
-        408: CallVerdict.UNCLEAR,
-        429: CallVerdict.UNHEALTHY,
-        503: CallVerdict.UNHEALTHY,
+        200: CallStatus.DONE,
+        409: CallStatus.REJECTED,
+        421: CallStatus.WRONG_INSTANCE,
+        408: CallStatus.UNCLEAR,
+        429: CallStatus.UNHEALTHY,
+        503: CallStatus.UNHEALTHY,
     }
     if status in known:
         return known[status]
-    return CallVerdict.INVALID if 400 <= status < 500 else CallVerdict.UNCLEAR
+    return CallStatus.INVALID if 400 <= status < 500 else CallStatus.UNCLEAR
 
 
 def _rejection(reason: object) -> Rejection:
@@ -187,21 +187,21 @@
         return Rejection.OTHER
 
 
-def read_lists(fields: dict[str, Any]) -> HoldLists:
+def read_lists(fields: dict[str, Any]) -> RunLists:
     """Both lists of a hold's answer; raises MalformedAnswer, ValueError or TypeError."""
     running = tuple(_progress(*item) for item in fields.get("running", ()))
     ends = tuple(_end(*item) for item in fields.get("exited", ()))
-    return HoldLists(running, tuple(sorted(ends, key=lambda end: end.number)))
+    return RunLists(running, tuple(sorted(ends, key=lambda end: end.number)))
 
 
-def _progress(task: str, run: int, saved: str = "", percent: float = 0) -> RunProgress:
-    return RunProgress(_key(task, run), saved or "", max(0, min(100, int(percent or 0))))
+def _progress(task: str, run: int, checkpoint: str = "", percent: float = 0) -> RunProgress:
+    return RunProgress(_key(task, run), checkpoint or "", max(0, min(100, int(percent or 0))))
 
 
-def _end(number: int, task: str, run: int, how: str, saved: str = "") -> EndEntry:
+def _end(number: int, task: str, run: int, how: str, checkpoint: str = "") -> EndEntry:
     if number < 1:
         raise MalformedAnswer("ends are counted from 1")
-    return EndEntry(int(number), _key(task, run), _ENDS.get(how, RunEnd.LOST), saved or "")
+    return EndEntry(int(number), _key(task, run), _ENDS.get(how, RunEnd.LOST), checkpoint or "")
 
 
 def _key(task: str, run: int) -> RunKey:
--- a/millethead/execution/client.py
+++ b/millethead/execution/client.py
@@ -6,34 +6,34 @@
 from collections.abc import Callable, Mapping
 from enum import Enum, auto
 
-from millethead.execution.call_lane import CallLane, Post
-from millethead.execution.worker_call import Call, CallOutcome, CallResult
+from millethead.execution.connection_pool import Post, WorkerConnectionPool
+from millethead.execution.worker_connection import Call, CallOutcome, CallResult
 
-__all__ = ["CallOutcome", "CallResult", "Lane", "WorkerClient"]
+__all__ = ["CallKind", "CallOutcome", "CallResult", "WorkerClient"]
 
 ORDER_THREADS = 4
-HOLD_THREADS = 1
+POLL_THREADS = 1
 
 
-class Lane(Enum):
+class CallKind(Enum):
     """Which connections a call may use. HOLD: one of its own, for calls that the worker answers late on purpose.
     ORDERS: one while calls are quick, more while they are not."""
 
-    ORDERS = auto()
-    HOLD = auto()
+    ORDER = auto()
+    POLL = auto()
 
 
 class WorkerClient:
     """Calls to the worker at `address` (IP:PORT). `post` hands a callable to the event loop from any thread, such as
     the loop's call_soon_threadsafe; `threads`: order connections at most. Raises ValueError for another address."""
 
-    def __init__(self, address: str, post: Post, threads: int = ORDER_THREADS) -> None:
+    def __init__(self, address: str, post: Post, order_threads: int = ORDER_THREADS) -> None:
         host, _, port = address.rpartition(":")
         if not host or not port.isdigit():
             raise ValueError(f"not an address of a worker: {address!r}")
-        self._lanes = {
-            Lane.ORDERS: CallLane(host, int(port), post, threads),
-            Lane.HOLD: CallLane(host, int(port), post, HOLD_THREADS),
+        self._pools = {
+            CallKind.ORDER: WorkerConnectionPool(host, int(port), post, order_threads),
+            CallKind.POLL: WorkerConnectionPool(host, int(port), post, POLL_THREADS),
         }
 
     def call(
@@ -44,14 +44,14 @@
         headers: Mapping[str, str],
         timeout_s: float,
         done: Callable[[CallResult], None],
-        lane: Lane = Lane.ORDERS,
+        kind: CallKind = CallKind.ORDER,
     ) -> None:
         """Send one request, once. `done` is called on the loop when it was answered, could not be sent or has taken
         `timeout_s`, the wait for a connection included."""
         now = time.monotonic()
-        self._lanes[lane].submit(Call(method, path, body, headers, now, now + timeout_s, done))
+        self._pools[kind].submit(Call(method, path, body, headers, now, now + timeout_s, done))
 
     def close(self) -> None:
         """End all calls: those that wait as not sent, those under way without an answer."""
-        for lane in self._lanes.values():
-            lane.close()
+        for pool in self._pools.values():
+            pool.close()
--- /dev/null
+++ b/millethead/execution/desired_runs.py
@@ -0,0 +1,42 @@
+"""What the head's lists change in what is known of a worker: which runs are wanted there, and which are to be stopped."""
+
+from __future__ import annotations
+
+from millethead.execution.messages import DesiredRuns, RunKey, RunOrder
+from millethead.execution.runs import Run, RunState, transition
+from millethead.execution.worker_instance import WorkerInstance
+
+
+def apply_desired(worker: WorkerInstance, desired: DesiredRuns, now: float) -> None:
+    """Take in a list of the head for this worker; a whole one also says that nothing else is wanted. Of a worker that may
+    have run under an earlier process, the first whole list names runs that may have been started."""
+    inherited = desired.whole and not worker.desired_received and not worker.observed_from_start
+    for order in desired.orders:
+        _apply_order(worker, order, inherited, now)
+    if desired.whole:
+        desired_keys = {order.key for order in desired.orders}
+        for run in worker.runs:
+            run.desired = run.key in desired_keys
+        worker.desired_received = worker.desired_current = True
+    for key in desired.stops:
+        _apply_stop(worker, key, now)
+
+
+def _apply_order(worker: WorkerInstance, order: RunOrder, inherited: bool, now: float) -> None:
+    run = worker.runs.get(order.key)
+    if run is None:
+        run = worker.runs.add(Run(order.key, order, True, RunState.WAITING, now))
+        if inherited:
+            run.may_have_started = True
+            transition(run, RunState.STARTING, now)
+    run.order = order
+    run.desired = run.state is not RunState.ENDED
+
+
+def _apply_stop(worker: WorkerInstance, key: RunKey, now: float) -> None:
+    """A run that is not known may have been started by a predecessor."""
+    run = worker.runs.get(key)
+    if run is None:
+        run = worker.runs.add(Run(key, None, False, RunState.WAITING, now, may_have_started=True))
+        transition(run, RunState.STARTING, now)
+    run.desired = False
--- a/millethead/execution/heartbeats.py
+++ b/millethead/execution/heartbeats.py
@@ -13,12 +13,12 @@
 
 INSTANCES_PATH = "/-/instances/<instance>"
 DRAINING = "draining"
-LONGEST_INSTANCE = 200  # bytes of an id
+MAX_INSTANCE_ID_BYTES = 200  # bytes of an id
 NOT_DRAINING = -1  # `remaining_ms` of a worker that does not drain
-_LARGEST_32, _LARGEST_16, _LARGEST_64 = (1 << 32) - 1, (1 << 16) - 1, (1 << 63) - 1
+_MAX_U32, _MAX_U16, _MAX_I64 = (1 << 32) - 1, (1 << 16) - 1, (1 << 63) - 1
 
-Beat = Callable[[WorkerInfo, float | None], None]
-Leave = Callable[[str], None]
+HeartbeatHandler = Callable[[WorkerInfo, float | None], None]
+LeaveHandler = Callable[[str], None]
 
 
 class _Capacity(msgspec.Struct):
@@ -45,63 +45,63 @@
 _decoder = msgspec.json.Decoder(_Beat)
 
 
-class MalformedBeat(ValueError):
+class MalformedHeartbeat(ValueError):
     """A heartbeat that cannot be read."""
 
 
-def read_beat(instance: str, body: bytes) -> tuple[WorkerInfo, float | None]:
-    """What a heartbeat says of the worker, and its clock in ms if it tells it; raises MalformedBeat."""
-    if not 0 < len(instance.encode("utf-8", "replace")) <= LONGEST_INSTANCE:
-        raise MalformedBeat("the id is empty or too long")
+def read_heartbeat(instance: str, body: bytes) -> tuple[WorkerInfo, float | None]:
+    """What a heartbeat says of the worker, and its clock in ms if it tells it; raises MalformedHeartbeat."""
+    if not 0 < len(instance.encode("utf-8", "replace")) <= MAX_INSTANCE_ID_BYTES:
+        raise MalformedHeartbeat("the id is empty or too long")
     try:
         beat = _decoder.decode(body)
     except msgspec.DecodeError as error:
-        raise MalformedBeat(str(error)) from None
+        raise MalformedHeartbeat(str(error)) from None
     return _worker_info(instance, beat), beat.clock_ms
 
 
 def _worker_info(instance: str, beat: _Beat) -> WorkerInfo:
     draining = beat.state == DRAINING
-    remaining = _whole(beat.remaining_ms or 0, _LARGEST_64) if draining else NOT_DRAINING
+    remaining = _clamp_to_int(beat.remaining_ms or 0, _MAX_I64) if draining else NOT_DRAINING
     return WorkerInfo(
         instance=instance,
         service=beat.service,
         address=beat.addr,
         zone=beat.zone,
         version=beat.version,
-        slots=_whole(beat.slots, _LARGEST_32),
+        slots=_clamp_to_int(beat.slots, _MAX_U32),
         draining=draining,
-        cold_left_ms=_whole(beat.cold_left_ms, _LARGEST_32),
+        cold_left_ms=_clamp_to_int(beat.cold_left_ms, _MAX_U32),
         capacity=Resources(
-            _whole(beat.capacity.cpu, _LARGEST_32),
-            _whole(beat.capacity.mem_mb, _LARGEST_32),
-            _whole(beat.capacity.gpu, _LARGEST_16),
+            _clamp_to_int(beat.capacity.cpu, _MAX_U32),
+            _clamp_to_int(beat.capacity.mem_mb, _MAX_U32),
+            _clamp_to_int(beat.capacity.gpu, _MAX_U16),
         ),
         labels=tuple(beat.labels),
         remaining_ms=remaining,
-        sequence=_whole(beat.seq, _LARGEST_64),
+        sequence=_clamp_to_int(beat.seq, _MAX_I64),
     )
 
 
-def _whole(value: float, largest: int) -> int:
+def _clamp_to_int(value: float, largest: int) -> int:
     """A whole number that its field holds, rounded down."""
     return max(0, min(largest, int(value)))
 
 
-def heartbeat_app(beat: Beat, leave: Leave) -> bottle.Bottle:
+def heartbeat_app(on_heartbeat: HeartbeatHandler, on_leave: LeaveHandler) -> bottle.Bottle:
     """The application that takes a worker's calls and hands on what they say."""
     app = bottle.Bottle()
 
     def put(instance: str) -> Response:
         try:
-            info, clock_ms = read_beat(instance, request_body())
-        except MalformedBeat as error:
+            info, clock_ms = read_heartbeat(instance, request_body())
+        except MalformedHeartbeat as error:
             return error_response(400, str(error))
-        beat(info, clock_ms)
+        on_heartbeat(info, clock_ms)
         return json_response(200, {})
 
     def delete(instance: str) -> Response:
-        leave(instance)
+        on_leave(instance)
         return json_response(200, {})
 
     app.route(INSTANCES_PATH, "PUT", put)
--- a/millethead/execution/lease.py
+++ b/millethead/execution/lease.py
@@ -6,59 +6,59 @@
 from dataclasses import dataclass
 
 MS = 1000
-REQUEST_INTERVAL_S = 1.0  # between two requests for the lease
-GRANT_PATIENCE_S = 1.0  # a head that has not granted a request for so long is silent
+LEASE_REQUEST_INTERVAL_S = 1.0  # between two requests for the lease
+GRANT_TIMEOUT_S = 1.0  # a head that has not lease_granted a request for so long is silent
 
 
 @dataclass(slots=True)
 class HeadSession:
-    """`epoch`: the newest of a welcome, the fence of all orders. `lease_end`: seconds of the agent's steady clock.
-    `welcomed`: a session is open. `granted`: it has brought a lease. `fence_stale`: the worker has seen a higher
-    fence, so nothing is ordered until a newer welcome."""
+    """`epoch`: the newest of a open, the fence of all orders. `lease_end`: seconds of the agent's steady clock.
+    `is_open`: a session is open. `lease_granted`: it has brought a lease. `fence_stale`: the worker has seen a higher
+    fence, so nothing is ordered until a newer open."""
 
     epoch: int = 0
     lease_end: float = -math.inf
-    welcomed: bool = False
-    granted: bool = False
+    is_open: bool = False
+    lease_granted: bool = False
     fence_stale: bool = False
     request_at: float = math.inf
     unanswered_since: float | None = None
 
-    def welcome(self, epoch: int, now: float) -> bool:
+    def open(self, epoch: int, now: float) -> bool:
         """Open the session; False if the epoch is older than one that is known, and the session must be closed."""
         if epoch < self.epoch:
             return False
         if epoch > self.epoch:
             self.fence_stale = False
         self.epoch = epoch
-        self.welcomed, self.granted = True, False
+        self.is_open, self.lease_granted = True, False
         self.request_at, self.unanswered_since = now, None
         return True
 
     def close(self) -> None:
         """The session is over. The lease goes on until its end."""
-        self.welcomed, self.granted = False, False
+        self.is_open, self.lease_granted = False, False
         self.request_at, self.unanswered_since = math.inf, None
 
     def request(self, now: float) -> int:
         """Note that the lease is asked for now; returns the moment in milliseconds, rounded down."""
-        self.request_at = now + REQUEST_INTERVAL_S
+        self.request_at = now + LEASE_REQUEST_INTERVAL_S
         if self.unanswered_since is None:
             self.unanswered_since = now
         return int(now * MS)
 
     def grant(self, sent_ms: int, lease_ms: int, now: float) -> None:
         """Take a grant of a request of this process."""
-        if not self.welcomed or sent_ms > now * MS:
+        if not self.is_open or sent_ms > now * MS:
             return
-        self.granted = True
+        self.lease_granted = True
         self.unanswered_since = None
         self.lease_end = max(self.lease_end, (sent_ms + lease_ms) / MS)
 
     @property
-    def silent_at(self) -> float:
+    def grant_deadline(self) -> float:
         """When the head counts as silent unless it grants before."""
-        return math.inf if self.unanswered_since is None else self.unanswered_since + GRANT_PATIENCE_S
+        return math.inf if self.unanswered_since is None else self.unanswered_since + GRANT_TIMEOUT_S
 
     def lease_holds(self, now: float) -> bool:
         """Whether the lease is valid."""
@@ -67,4 +67,4 @@
     @property
     def lease_pending(self) -> bool:
         """Whether the first grant of an open session is still to come."""
-        return self.welcomed and not self.granted
+        return self.is_open and not self.lease_granted
--- a/millethead/execution/messages.py
+++ b/millethead/execution/messages.py
@@ -58,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RunOrder(Record):
-    """A run that the head wants at the agent's worker; the assignment is committed already. `look_gap_ms`: the least
+    """A run that the head wants at the agent's worker; the assignment is committed already. `poll_interval_ms`: the least
     time between two looks at the worker while it runs."""
 
     key: RunKey
     spec: str
     checkpoint: str
     needs: Resources
-    look_gap_ms: U32 = 1200
+    poll_interval_ms: U32 = 1200
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
     number: U64
     key: RunKey
     how: RunEnd
-    saved: str
+    checkpoint: str
     ran_ms: U32 = 0
 
 
@@ -85,7 +85,7 @@
     """A run that the worker listed as running: its newest checkpoint and its percentage."""
 
     key: RunKey
-    saved: str
+    checkpoint: str
     percent: U8
 
 
@@ -122,12 +122,12 @@
 @tagged(103)
 @dataclass(frozen=True, slots=True)
 class LeaseGrant(Record):
-    """The lease holds until `sent_ms` + `lease_ms` on the agent's steady clock. `look_gap_ms`: the least time between
+    """The lease holds until `sent_ms` + `lease_ms` on the agent's steady clock. `poll_interval_ms`: the least time between
     two looks at the worker, whatever runs there; short while tasks wait for room."""
 
     sent_ms: U64
     lease_ms: U32
-    look_gap_ms: U32 = 250
+    poll_interval_ms: U32 = 250
 
 
 @tagged(104)
--- a/millethead/execution/wake.py
+++ b/millethead/execution/next_timer.py
@@ -5,17 +5,17 @@
 import math
 
 
-class Wake:
+class NextTimer:
     """Collects the moments that lie ahead, in the machine's steady seconds."""
 
     def __init__(self) -> None:
         self.at = math.inf
 
-    def clear(self) -> None:
+    def reset(self) -> None:
         """Nothing lies ahead any more: all is looked at anew."""
         self.at = math.inf
 
-    def due(self, at: float, now: float) -> bool:
+    def is_due(self, at: float, now: float) -> bool:
         """Whether the moment has come; if not, it lies ahead."""
         if at <= now:
             return True
--- a/millethead/execution/order_answers.py
+++ b/millethead/execution/order_answers.py
@@ -1,73 +1,73 @@
-"""What the worker's answers to starts and stops change in what is known of a life."""
+"""What the worker's answers to starts and stops change in what is known of a worker."""
 
 from __future__ import annotations
 
-from millethead.execution.calls import CallAnswer, CallVerdict, Rejection, StartCall, StopCall
-from millethead.execution.life import Life
-from millethead.execution.listing import conclude, confirm
+from millethead.execution.calls import CallAnswer, CallStatus, Rejection, StartCall, StopCall
 from millethead.execution.messages import RunEnd, RunKey
-from millethead.execution.runs import Run, RunState, change
+from millethead.execution.run_lists import record_inferred_end, record_started
+from millethead.execution.runs import Run, RunState, transition
+from millethead.execution.worker_instance import WorkerInstance
 
 RETRY_PAUSES_S = (0.05, 0.1, 0.2, 0.4, 0.5)  # after an order that was not carried out
 
 
-def retry_pause(tries: int) -> float:
+def retry_pause(attempts: int) -> float:
     """Seconds until an order that was not carried out is given again."""
-    return RETRY_PAUSES_S[min(tries, len(RETRY_PAUSES_S) - 1)]
+    return RETRY_PAUSES_S[min(attempts, len(RETRY_PAUSES_S) - 1)]
 
 
-def take_start_answer(life: Life, call: StartCall, answer: CallAnswer, now: float) -> None:
+def apply_start_answer(worker: WorkerInstance, call: StartCall, answer: CallAnswer, now: float) -> None:
     """A start was answered, or not. Only a start that was never unclear is disproved by a rejection."""
-    if answer.result is CallVerdict.DONE or answer.rejection in (Rejection.OLD, Rejection.ROOM):
-        life.granted = max(life.granted, call.deadline_ms)
-    run = _run_called_for(life, call.key, RunState.STARTING)
+    if answer.status is CallStatus.DONE or answer.rejection in (Rejection.OLD, Rejection.ROOM):
+        worker.confirmed_deadline = max(worker.confirmed_deadline, call.deadline_ms)
+    run = _finish_call(worker, call.key, RunState.STARTING)
     if run is None:
         return
-    if answer.result is CallVerdict.DONE:
-        run.began_at = None if run.unclear or life.cold else now
-        confirm(life, run, now)
-    elif answer.result is CallVerdict.UNCLEAR:
-        run.unclear = True
-    elif answer.result is CallVerdict.NOT_SENT or answer.rejection in (Rejection.FENCE, Rejection.LATE):
-        _start_later(run, now)
-    elif not run.unclear:
-        conclude(life, run, RunEnd.NEVER, now)
+    if answer.status is CallStatus.DONE:
+        run.started_at = None if run.may_have_started or worker.cold else now
+        record_started(worker, run, now)
+    elif answer.status is CallStatus.UNCLEAR:
+        run.may_have_started = True
+    elif answer.status is CallStatus.NOT_SENT or answer.rejection in (Rejection.FENCE, Rejection.LATE):
+        _retry_start(run, now)
+    elif not run.may_have_started:
+        record_inferred_end(worker, run, RunEnd.NEVER, now)
     elif answer.rejection is Rejection.OLD:
-        change(run, RunState.CLOSED, now)
+        transition(run, RunState.CLOSED, now)
     else:
-        change(run, RunState.STOPPING, now)
+        transition(run, RunState.STOPPING, now)
 
 
-def _start_later(run: Run, now: float) -> None:
+def _retry_start(run: Run, now: float) -> None:
     """This call was certainly not carried out."""
-    pause = retry_pause(run.tries)
-    if not run.unclear:
-        change(run, RunState.WAITING, now)
+    pause = retry_pause(run.attempts)
+    if not run.may_have_started:
+        transition(run, RunState.WAITING, now)
     run.retry_at = now + pause
 
 
-def take_stop_answer(life: Life, call: StopCall, answer: CallAnswer, now: float) -> None:
+def apply_stop_answer(worker: WorkerInstance, call: StopCall, answer: CallAnswer, now: float) -> None:
     """A stop was answered, or not: from its answer on the worker rejects the run."""
-    stopped = answer.result is CallVerdict.DONE or answer.rejection is Rejection.OLD
-    given_up = life.unstopped.get(call.key)
-    if given_up is not None:
-        given_up.calling = False
-        given_up.retry_at = now + RETRY_PAUSES_S[-1]
+    stopped = answer.status is CallStatus.DONE or answer.rejection is Rejection.OLD
+    abandoned = worker.abandoned_runs.get(call.key)
+    if abandoned is not None:
+        abandoned.call_in_flight = False
+        abandoned.retry_at = now + RETRY_PAUSES_S[-1]
         if stopped:
-            del life.unstopped[call.key]
-    run = _run_called_for(life, call.key, RunState.STOPPING)
+            del worker.abandoned_runs[call.key]
+    run = _finish_call(worker, call.key, RunState.STOPPING)
     if run is None:
         return
     if stopped:
-        change(run, RunState.CLOSED, now)
+        transition(run, RunState.CLOSED, now)
     else:
-        run.retry_at = now + retry_pause(run.tries)
+        run.retry_at = now + retry_pause(run.attempts)
 
 
-def _run_called_for(life: Life, key: RunKey, state: RunState) -> Run | None:
+def _finish_call(worker: WorkerInstance, key: RunKey, state: RunState) -> Run | None:
     """The run whose call has ended, if it is still in the state that the call was for."""
-    run = life.runs.get(key)
+    run = worker.runs.get(key)
     if run is None:
         return None
-    run.calling = False
+    run.call_in_flight = False
     return run if run.state is state else None
--- a/millethead/execution/runs.py
+++ b/millethead/execution/runs.py
@@ -1,4 +1,4 @@
-"""The runs of one life as the agent knows them. `change` makes every change of a run's state."""
+"""The runs of one life as the agent knows them. `transition` makes every transition of a run's state."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
     WAITING = "waiting"  # ordered, and certainly not at the worker
     STARTING = "starting"  # a start was sent, or may have been by this agent's predecessor
-    RUNNING = "running"  # the worker has answered its start, or listed it
+    RUNNING = "running"  # the worker has answered its start, or end_listed it
     STOPPING = "stopping"  # to be stopped; no stop has been answered yet
     CLOSED = "closed"  # from now on the worker rejects its start; whether it was there, a later list shows
     ENDED = "ended"  # over, or certain never to run; kept until the head has noted its end
 
 
-_CHANGES = {
+_TRANSITIONS = {
     RunState.WAITING: {RunState.STARTING, RunState.RUNNING, RunState.ENDED},
     RunState.STARTING: {RunState.WAITING, RunState.RUNNING, RunState.STOPPING, RunState.CLOSED, RunState.ENDED},
     RunState.RUNNING: {RunState.STOPPING, RunState.CLOSED, RunState.ENDED},
@@ -28,56 +28,56 @@
     RunState.CLOSED: {RunState.ENDED},
     RunState.ENDED: {RunState.STOPPING},  # it was found at the worker after all
 }
-_AT_WORKER = {RunState.STARTING, RunState.RUNNING, RunState.STOPPING, RunState.CLOSED}
+_RESERVING_STATES = {RunState.STARTING, RunState.RUNNING, RunState.STOPPING, RunState.CLOSED}
 
 
-class IllegalChange(RuntimeError):
-    """A change of state that no event can bring about."""
+class InvalidTransition(RuntimeError):
+    """A transition of state that no event can bring about."""
 
 
 @dataclass(slots=True)
 class Run:
-    """One run. `order` is None for one that the worker listed and the head has not named: its needs are not known.
-
-    `wanted`: by the newest list of the head. `unclear`: a start may have been carried out, or may be later.
-    `calling`: a start or stop is under way. `tries`: starts or stops made in this state. `retry_at`: no call before.
-    `since`: when the state was entered. `tried_at`: since when its start is due.
-    `began_at`: when its start was answered; None where that may have been carried out before, or the worker was cold.
-    `seen_at`: when the worker was first known to have it. `listed`: its end was listed, not concluded. `saved`,
-    `percent` and `told_at`: its progress as the head was told last. Times are seconds of the agent's steady clock.
+    """One run. `order` is None for one that the worker end_listed and the head has not named: its needs are not known.
+
+    `desired`: by the newest list of the head. `may_have_started`: a start may have been carried out, or may be later.
+    `call_in_flight`: a start or stop is under way. `attempts`: starts or stops made in this state. `retry_at`: no call before.
+    `state_since`: when the state was entered. `start_due_since`: state_since when its start is due.
+    `started_at`: when its start was answered; None where that may have been carried out before, or the worker was cold.
+    `first_seen_at`: when the worker was first known to have it. `end_listed`: its end was end_listed, not concluded. `checkpoint`,
+    `percent` and `progress_sent_at`: its progress as the head was told last. Times are seconds of the agent's steady clock.
     """
 
     key: RunKey
     order: RunOrder | None
-    wanted: bool
+    desired: bool
     state: RunState
-    since: float
-    unclear: bool = False
-    calling: bool = False
-    tries: int = 0
+    state_since: float
+    may_have_started: bool = False
+    call_in_flight: bool = False
+    attempts: int = 0
     retry_at: float = 0.0
-    tried_at: float | None = None
-    began_at: float | None = None
-    seen_at: float | None = None
-    listed: bool = False
-    saved: str = ""
+    start_due_since: float | None = None
+    started_at: float | None = None
+    first_seen_at: float | None = None
+    end_listed: bool = False
+    checkpoint: str = ""
     percent: int = 0
-    told_at: float = 0.0
+    progress_sent_at: float = 0.0
 
     @property
     def at_worker(self) -> bool:
         """Whether the worker may have it."""
-        return self.state in _AT_WORKER
+        return self.state in _RESERVING_STATES
 
 
-def change(run: Run, state: RunState, now: float) -> None:
-    """Bring the run into `state`; raises IllegalChange."""
-    if state not in _CHANGES[run.state]:
-        raise IllegalChange(f"{run.key.task} run {run.key.run}: {run.state.value} to {state.value}")
-    run.state, run.since = state, now
-    run.tries, run.retry_at = 0, now
-    if state is RunState.RUNNING and run.seen_at is None:
-        run.seen_at = now
+def transition(run: Run, state: RunState, now: float) -> None:
+    """Bring the run into `state`; raises InvalidTransition."""
+    if state not in _TRANSITIONS[run.state]:
+        raise InvalidTransition(f"{run.key.task} run {run.key.run}: {run.state.value} to {state.value}")
+    run.state, run.state_since = state, now
+    run.attempts, run.retry_at = 0, now
+    if state is RunState.RUNNING and run.first_seen_at is None:
+        run.first_seen_at = now
 
 
 class RunTable:
@@ -115,7 +115,7 @@
         """Whether the worker may have any."""
         return any(run.at_worker for run in self._runs.values())
 
-    def taken(self) -> Resources | None:
+    def reserved(self) -> Resources | None:
         """What the runs at the worker may take together; None if one's needs are not known."""
         cpu = mem_mb = gpu = 0
         for run in self._runs.values():
@@ -129,12 +129,12 @@
 
     def fits(self, run: Run, capacity: Resources) -> bool:
         """Whether starting the run keeps all that may be at the worker within its capacity."""
-        taken = self.taken()
-        if taken is None or run.order is None:
+        reserved = self.reserved()
+        if reserved is None or run.order is None:
             return False
-        more = Resources(0, 0, 0) if run.at_worker else run.order.needs
+        extra = Resources(0, 0, 0) if run.at_worker else run.order.needs
         return (
-            taken.cpu + more.cpu <= capacity.cpu
-            and taken.mem_mb + more.mem_mb <= capacity.mem_mb
-            and taken.gpu + more.gpu <= capacity.gpu
+            reserved.cpu + extra.cpu <= capacity.cpu
+            and reserved.mem_mb + extra.mem_mb <= capacity.mem_mb
+            and reserved.gpu + extra.gpu <= capacity.gpu
         )
--- a/millethead/execution/shell.py
+++ b/millethead/execution/shell.py
@@ -13,31 +13,31 @@
 from millethead.configuration.settings import InvalidSettings, ProcessSettings, load_settings
 from millethead.execution.actions import Action, CallWorker, SendRecord
 from millethead.execution.agent import Agent
+from millethead.execution.call_planner import AgentLimits
 from millethead.execution.calls import (
-    LIFE_HEADER,
+    INSTANCE_HEADER,
     CallAnswer,
-    CallVerdict,
-    HoldCall,
+    CallStatus,
+    PollCall,
     WorkerCall,
-    body_of,
-    path_of,
+    encode_request,
     read_answer,
+    request_path,
 )
-from millethead.execution.client import CallOutcome, CallResult, Lane, WorkerClient
+from millethead.execution.client import CallKind, CallOutcome, CallResult, WorkerClient
 from millethead.execution.head_finder import HeadFinder
 from millethead.execution.heartbeats import heartbeat_app
 from millethead.execution.messages import AgentHello, WorkerInfo
-from millethead.execution.worker_calls import AgentLimits
 from millethead.rpc.codec import Record
 from millethead.web.metrics import MetricFamily, add_metrics
 from millethead.web.server import HttpLimits, HttpServer
 
 log = structlog.get_logger()
 MS = 1000.0
-LONGEST_HOLD_MS = 6500.0  # a worker that is lost without a trace is known to be so after this time
-END_PATIENCE_S = 0.3  # for calls under way and answers to the worker, when the process is to end
-MOST_CONNECTIONS = 64  # of the worker
-ROUNDS_PER_RELOAD = 5  # failed rounds through the members after which the settings are read again
+MAX_HOLD_MS = 6500.0  # a worker that is lost without a trace is known to be so after this time
+SHUTDOWN_TIMEOUT_S = 0.3  # for calls under way and answers to the worker, when the process is to end
+MAX_CONNECTIONS = 64  # of the worker
+FAILED_ROUNDS_PER_RELOAD = 5  # failed rounds through the members after which the settings are read again
 CONTENT_TYPE = {"Content-Type": "application/json"}
 
 
@@ -55,11 +55,11 @@
         self._app, self._control = settings.app, settings.listen.control
         self._process = secrets.randbits(63)
         self._loop = asyncio.get_running_loop()
-        limits = AgentLimits(min(settings.bounds.hold_max_ms, LONGEST_HOLD_MS), settings.heartbeat_ms / MS)
+        limits = AgentLimits(min(settings.bounds.hold_max_ms, MAX_HOLD_MS), settings.heartbeat_ms / MS)
         self._agent = Agent(limits, self._loop.time())
         self._client = WorkerClient(self._app, self._post)
-        self._app_of_worker = heartbeat_app(self._on_beat, self._on_leave)
-        self._server = HttpServer(self._app_of_worker, HttpLimits(max_connections=MOST_CONNECTIONS))
+        self._heartbeat_app = heartbeat_app(self._on_heartbeat, self._on_leave)
+        self._server = HttpServer(self._heartbeat_app, HttpLimits(max_connections=MAX_CONNECTIONS))
         self._finder = HeadFinder(
             self._hello, self._seeds, self._on_welcome, self._on_record, self._on_closed, self._on_failed_round
         )
@@ -76,14 +76,14 @@
         finder = asyncio.create_task(self._finder.run())
         stopped = asyncio.create_task(self._stopped.wait())
         await asyncio.wait({finder, stopped}, return_when=asyncio.FIRST_COMPLETED)
-        await self._end(finder)
+        await self._shut_down(finder)
         stopped.cancel()
         if finder.done() and not finder.cancelled():
             finder.result()
 
-    def add_metrics(self, figures: Callable[[Agent, float], Iterable[MetricFamily]]) -> None:
-        """Have `figures(agent, steady seconds)` told at the address for heartbeats."""
-        add_metrics(self._app_of_worker, lambda: figures(self._agent, self._loop.time()))
+    def add_metrics(self, collect: Callable[[Agent, float], Iterable[MetricFamily]]) -> None:
+        """Have `collect(agent, steady seconds)` told at the address for heartbeats."""
+        add_metrics(self._heartbeat_app, lambda: collect(self._agent, self._loop.time()))
 
     def stop(self) -> None:
         """End `run` soon."""
@@ -96,12 +96,12 @@
         except InvalidSettings as error:
             log.warning("settings_not_read", why=str(error))
 
-    async def _end(self, finder: asyncio.Task[None]) -> None:
+    async def _shut_down(self, finder: asyncio.Task[None]) -> None:
         """Let what is under way come to its end for a moment, and report it."""
-        until = self._loop.time() + END_PATIENCE_S
-        await self._server.drain(END_PATIENCE_S)
-        while self._agent.calls_under_way and self._loop.time() < until:
-            await asyncio.sleep(END_PATIENCE_S / 10)
+        deadline = self._loop.time() + SHUTDOWN_TIMEOUT_S
+        await self._server.drain(SHUTDOWN_TIMEOUT_S)
+        while self._agent.calls_in_flight and self._loop.time() < deadline:
+            await asyncio.sleep(SHUTDOWN_TIMEOUT_S / 10)
         if self._timer is not None:
             self._timer.cancel()
         self._client.close()
@@ -112,61 +112,61 @@
 
     # ---- events --------------------------------------------------------------------------------------
 
-    def _on_beat(self, info: WorkerInfo, clock_ms: float | None) -> None:
-        self._take(self._agent.worker_beat(info, clock_ms, self._loop.time()))
+    def _on_heartbeat(self, info: WorkerInfo, clock_ms: float | None) -> None:
+        self._execute(self._agent.heartbeat_received(info, clock_ms, self._loop.time()))
 
     def _on_leave(self, instance: str) -> None:
-        self._take(self._agent.worker_left(instance, self._loop.time()))
+        self._execute(self._agent.worker_left(instance, self._loop.time()))
 
     def _on_welcome(self, epoch: int) -> None:
         self._failed_rounds = 0
-        self._take(self._agent.welcomed(epoch, self._loop.time()))
+        self._execute(self._agent.session_opened(epoch, self._loop.time()))
 
     def _on_record(self, record: Record) -> None:
-        self._take(self._agent.received(record, self._loop.time()))
+        self._execute(self._agent.record_received(record, self._loop.time()))
 
     def _on_closed(self) -> None:
-        self._take(self._agent.session_closed(self._loop.time()))
+        self._execute(self._agent.session_closed(self._loop.time()))
 
     def _on_timer(self) -> None:
         self._timer, self._timer_at = None, math.inf
-        self._take(self._agent.timer(self._loop.time()))
+        self._execute(self._agent.timer_expired(self._loop.time()))
 
     def _on_call_ended(self, call: WorkerCall, result: CallResult) -> None:
-        self._take(self._agent.call_ended(call.call, _call_answer(call, result), self._loop.time()))
+        self._execute(self._agent.call_ended(call.number, _call_answer(call, result), self._loop.time()))
 
     def _on_failed_round(self) -> None:
         self._failed_rounds += 1
-        if self._failed_rounds % ROUNDS_PER_RELOAD == 0:
+        if self._failed_rounds % FAILED_ROUNDS_PER_RELOAD == 0:
             self.reload_settings()
 
     # ---- actions -------------------------------------------------------------------------------------
 
-    def _take(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendRecord):
                 self._finder.send(action.record)
             elif isinstance(action, CallWorker):
-                self._call(action.call)
+                self._send_call(action.call)
             else:
                 self._finder.close_session(action.cause)
-        self._set_timer(self._agent.next_wake())
+        self._set_timer(self._agent.next_timer())
 
     def _post(self, call: Callable[[], None]) -> None:
         """Have the loop make the call; may be used on any thread."""
         self._loop.call_soon_threadsafe(call)
 
-    def _call(self, call: WorkerCall) -> None:
-        headers = {**CONTENT_TYPE, LIFE_HEADER: call.instance}
-        lane = Lane.HOLD if isinstance(call, HoldCall) else Lane.ORDERS
+    def _send_call(self, call: WorkerCall) -> None:
+        headers = {**CONTENT_TYPE, INSTANCE_HEADER: call.instance}
+        kind = CallKind.POLL if isinstance(call, PollCall) else CallKind.ORDER
         self._client.call(
             "POST",
-            path_of(call),
-            body_of(call),
+            request_path(call),
+            encode_request(call),
             headers,
             call.timeout_s,
             lambda result: self._on_call_ended(call, result),
-            lane,
+            kind,
         )
 
     def _set_timer(self, at: float) -> None:
@@ -200,7 +200,7 @@
         return read_answer(call, result.status, result.body, result.sent_at, result.ended_at)
     not_sent = result.outcome is CallOutcome.REFUSED_CONNECTION
     return CallAnswer(
-        CallVerdict.NOT_SENT if not_sent else CallVerdict.UNCLEAR,
+        CallStatus.NOT_SENT if not_sent else CallStatus.UNCLEAR,
         result.sent_at,
         result.ended_at,
         no_listener=result.no_listener,
--- a/millethead/execution/worker_clock.py
+++ b/millethead/execution/worker_clock.py
@@ -20,7 +20,7 @@
         self._low: tuple[float, float] | None = None  # reading, and when it had been taken at the latest
         self._high: tuple[float, float] | None = None  # reading, and when it had not been taken yet
 
-    def learn(self, clock_ms: float, earliest: float | None, latest: float) -> None:
+    def add_reading(self, clock_ms: float, earliest: float | None, latest: float) -> None:
         """Take in a reading made between the two moments; `earliest` None: not known."""
         if self._low is None or clock_ms > self._lowest(latest):
             self._low = (clock_ms, latest)
--- a/millethead/execution/worker_call.py
+++ b/millethead/execution/worker_connection.py
@@ -147,7 +147,7 @@
 
     def _round_trip(self, call: Call, sent_at: float) -> CallResult:
         sock = self._http.sock
-        self._bound_sending(sock, _time_left(call))
+        self._bound_sending(sock, _remaining_s(call))
         self._http.request(
             call.method,
             call.path,
@@ -156,7 +156,7 @@
             preload_content=False,
             decode_content=False,
         )
-        self._http.timeout = _time_left(call)
+        self._http.timeout = _remaining_s(call)
         response = self._http.getresponse()
         body = _read_body(sock, response, call)
         return CallResult(CallOutcome.ANSWERED, response.status, body, sent_at, time.monotonic())
@@ -179,11 +179,11 @@
         if total > MAX_ANSWER_BYTES:
             raise AnswerTooLarge(f"over {MAX_ANSWER_BYTES} bytes")
         if response.length_remaining != 0 and sock.fileno() >= 0:
-            sock.settimeout(_time_left(call))
+            sock.settimeout(_remaining_s(call))
     return b"".join(parts)
 
 
-def _time_left(call: Call) -> float:
+def _remaining_s(call: Call) -> float:
     """Seconds to the call's deadline; raises TimeoutError once that is over."""
     left = call.deadline - time.monotonic()
     if left <= 0:
--- a/millethead/lab/system_side.py
+++ b/millethead/lab/system_side.py
@@ -12,10 +12,18 @@
 
 from millethead.execution.actions import Action, CallWorker, SendRecord
 from millethead.execution.agent import Agent
-from millethead.execution.calls import CallAnswer, CallVerdict, HoldCall, WorkerCall, body_of, path_of, read_answer
-from millethead.execution.heartbeats import read_beat
+from millethead.execution.call_planner import AgentLimits
+from millethead.execution.calls import (
+    CallAnswer,
+    CallStatus,
+    PollCall,
+    WorkerCall,
+    encode_request,
+    read_answer,
+    request_path,
+)
+from millethead.execution.heartbeats import read_heartbeat
 from millethead.execution.messages import AgentHello, AgentTurnedAway, AgentWelcome
-from millethead.execution.worker_calls import AgentLimits
 from millethead.lab.core_time import Timeline
 from millethead.lab.system_clock import MachineClock
 from millethead.lab.system_wire import Wire
@@ -81,7 +89,7 @@
         self.looks = 0
         self._processes = 0
         self._planned = math.inf
-        self._waiters: list[tuple[AgentProcess, HoldCall, float, float]] = []
+        self._waiters: list[tuple[AgentProcess, PollCall, float, float]] = []
         self._wires: list[Wire] = []
         self.start_agent()
         timeline.after(random.uniform(0.0, HEARTBEAT_S), self._beat)
@@ -155,7 +163,7 @@
         self._post(process, happen)
 
     def _set_wake(self, process: AgentProcess) -> None:
-        at = process.agent.next_wake()
+        at = process.agent.next_timer()
         if at >= process.wake_at:
             return
         process.wake_at = at
@@ -165,7 +173,7 @@
     def _wake(self, process: AgentProcess, at: float) -> None:
         if process.wake_at == at:
             process.wake_at = math.inf
-        self._tell(process, lambda agent, now: agent.timer(now))
+        self._tell(process, lambda agent, now: agent.timer_expired(now))
 
     # ---- the session -------------------------------------------------------------------------------------
 
@@ -200,9 +208,9 @@
         if isinstance(record, AgentWelcome):
             process.welcomed = True
             process.newest_epoch = max(process.newest_epoch, record.epoch)
-            self._tell(process, lambda agent, now: agent.welcomed(record.epoch, now))
+            self._tell(process, lambda agent, now: agent.session_opened(record.epoch, now))
         elif not isinstance(record, AgentTurnedAway):
-            self._tell(process, lambda agent, now: agent.received(record, now))
+            self._tell(process, lambda agent, now: agent.record_received(record, now))
 
     def _close_session(self, process: AgentProcess) -> None:
         wire = process.wire
@@ -240,10 +248,10 @@
         body = msgspec.json.encode(self.worker.beat(self._timeline.now))
 
         def arrive() -> None:
-            info, clock_ms = read_beat(instance, body)
+            info, clock_ms = read_heartbeat(instance, body)
             if info.draining:
                 self._events.drain_acknowledged(instance)
-            self._tell(process, lambda agent, now: agent.worker_beat(info, clock_ms, now))
+            self._tell(process, lambda agent, now: agent.heartbeat_received(info, clock_ms, now))
 
         self._timeline.after(self._random.uniform(*CALL_DELAY_S), lambda: self._post(process, arrive))
 
@@ -255,7 +263,7 @@
             self._timeline.after(
                 0.001,
                 lambda process=process, call=call, sent_at=sent_at: (  # type: ignore[misc]
-                    self._answer(process, call, CallVerdict.UNCLEAR, sent_at)
+                    self._answer(process, call, CallStatus.UNCLEAR, sent_at)
                 ),
             )
 
@@ -303,12 +311,12 @@
     # ---- calls -------------------------------------------------------------------------------------------
 
     def _send_call(self, process: AgentProcess, call: WorkerCall) -> None:
-        if isinstance(call, HoldCall):
+        if isinstance(call, PollCall):
             self.looks += 1
         self._events.ordered(self, process.newest_epoch, call)
         sent_at = self._now()
         if not self.worker.up and not self.silent and self._random.random() < 0.5:
-            self._timeline.after(0.001, lambda: self._answer(process, call, CallVerdict.NOT_SENT, sent_at))
+            self._timeline.after(0.001, lambda: self._answer(process, call, CallStatus.NOT_SENT, sent_at))
             return
         chance, trouble = self._random.random(), self.trouble
         if self.silent or chance < trouble.call_lost:
@@ -327,22 +335,22 @@
                 self._time_out(process, call, sent_at)
 
     def _time_out(self, process: AgentProcess, call: WorkerCall, sent_at: float) -> None:
-        self._timeline.after(call.timeout_s, lambda: self._answer(process, call, CallVerdict.UNCLEAR, sent_at))
+        self._timeline.after(call.timeout_s, lambda: self._answer(process, call, CallStatus.UNCLEAR, sent_at))
 
     def _arrive(self, process: AgentProcess, call: WorkerCall, sent_at: float, lost: bool, late: bool) -> None:
         """The call reaches the worker."""
         if not self.worker.up:
             if not lost:
-                self._answer(process, call, CallVerdict.UNCLEAR, sent_at)
+                self._answer(process, call, CallStatus.UNCLEAR, sent_at)
             return
         now = self._timeline.now
-        body: Body = msgspec.json.decode(body_of(call))
-        status, answer = self.worker.call(path_of(call), body, call.instance, now, late)
+        body: Body = msgspec.json.decode(encode_request(call))
+        status, answer = self.worker.call(request_path(call), body, call.instance, now, late)
         self.plan_worker()
         self.serve_waiters()
         if lost:
             return
-        if isinstance(call, HoldCall) and status == 200 and self.worker.hold_waits(body):
+        if isinstance(call, PollCall) and status == 200 and self.worker.hold_waits(body):
             self._waiters.append((process, call, sent_at, now + call.wait_ms / 1000))
             self._timeline.after(call.wait_ms / 1000, self.serve_waiters)
             return
@@ -356,12 +364,12 @@
 
         def arrive() -> None:
             answer = read_answer(call, status, raw, sent_at, self._now())
-            self._tell(process, lambda agent, now: agent.call_ended(call.call, answer, now))
+            self._tell(process, lambda agent, now: agent.call_ended(call.number, answer, now))
 
         self._timeline.after(self._random.uniform(*CALL_DELAY_S), lambda: self._post(process, arrive))
 
-    def _answer(self, process: AgentProcess, call: WorkerCall, verdict: CallVerdict, sent_at: float) -> None:
-        self._tell(process, lambda agent, now: agent.call_ended(call.call, CallAnswer(verdict, sent_at, now), now))
+    def _answer(self, process: AgentProcess, call: WorkerCall, verdict: CallStatus, sent_at: float) -> None:
+        self._tell(process, lambda agent, now: agent.call_ended(call.number, CallAnswer(verdict, sent_at, now), now))
 
     def serve_waiters(self) -> None:
         """Answer the holds that have waited long enough, or whose end has come."""
--- a/millethead/programs/agent_figures.py
+++ b/millethead/programs/agent_figures.py
@@ -12,12 +12,12 @@
 
 def agent_figures(agent: Agent, now: float) -> Iterator[MetricFamily]:
     """Of an agent; `now`: its steady clock."""
-    life = agent.life
+    worker = agent.worker
     yield gauge("fence", "Epoch of the newest head that has welcomed this agent.", agent.epoch)
     yield gauge("lease_left_seconds", "For how long runs may still be held.", max(0.0, agent.lease_end - now))
-    yield gauge("worker_known", "1 while a life of the worker is known.", life is not None)
-    yield gauge("worker_calls_under_way", "Calls to the worker that have not ended.", agent.calls_under_way)
-    counts = Counter(run.state for run in life.runs) if life is not None else Counter[RunState]()
+    yield gauge("worker_known", "1 while a life of the worker is known.", worker is not None)
+    yield gauge("worker_calls_under_way", "Calls to the worker that have not ended.", agent.calls_in_flight)
+    counts = Counter(run.state for run in worker.runs) if worker is not None else Counter[RunState]()
     yield MetricFamily(
         "runs",
         "Runs at the worker by state.",
--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -13,8 +13,17 @@
 
 from millethead.execution.actions import Action, CallWorker, SendRecord
 from millethead.execution.agent import Agent
-from millethead.execution.calls import CallAnswer, CallVerdict, HoldCall, WorkerCall, body_of, path_of, read_answer
-from millethead.execution.heartbeats import read_beat
+from millethead.execution.call_planner import AgentLimits
+from millethead.execution.calls import (
+    CallAnswer,
+    CallStatus,
+    PollCall,
+    WorkerCall,
+    encode_request,
+    read_answer,
+    request_path,
+)
+from millethead.execution.heartbeats import read_heartbeat
 from millethead.execution.messages import (
     DesiredRuns,
     EndsNoted,
@@ -29,7 +38,6 @@
     WorkerInfo,
     WorkerUpdate,
 )
-from millethead.execution.worker_calls import AgentLimits
 from millethead.lab.worker import Body, TaskWork, WorkerModel, WorkerProfile
 from millethead.rpc.codec import Record, decode_any, encode_any
 
@@ -80,7 +88,7 @@
     members: int = 1
     run: int = 0
     live: set[RunKey] = field(default_factory=set)
-    hows: list[RunEnd] = field(default_factory=list)
+    outcomes: list[RunEnd] = field(default_factory=list)
     finished: bool = False
     cancelled: bool = False
     saved: str = ""
@@ -99,7 +107,7 @@
     def __init__(self, world: World, units: list[Unit], overcommit: float) -> None:
         self.world, self.units, self.overcommit = world, units, overcommit
         self.worker: WorkerInfo | None = None
-        self.life = ""  # where the live runs are
+        self.instance = ""  # where the live runs are
         self.noted: dict[str, set[int]] = {}
         self.lease_until = -math.inf
         self.ordered: dict[RunKey, RunOrder] = {}
@@ -129,7 +137,7 @@
         fresh = info is not None and (self.worker is None or self.worker.instance != info.instance)
         self.worker = info
         if info is None:
-            self._take_life_over(self.life)
+            self._take_life_over(self.instance)
         elif info.draining:
             self.drained_at.setdefault(info.instance, self.world.clock.now)
         if fresh or not session.told:
@@ -137,7 +145,7 @@
         self.place()
 
     def _send_whole(self, session: Session) -> None:
-        life = self.life if any(unit.live for unit in self.units) else (self.worker.instance if self.worker else "")
+        life = self.instance if any(unit.live for unit in self.units) else (self.worker.instance if self.worker else "")
         if not life:
             return
         session.told.add(life)
@@ -152,28 +160,28 @@
         for end in report.ends:
             if end.number:
                 self.noted.setdefault(report.instance, set()).add(end.number)
-            self._take_end(report.instance, end.key, end.how, end.saved)
+            self._take_end(report.instance, end.key, end.how, end.checkpoint)
         session.to_agent(EndsNoted(report.instance, report.sequence))
         self.place()
 
     def _take_end(self, instance: str, key: RunKey, how: RunEnd, saved: str) -> None:
-        unit = next((unit for unit in self.units if key in unit.live and instance == self.life), None)
+        unit = next((unit for unit in self.units if key in unit.live and instance == self.instance), None)
         if unit is None:
             return
         if how is RunEnd.NEVER:
             self.never[key] = self.world.clock.now
         self.over[key] = self.world.clock.now
         unit.live.discard(key)
-        unit.hows.append(how)
+        unit.outcomes.append(how)
         if saved and unit.work.checkpoints:
             unit.saved = saved
         if how is RunEnd.DONE:
             self.done_at[key.task] = self.world.clock.now
-        if not unit.live and (unit.cancelled or RunEnd.DONE in unit.hows):
+        if not unit.live and (unit.cancelled or RunEnd.DONE in unit.outcomes):
             unit.finished = True
 
     def _take_life_over(self, instance: str) -> None:
-        if instance != self.life:
+        if instance != self.instance:
             return
         for unit in self.units:
             for key in list(unit.live):
@@ -185,10 +193,10 @@
         session, worker = self._session, self.worker
         if session is None or worker is None or worker.draining:
             return
-        if self.life != worker.instance and any(unit.live for unit in self.units):
+        if self.instance != worker.instance and any(unit.live for unit in self.units):
             return
-        self.life = worker.instance
-        if self.life not in session.told:
+        self.instance = worker.instance
+        if self.instance not in session.told:
             self._send_whole(session)
         orders: list[RunOrder] = []
         for unit in self.units:
@@ -209,7 +217,7 @@
 
     def _order(self, unit: Unit) -> list[RunOrder]:
         unit.run += 1
-        unit.hows = []
+        unit.outcomes = []
         orders = [RunOrder(key, unit.name, unit.saved, unit.work.needs) for key in unit.run_keys()]
         for order in orders:
             unit.live.add(order.key)
@@ -222,7 +230,7 @@
         if not unit.live:
             unit.finished = True
         elif self._session is not None:
-            self._session.to_agent(DesiredRuns(self.life, False, (), tuple(unit.live)))
+            self._session.to_agent(DesiredRuns(self.instance, False, (), tuple(unit.live)))
 
     @property
     def finished(self) -> bool:
@@ -249,11 +257,11 @@
         self.world.clock.at(at, arrive)
 
     def to_agent_welcome(self, epoch: int) -> None:
-        self._deliver(True, lambda: self.world.act(self.agent, self.agent.welcomed(epoch, self.world.clock.now)))
+        self._deliver(True, lambda: self.world.act(self.agent, self.agent.session_opened(epoch, self.world.clock.now)))
 
     def to_agent(self, record: Record) -> None:
         copy = decode_any(encode_any(record))
-        self._deliver(True, lambda: self.world.act(self.agent, self.agent.received(copy, self.world.clock.now)))
+        self._deliver(True, lambda: self.world.act(self.agent, self.agent.record_received(copy, self.world.clock.now)))
 
     def to_head(self, record: Record) -> None:
         copy = decode_any(encode_any(record))
@@ -271,19 +279,19 @@
         self.trouble = trouble or Trouble()
         self.units = {unit.name: unit for unit in units}
         self.profile = WorkerProfile(rate=rate)
-        self.lives = count(1)
-        self.worker = WorkerModel(self.profile, self._work, f"i-{next(self.lives)}", self.clock.now)
+        self.instance_numbers = count(1)
+        self.worker = WorkerModel(self.profile, self._work, f"i-{next(self.instance_numbers)}", self.clock.now)
         self.silent = False  # the worker is cut off from its agent
         self.head = HeadModel(self, units, overcommit)
         self.epoch = 1
         self.core_up = True
         self.session: Session | None = None
         self.agent: Agent | None = None
-        self.looks = 0
-        self._waiters: list[tuple[Agent, HoldCall, float, float]] = []
-        self._wakes: dict[int, float] = {}
+        self.polls = 0
+        self._waiters: list[tuple[Agent, PollCall, float, float]] = []
+        self._timers: dict[int, float] = {}
         self.start_agent()
-        self.clock.later(0.05, self._beat)
+        self.clock.later(0.05, self._send_heartbeat)
 
     def _work(self, task: str, spec: str) -> TaskWork:
         return self.units[spec].work
@@ -315,21 +323,21 @@
             else:
                 self._drop_session()
                 self.clock.later(0.05, self.connect)
-        self._set_wake(agent)
+        self._set_timer(agent)
         self.check()
 
-    def _set_wake(self, agent: Agent) -> None:
-        at = agent.next_wake()
-        if at == math.inf or self._wakes.get(id(agent)) == at:
+    def _set_timer(self, agent: Agent) -> None:
+        at = agent.next_timer()
+        if at == math.inf or self._timers.get(id(agent)) == at:
             return
         assert at > self.clock.now, "the agent asks for a timer in the past"
-        self._wakes[id(agent)] = at
-        self.clock.at(at, lambda: self._wake(agent, at))
+        self._timers[id(agent)] = at
+        self.clock.at(at, lambda: self._run_timer(agent, at))
 
-    def _wake(self, agent: Agent, at: float) -> None:
-        if agent is self.agent and agent.next_wake() <= at:
-            self._wakes.pop(id(agent), None)
-            self.act(agent, agent.timer(self.clock.now))
+    def _run_timer(self, agent: Agent, at: float) -> None:
+        if agent is self.agent and agent.next_timer() <= at:
+            self._timers.pop(id(agent), None)
+            self.act(agent, agent.timer_expired(self.clock.now))
 
     # ---- sessions ------------------------------------------------------------------------------------
 
@@ -373,8 +381,8 @@
 
     # ---- the worker ----------------------------------------------------------------------------------
 
-    def _beat(self) -> None:
-        self.clock.later(HEARTBEAT_S, self._beat)
+    def _send_heartbeat(self) -> None:
+        self.clock.later(HEARTBEAT_S, self._send_heartbeat)
         if not self.worker.up or self.silent:
             return
         body = msgspec.json.encode(self.worker.beat(self.clock.now))
@@ -382,8 +390,8 @@
 
         def arrive() -> None:
             if self.agent is not None:
-                info, clock_ms = read_beat(instance, body)
-                self.act(self.agent, self.agent.worker_beat(info, clock_ms, self.clock.now))
+                info, clock_ms = read_heartbeat(instance, body)
+                self.act(self.agent, self.agent.heartbeat_received(info, clock_ms, self.clock.now))
 
         self.clock.later(self.random.uniform(0.0002, 0.005), arrive)
 
@@ -394,7 +402,7 @@
         self._fail_waiters()
 
         def back() -> None:
-            self.worker.restart(f"i-{next(self.lives)}", self.clock.now, self.random.uniform(0, 10_000))
+            self.worker.restart(f"i-{next(self.instance_numbers)}", self.clock.now, self.random.uniform(0, 10_000))
 
         self.clock.later(down_s, back)
 
@@ -416,41 +424,41 @@
 
     def _send_call(self, agent: Agent, call: WorkerCall) -> None:
         assert len(call.instance) and call.timeout_s < 4
-        self.looks += isinstance(call, HoldCall)
+        self.polls += isinstance(call, PollCall)
         sent_at = self.clock.now
         if not self.worker.up and self.random.random() < 0.5:
-            self.clock.later(0.001, lambda: self._answer(agent, call, CallVerdict.NOT_SENT, sent_at))
+            self.clock.later(0.001, lambda: self._answer(agent, call, CallStatus.NOT_SENT, sent_at))
             return
         chance = self.random.random()
         trouble = self.trouble
         timeout = sent_at + call.timeout_s
         if self.silent or chance < trouble.call_lost:
-            self.clock.at(timeout, lambda: self._answer(agent, call, CallVerdict.UNCLEAR, sent_at))
+            self.clock.at(timeout, lambda: self._answer(agent, call, CallStatus.UNCLEAR, sent_at))
         elif chance < trouble.call_lost + trouble.late:
             self.clock.later(self.random.uniform(2, 12), lambda: self._arrive(agent, call, sent_at, True, True))
-            self.clock.at(timeout, lambda: self._answer(agent, call, CallVerdict.UNCLEAR, sent_at))
+            self.clock.at(timeout, lambda: self._answer(agent, call, CallStatus.UNCLEAR, sent_at))
         else:
             lost = chance < trouble.call_lost + trouble.late + trouble.answer_lost
             delay = self.random.uniform(0.0003, 0.02)
             self.clock.later(delay, lambda: self._arrive(agent, call, sent_at, lost, False))
             if lost:
-                self.clock.at(timeout, lambda: self._answer(agent, call, CallVerdict.UNCLEAR, sent_at))
+                self.clock.at(timeout, lambda: self._answer(agent, call, CallStatus.UNCLEAR, sent_at))
 
     def _arrive(self, agent: Agent, call: WorkerCall, sent_at: float, lost: bool, late: bool) -> None:
         """The call reaches the worker."""
         if not self.worker.up:
             if not lost:
-                self._answer(agent, call, CallVerdict.UNCLEAR, sent_at)
+                self._answer(agent, call, CallStatus.UNCLEAR, sent_at)
             return
-        body: Body = msgspec.json.decode(body_of(call))
-        if isinstance(call, HoldCall):
+        body: Body = msgspec.json.decode(encode_request(call))
+        if isinstance(call, PollCall):
             self._check_last_seen(call)
-        status, answer = self.worker.call(path_of(call), body, call.instance, self.clock.now, late)
+        status, answer = self.worker.call(request_path(call), body, call.instance, self.clock.now, late)
         self._plan_worker()
         self.check()
         if lost:
             return
-        if isinstance(call, HoldCall) and status == 200 and self.worker.hold_waits(body):
+        if isinstance(call, PollCall) and status == 200 and self.worker.hold_waits(body):
             self._waiters.append((agent, call, sent_at, self.clock.now + call.wait_ms / 1000))
             self.clock.later(call.wait_ms / 1000, self._serve_waiters)
             return
@@ -462,14 +470,14 @@
         def arrive() -> None:
             if agent is self.agent:
                 answer = read_answer(call, status, raw, sent_at, self.clock.now)
-                self.act(agent, agent.call_ended(call.call, answer, self.clock.now))
+                self.act(agent, agent.call_ended(call.number, answer, self.clock.now))
 
         self.clock.later(self.random.uniform(0.0003, 0.02), arrive)
 
-    def _answer(self, agent: Agent, call: WorkerCall, verdict: CallVerdict, sent_at: float) -> None:
+    def _answer(self, agent: Agent, call: WorkerCall, status: CallStatus, sent_at: float) -> None:
         if agent is self.agent:
-            answer = CallAnswer(verdict, sent_at, self.clock.now)
-            self.act(agent, agent.call_ended(call.call, answer, self.clock.now))
+            answer = CallAnswer(status, sent_at, self.clock.now)
+            self.act(agent, agent.call_ended(call.number, answer, self.clock.now))
 
     def _plan_worker(self) -> None:
         at = self.worker.next_event()
@@ -496,12 +504,12 @@
         for agent, call, sent_at, _ in waiting:
             self.clock.later(
                 0.001,
-                lambda agent=agent, call=call, sent_at=sent_at: self._answer(agent, call, CallVerdict.UNCLEAR, sent_at),
+                lambda agent=agent, call=call, sent_at=sent_at: self._answer(agent, call, CallStatus.UNCLEAR, sent_at),
             )
 
     # ---- the oracle ----------------------------------------------------------------------------------
 
-    def _check_last_seen(self, call: HoldCall) -> None:
+    def _check_last_seen(self, call: PollCall) -> None:
         """The worker is told to forget noted ends only."""
         listed = {end.number for end in self.worker.ends if end.instance == call.instance and end.number}
         forgotten = {number for number in listed if number <= call.last_seen}
--- a/tests/test_agent_shell.py
+++ b/tests/test_agent_shell.py
@@ -34,7 +34,7 @@
 from millethead.rpc.connection import Connection
 
 HOST, HEAD_HOST, OTHER_HOST = "127.0.0.1", "127.0.0.2", "127.0.0.3"
-PATIENCE_S = 20.0
+TEST_TIMEOUT_S = 20.0
 NEEDS = Resources(1000, 512, 0)
 LEASE_MS = 5000
 
@@ -45,7 +45,7 @@
         return int(probe.getsockname()[1])
 
 
-class StandInMember:
+class FakeMember:
     """A member of the core: the head, or one that turns agents away to it."""
 
     def __init__(self, head: str | None = None, epoch: int = 3) -> None:
@@ -55,7 +55,7 @@
         self.worker: asyncio.Queue[WorkerUpdate] = asyncio.Queue()
         self.changed = asyncio.Event()
         self.sessions: list[Connection] = []
-        self.wanted: tuple[RunOrder, ...] = ()
+        self.desired: tuple[RunOrder, ...] = ()
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
@@ -70,20 +70,20 @@
 
     def _receive(self, connection: Connection, record: Record) -> None:
         if isinstance(record, AgentHello):
-            self._greet(connection, record)
+            self._answer_hello(connection, record)
         elif isinstance(record, LeaseRequest):
             connection.send(LeaseGrant(record.sent_ms, LEASE_MS))
         elif isinstance(record, WorkerUpdate):
             self.worker.put_nowait(record)
             if record.info is not None:
-                connection.send(DesiredRuns(record.info.instance, True, self.wanted, ()))
+                connection.send(DesiredRuns(record.info.instance, True, self.desired, ()))
         elif isinstance(record, RunReport) and record.ends:
             self.ends += record.ends
-            self.wanted = tuple(order for order in self.wanted if order.key not in {end.key for end in self.ends})
+            self.desired = tuple(order for order in self.desired if order.key not in {end.key for end in self.ends})
             connection.send(EndsNoted(record.instance, record.sequence))
         self.changed.set()
 
-    def _greet(self, connection: Connection, hello: AgentHello) -> None:
+    def _answer_hello(self, connection: Connection, hello: AgentHello) -> None:
         self.hellos.append(hello)
         if self.head is not None:
             connection.send(AgentTurnedAway(self.epoch, self.head, ()))
@@ -91,20 +91,20 @@
         self.sessions.append(connection)
         connection.send(AgentWelcome(self.epoch))
 
-    async def until_ended(self, count: int) -> None:
+    async def wait_for_ends(self, count: int) -> None:
         while len(self.ends) < count:
             self.changed.clear()
             await self.changed.wait()
 
 
-class Stage:
+class System:
     """The agent's shell with its worker, a head, and the member that its seeds name."""
 
     def __init__(self, settings: ProcessSettings) -> None:
         port = settings.port_range[0]
         self.settings = settings
-        self.head = StandInMember()
-        self.other = StandInMember(head=f"{HEAD_HOST}:{port}")
+        self.head = FakeMember()
+        self.other = FakeMember(head=f"{HEAD_HOST}:{port}")
         self.shell = AgentShell(settings)
         self.model = WorkerModel(
             WorkerProfile(address=str(settings.app)),
@@ -130,7 +130,7 @@
         self.other.close()
 
 
-def settings_of_agent() -> ProcessSettings:
+def agent_settings() -> ProcessSettings:
     port = free_port()
     return ProcessSettings(
         node="side-1",
@@ -148,47 +148,47 @@
 
 
 @pytest.fixture
-async def stage() -> AsyncIterator[Stage]:
-    stage = Stage(settings_of_agent())
-    async with asyncio.timeout(PATIENCE_S):
-        running = await stage.start()
-    yield stage
-    async with asyncio.timeout(PATIENCE_S):
-        await stage.end(running)
+async def system() -> AsyncIterator[System]:
+    system = System(agent_settings())
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        running = await system.start()
+    yield system
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        await system.end(running)
 
 
 def orders(*names: str) -> tuple[RunOrder, ...]:
     return tuple(RunOrder(RunKey(name, 1), "spec", "", NEEDS) for name in names)
 
 
-async def test_runs_are_started_and_their_ends_reported(stage: Stage) -> None:
-    async with asyncio.timeout(PATIENCE_S):
-        update = await stage.head.worker.get()
+async def test_runs_are_started_and_their_ends_reported(system: System) -> None:
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        update = await system.head.worker.get()
         assert update.info is not None and update.info.instance == "i-1"
-        stage.head.sessions[-1].send(DesiredRuns("i-1", False, orders("a.0.0.0", "a.0.0.1", "a.0.0.2"), ()))
-        await stage.head.until_ended(3)
-    assert [(end.key.task, end.how) for end in sorted(stage.head.ends, key=lambda end: end.key.task)] == [
+        system.head.sessions[-1].send(DesiredRuns("i-1", False, orders("a.0.0.0", "a.0.0.1", "a.0.0.2"), ()))
+        await system.head.wait_for_ends(3)
+    assert [(end.key.task, end.how) for end in sorted(system.head.ends, key=lambda end: end.key.task)] == [
         ("a.0.0.0", RunEnd.DONE),
         ("a.0.0.1", RunEnd.DONE),
         ("a.0.0.2", RunEnd.DONE),
     ]
-    assert stage.other.hellos  # the head was found by way of it
-    assert stage.head.hellos[0].address == stage.settings.app
+    assert system.other.hellos  # the head was found by way of it
+    assert system.head.hellos[0].address == system.settings.app
 
 
-async def test_lost_session_is_opened_again(stage: Stage) -> None:
-    async with asyncio.timeout(PATIENCE_S):
-        await stage.head.worker.get()
-        stage.head.wanted = orders("a.0.0.0")
-        stage.head.sessions[-1].close()
-        await stage.head.until_ended(1)
-    assert len(stage.head.sessions) == 2
+async def test_lost_session_is_opened_again(system: System) -> None:
+    async with asyncio.timeout(TEST_TIMEOUT_S):
+        await system.head.worker.get()
+        system.head.desired = orders("a.0.0.0")
+        system.head.sessions[-1].close()
+        await system.head.wait_for_ends(1)
+    assert len(system.head.sessions) == 2
 
 
-async def test_heartbeats_are_checked(stage: Stage) -> None:
+async def test_heartbeats_are_checked(system: System) -> None:
     def ask(method: str, path: str, body: bytes | None) -> int:
         with urllib3.PoolManager(retries=False) as http:
-            return int(http.request(method, f"http://{stage.settings.listen.control}{path}", body=body).status)
+            return int(http.request(method, f"http://{system.settings.listen.control}{path}", body=body).status)
 
     assert await asyncio.to_thread(ask, "PUT", "/-/instances/i-9", b"{}") == 400
     assert await asyncio.to_thread(ask, "GET", "/-/config", None) == 404
@@ -204,10 +204,10 @@
 
 
 async def test_stop_without_any_member() -> None:
-    settings = settings_of_agent()
+    settings = agent_settings()
     shell = AgentShell(settings)
     running = asyncio.create_task(shell.run())
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         writer = None
         while writer is None:
             with contextlib.suppress(ConnectionRefusedError):
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -704,7 +704,7 @@
     agent = harness.agent()
     agent.desired_runs()
     assert harness.ask("POST", body=job(*steps))[0] == 200
-    return [order.look_gap_ms for desired in agent.desired_runs() for order in desired.orders]
+    return [order.poll_interval_ms for desired in agent.desired_runs() for order in desired.orders]
 
 
 def test_order_contains_the_poll_interval() -> None:
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -18,10 +18,10 @@
 from millethead.control.scheduling_loop import SchedulingLoop
 from millethead.execution.actions import Action
 from millethead.execution.agent import Agent
-from millethead.execution.life import Life
+from millethead.execution.call_planner import CallPlanner
 from millethead.execution.messages import EndsNoted, RunEnd, RunOrder, WorkerInfo
 from millethead.execution.runs import Run, RunState
-from millethead.execution.worker_calls import WorkerCalls
+from millethead.execution.worker_instance import WorkerInstance
 from millethead.jobs.commands import AssignRuns, EndedRun, TaskRun
 from millethead.jobs.state import JobTable, Outcome
 from millethead.lab.system_clients import Operator
@@ -58,8 +58,12 @@
 
 def hold_without_lease(patch: Patch) -> None:
     """The hold is renewed though the lease is over."""
-    real = Life.deadline
-    patch.setattr(Life, "deadline", lambda life, lease_end, hold_max_ms, now: real(life, now + 1e3, hold_max_ms, now))
+    real = WorkerInstance.renewal_deadline
+    patch.setattr(
+        WorkerInstance,
+        "renewal_deadline",
+        lambda worker, lease_end, hold_max_ms, now: real(worker, now + 1e3, hold_max_ms, now),
+    )
 
 
 def noted_before_commit(patch: Patch) -> None:
@@ -128,7 +132,7 @@
 
 def fence_not_raised(patch: Patch) -> None:
     """Orders carry the fence of the first epoch for ever."""
-    patch.setattr(WorkerCalls, "fence", property(lambda calls: min(1, calls._session.epoch)))
+    patch.setattr(CallPlanner, "fence", property(lambda calls: min(1, calls._session.epoch)))
 
 
 def gang_in_part(patch: Patch) -> None:
@@ -173,10 +177,10 @@
     """A life counts as over once it has said that it ends, whatever runs there."""
 
     def left(agent: Agent, instance: str, now: float) -> list[Action]:
-        life = agent.life
-        if life is not None and life.instance == instance:
-            agent._end_life(life, now)
-            agent._tell_worker()
+        worker = agent.worker
+        if worker is not None and worker.instance == instance:
+            agent._end_instance(worker, now)
+            agent._send_worker_update()
         return agent._advance(now)
 
     patch.setattr(Agent, "worker_left", left)
@@ -209,7 +213,7 @@
 
     real = AgentRegistry.update_worker
     patch.setattr(AgentRegistry, "update_worker", state)
-    patch.setattr(Life, "draining", property(lambda life: life.leaves_at < math.inf))
+    patch.setattr(WorkerInstance, "draining", property(lambda worker: worker.leave_deadline < math.inf))
 
 
 def shown_before_commit(patch: Patch) -> None:
