--- a/millethead/execution/__init__.py
+++ b/millethead/execution/__init__.py
@@ -1,1 +1,1 @@
-"""Execution plane: the agent beside each worker, which alone starts, stops and holds what runs there."""
+"""Execution plane: the agent that runs next to each worker and starts, stops and renews the runs on it."""
--- a/millethead/execution/actions.py
+++ b/millethead/execution/actions.py
@@ -1,4 +1,4 @@
-"""What the agent's decisions ask of its shell."""
+"""Actions that the agent's state machine returns; `AgentShell` carries them out."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRecord:
-    """Send the record in the session with the head."""
+    """Send the record to the head in the current session."""
 
     record: Record
 
 
 @dataclass(frozen=True, slots=True)
 class CloseSession:
-    """Close the session and look for the head elsewhere."""
+    """Close the session and search for the head on another member. `cause` is written to the log."""
 
     cause: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallWorker:
-    """Make the call; its outcome comes back by the number of the call."""
+    """Send the call to the worker. The answer is passed to `Agent.call_ended` with the number of the call."""
 
     call: WorkerCall
 
--- a/millethead/execution/agent.py
+++ b/millethead/execution/agent.py
@@ -1,14 +1,16 @@
-"""The agent's decisions: what to start, stop and hold at its worker, and what to tell the head of the core.
+"""State machine of the agent: decides what to start, stop and renew on its worker and what to report to the head.
 
-Events come in by one method each, with the time as the last argument (`now`, seconds of the steady clock); each
-returns the actions that follow. `next_timer` tells when `timer_expired` is due. Nothing here does any I/O.
+Each event has a method whose last argument `now` is the time of the event in seconds of the agent's monotonic clock.
+The method returns the actions to carry out. `next_timer` returns the time at which `timer_expired` has to be called.
+The module performs no I/O.
 
-The rules that it keeps, whatever is lost on the way:
+The agent preserves these invariants, whichever messages are lost:
 
-- What may be at the worker never exceeds its capacity; a start without an answer counts until it is disproved.
-- A run is concluded never to have run only where its start cannot be carried out any more.
-- No deadline is granted that the worker's clock, which may be slow, could reach after the lease's end.
-- Ends are reported until the head has noted them, and the worker is told to forget them only then.
+- The runs that may exist on the worker never exceed its capacity. A start without an answer counts until it is proven
+  not to have been carried out.
+- A run is reported as never started only if its start can no longer be carried out.
+- No renewal deadline is granted that the worker's clock, which may run slow, could reach after the end of the lease.
+- Ends are reported until the head acknowledges them. Only then is the worker allowed to forget them.
 """
 
 from __future__ import annotations
@@ -44,15 +46,20 @@
 from millethead.execution.worker_instance import AbandonedRun, WorkerInstance
 from millethead.rpc.codec import Record
 
-SUSPICION_DELAY_S = 0.7  # of missed_calls calls
+SUSPICION_DELAY_S = 0.7  # since the first of the unanswered calls
 SUSPICION_INTERVAL_S = 0.5
-LEAVE_GRACE_PERIOD_S = 0.2  # from a worker's DELETE until its worker counts as over, if nothing runs there
-MAX_ENDED_INSTANCES = 64  # lives remembered to be over
-MAX_DEFERRED_LISTS = 256  # lists of the head kept for a worker that is not known yet
+LEAVE_GRACE_PERIOD_S = (
+    0.2  # from the DELETE of a worker until its instance counts as ended, if no run may be left on it
+)
+MAX_ENDED_INSTANCES = 64  # ended instances that are remembered
+MAX_DEFERRED_LISTS = 256  # lists from the head that are kept for an instance that is not known yet
 
 
 class Agent:
-    """The state of one agent's process. `started_at`: when the process began; its predecessor was gone by then."""
+    """State of one agent process.
+
+    `started_at` is the time at which the process started; the previous agent process had ended by then.
+    """
 
     def __init__(self, limits: AgentLimits, started_at: float) -> None:
         self._limits = limits
@@ -60,43 +67,43 @@
         self._session = HeadSession()
         self._reports = PendingReports()
         self._worker: WorkerInstance | None = None
-        self._worker_known = False  # whether the head may be told that there is none
+        self._worker_known = False  # whether "no worker" may be reported to the head
         self._ended_instances: deque[str] = deque(maxlen=MAX_ENDED_INSTANCES)
         self._deferred_lists: deque[DesiredRuns] = deque(maxlen=MAX_DEFERRED_LISTS)
         self._actions: list[Action] = []
         self._timer = NextTimer()
         self._calls = CallPlanner(limits, self._session, self._timer, lambda action: self._actions.append(action))
 
-    # ---- what others may ask -------------------------------------------------------------------------
+    # ---- queries -----------------------------------------------------------------------------------------
 
     @property
     def epoch(self) -> int:
-        """The newest epoch of a welcome: the fence of all orders."""
+        """Epoch of the newest head that opened a session; the fencing token of all orders."""
         return self._calls.fence
 
     @property
     def lease_end(self) -> float:
-        """Until when runs may be held; -inf before the first grant."""
+        """Time at which the agent's lease ends; -inf before the first grant."""
         return self._session.lease_end
 
     @property
     def worker(self) -> WorkerInstance | None:
-        """The worker's worker, to be read only."""
+        """The current worker instance, if one is known; callers must not modify it."""
         return self._worker
 
     @property
     def calls_in_flight(self) -> int:
-        """How many calls to the worker have not ended."""
+        """Number of calls to the worker that have not ended."""
         return self._calls.in_flight_count
 
     def next_timer(self) -> float:
-        """When `timer_expired` is to be called; +inf: not before another event."""
+        """Return the time at which `timer_expired` has to be called; +inf if no timer is needed."""
         return self._timer.at
 
-    # ---- events of the worker ------------------------------------------------------------------------
+    # ---- worker events -----------------------------------------------------------------------------------
 
     def heartbeat_received(self, info: WorkerInfo, clock_ms: float | None, now: float) -> list[Action]:
-        """A heartbeat came. A late one, by its sequence or of a worker that is over, changes nothing."""
+        """Process a heartbeat. An outdated one (old sequence number or ended instance) is ignored."""
         if info.instance in self._ended_instances:
             return self._advance(now)
         worker = self._worker
@@ -110,8 +117,11 @@
         return self._advance(now)
 
     def worker_left(self, instance: str, now: float) -> list[Action]:
-        """The worker says that this worker ends. Some serve on for a while then: the worker counts as over shortly after,
-        but not while it may run something that no list or closed port has shown to be gone."""
+        """Process the announcement of a worker instance that it shuts down.
+
+        Some workers continue to serve for a while afterwards. The instance counts as ended after LEAVE_GRACE_PERIOD_S,
+        but not while a run may exist on it that neither a list nor a closed port has shown to be gone.
+        """
         worker = self._worker
         if worker is not None and worker.instance == instance and worker.leave_deadline == math.inf:
             worker.leave_deadline = now + LEAVE_GRACE_PERIOD_S
@@ -121,19 +131,19 @@
         return self._advance(now)
 
     def call_ended(self, number: int, answer: CallAnswer, now: float) -> list[Action]:
-        """A call to the worker has come to its end, with or without an answer."""
+        """Process the end of a call to the worker, with or without an answer."""
         call = self._calls.remove(number)
         worker = self._worker
         if call is not None and worker is not None and call.instance == worker.instance:
             self._apply_answer(worker, call, answer, now)
         return self._advance(now)
 
-    # ---- events of the session -----------------------------------------------------------------------
+    # ---- session events ----------------------------------------------------------------------------------
 
     def session_opened(self, epoch: int, now: float) -> list[Action]:
-        """A head has taken the session. One of an older epoch is refused."""
+        """Process the welcome of a head. The session is closed if the epoch of the head is outdated."""
         if not self._session.open(epoch, now):
-            return [CloseSession(f"welcome of epoch {epoch}, {self._session.epoch} is known")]
+            return [CloseSession(f"the head has epoch {epoch}, but epoch {self._session.epoch} is known")]
         worker = self._worker
         if worker is not None:
             worker.desired_current = False
@@ -144,12 +154,12 @@
         return self._advance(now)
 
     def session_closed(self, now: float) -> list[Action]:
-        """The session is over, or is given up."""
+        """Process the end of the session, whichever side closed it."""
         self._close_session()
         return self._advance(now)
 
     def record_received(self, record: Record, now: float) -> list[Action]:
-        """A record of the head came in the open session."""
+        """Process a record that the head sent in the current session."""
         if not self._session.is_open:
             return []
         if isinstance(record, LeaseGrant):
@@ -162,26 +172,32 @@
         return self._advance(now)
 
     def timer_expired(self, now: float) -> list[Action]:
-        """The time of `next_timer` has come."""
+        """Process the expiry of the timer that `next_timer` asked for."""
         return self._advance(now)
 
-    # ---- lives ---------------------------------------------------------------------------------------
+    # ---- worker instances --------------------------------------------------------------------------------
 
     def _begin_instance(self, instance: str, observed_from_start: bool, now: float) -> WorkerInstance:
-        """A worker becomes known; `observed_from_start`: the one before it was known, so nothing was desired_received there yet."""
-        predecessor_gone = self._started_at + self._limits.hold_max_ms / (MS * SLOWEST_RATE) + LEAVE_GRACE_PERIOD_S
+        """Start to manage a new worker instance.
+
+        `observed_from_start`: the instance before it was known to this process, so nothing has been started on this
+        one.
+        """
+        predecessor_runs_expired = (
+            self._started_at + self._limits.hold_max_ms / (MS * SLOWEST_RATE) + LEAVE_GRACE_PERIOD_S
+        )
         worker = WorkerInstance(
-            instance, observed_from_start, now, -math.inf if observed_from_start else predecessor_gone
+            instance, observed_from_start, now, -math.inf if observed_from_start else predecessor_runs_expired
         )
         worker.desired_received = worker.desired_current = observed_from_start and self._session.is_open
         self._worker = worker
-        kept, self._deferred_lists = self._deferred_lists, deque(maxlen=MAX_DEFERRED_LISTS)
-        for desired in kept:
+        deferred, self._deferred_lists = self._deferred_lists, deque(maxlen=MAX_DEFERRED_LISTS)
+        for desired in deferred:
             self._apply_desired_runs(desired, now)
         return worker
 
     def _end_instance(self, worker: WorkerInstance, now: float) -> None:
-        """The worker is over for certain, and with it all that ran there."""
+        """Record that the instance has certainly ended, and all its runs with it."""
         self._flush_report(worker)
         self._ended_instances.append(worker.instance)
         self._worker = None
@@ -191,7 +207,7 @@
     def _apply_heartbeat(self, worker: WorkerInstance, info: WorkerInfo, clock_ms: float | None, now: float) -> None:
         if worker.leave_deadline < math.inf:
             info = replace(info, draining=True)
-        before, worker.info = worker.info, info
+        previous, worker.info = worker.info, info
         worker.last_contact_at = now
         worker.reset_refusals()
         if clock_ms is not None:
@@ -199,11 +215,11 @@
         if not worker.runs.any_at_worker():
             worker.record_answer(now)
         self._worker_known = True
-        if before is None or _without_countdowns(before) != _without_countdowns(info):
+        if previous is None or _without_countdowns(previous) != _without_countdowns(info):
             self._send_worker_update()
 
     def _send_worker_update(self) -> None:
-        """Tell the head of the worker as it is; nothing where this process does not know."""
+        """Send the current state of the worker to the head, unless this process does not know it yet."""
         worker = self._worker
         if worker is not None and worker.info is not None:
             self._send(WorkerUpdate(worker.info))
@@ -211,14 +227,14 @@
             self._send(WorkerUpdate(None))
 
     def _queue_full_report(self, worker: WorkerInstance) -> None:
-        """Repeat to a new session what runs."""
+        """Add all running runs and their progress to the next report, for a new session."""
         running = [run for run in worker.runs if run.state is RunState.RUNNING and run.order is not None]
         worker.report_draft.started = [run.key for run in running]
         worker.report_draft.progress = [
             RunProgress(run.key, run.checkpoint, run.percent) for run in running if run.progress_sent_at
         ]
 
-    # ---- the head's lists ----------------------------------------------------------------------------
+    # ---- records of the head -----------------------------------------------------------------------------
 
     def _apply_desired_runs(self, desired: DesiredRuns, now: float) -> None:
         worker = self._worker
@@ -244,7 +260,7 @@
                 worker.last_seen.acknowledge(end.number)
             worker.runs.forget(end.key)
 
-    # ---- answers of the worker -----------------------------------------------------------------------
+    # ---- answers of the worker ---------------------------------------------------------------------------
 
     def _apply_answer(self, worker: WorkerInstance, call: WorkerCall, answer: CallAnswer, now: float) -> None:
         if answer.status is CallStatus.WRONG_INSTANCE:
@@ -276,23 +292,23 @@
         worker.has_answered = True
         if answer.clock_ms is not None:
             worker.clock.add_reading(answer.clock_ms, answer.sent_at, answer.ended_at)
-        if answer.rejection is Rejection.FENCE and call.fence == self.epoch:  # else a newer call has overtaken it
+        if answer.rejection is Rejection.FENCE and call.fence == self.epoch:  # otherwise a newer call overtook this one
             self._fence_rejected()
         while self._deferred_lists:
-            over = self._deferred_lists.popleft().instance
-            if over not in self._ended_instances and over != worker.instance:
-                self._ended_instances.append(over)
-                self._send(LifeOver(over))
+            ended = self._deferred_lists.popleft().instance
+            if ended not in self._ended_instances and ended != worker.instance:
+                self._ended_instances.append(ended)
+                self._send(LifeOver(ended))
 
     def _fence_rejected(self) -> None:
-        """The worker has seen a newer epoch: whoever session_opened this session is not the head any more."""
+        """Close the session: the worker has accepted orders of a newer epoch, so this head has been replaced."""
         self._session.fence_stale = True
-        self._end_session("the worker has seen a higher fence")
+        self._end_session("the worker has seen a higher fencing token")
 
-    # ---- what follows --------------------------------------------------------------------------------
+    # ---- due work ----------------------------------------------------------------------------------------
 
     def _advance(self, now: float) -> list[Action]:
-        """Everything that is due now; sets the next timer-up time."""
+        """Do everything that is due, set the next timer and return the collected actions."""
         self._timer.reset()
         self._maintain_session(now)
         worker = self._worker
@@ -318,7 +334,7 @@
     def _maintain_session(self, now: float) -> None:
         session = self._session
         if session.is_open and self._timer.is_due(session.grant_deadline, now):
-            self._end_session("the head grants no lease")
+            self._end_session("the head did not grant a lease in time")
         if session.is_open and self._timer.is_due(session.request_at, now):
             self._send(LeaseRequest(session.request(now)))
             self._timer.is_due(session.request_at, now)
@@ -335,7 +351,7 @@
             self._worker.desired_current = False
 
     def _check_expiry(self, worker: WorkerInstance, now: float) -> None:
-        """A worker that has not answered since its hold lapsed has killed everything."""
+        """End all runs if the worker has not answered since the last deadline expired: it has killed them by then."""
         if not worker.runs.any_at_worker() or worker.last_list_requested_at >= worker.expired_at:
             return
         if not self._timer.is_due(worker.expired_at, now):
@@ -345,45 +361,45 @@
                 worker.abandoned_runs[run.key] = AbandonedRun(now)
             record_inferred_end(worker, run, RunEnd.LOST, now)
 
-    # ---- silence -------------------------------------------------------------------------------------
+    # ---- unresponsive worker -----------------------------------------------------------------------------
 
     def _report_suspicion(self, worker: WorkerInstance, now: float) -> None:
-        """Tell the head of a worker that leaves calls missed_calls, or whose heartbeats stay away."""
-        from_calls = math.inf
+        """Report a worker to the head that leaves calls unanswered or whose heartbeats are missing."""
+        unresponsive_at = math.inf
         if (
             worker.calls_missed_since is not None
             and worker.is_unresponsive
             and (worker.runs.any_at_worker() or self._calls.in_flight_count)
         ):
-            from_calls = worker.calls_missed_since + SUSPICION_DELAY_S
-        begins_at = min(from_calls, worker.silence_deadline(self._limits.heartbeat_s))
-        if not self._timer.is_due(max(begins_at, worker.suspicion_sent_at + SUSPICION_INTERVAL_S), now):
+            unresponsive_at = worker.calls_missed_since + SUSPICION_DELAY_S
+        suspect_at = min(unresponsive_at, worker.silence_deadline(self._limits.heartbeat_s))
+        if not self._timer.is_due(max(suspect_at, worker.suspicion_sent_at + SUSPICION_INTERVAL_S), now):
             return
         worker.suspicion_sent_at = now
         self._timer.is_due(now + SUSPICION_INTERVAL_S, now)
         since = worker.last_contact_at if worker.calls_missed_since is None else worker.calls_missed_since
         self._send(WorkerSuspected(worker.instance, int((now - since) * MS)))
 
-    # ---- actions -------------------------------------------------------------------------------------
+    # ---- actions -----------------------------------------------------------------------------------------
 
     def _send(self, record: Record) -> None:
         if self._session.is_open:
             self._actions.append(SendRecord(record))
 
     def _flush_report(self, worker: WorkerInstance) -> None:
-        """Report what has been learnt about the worker since the last time."""
+        """Report everything that was learnt about the instance since the last report."""
         report: RunReport | None = worker.report_draft.take(worker.instance)
         if report is not None:
             self._send(self._reports.add(report))
 
 
 def _is_missed(call: WorkerCall, answer: CallAnswer) -> bool:
-    """Whether the worker has not answered, or has turned a hold down, which is as good as none."""
+    """Return whether the call counts as unanswered. A poll that the worker refused without doing anything does too."""
     if isinstance(call, PollCall) and answer.status in (CallStatus.UNHEALTHY, CallStatus.INVALID):
         return True
     return answer.status in (CallStatus.UNCLEAR, CallStatus.NOT_SENT)
 
 
 def _without_countdowns(info: WorkerInfo) -> WorkerInfo:
-    """What the head is told of a worker, without what merely counts down or up."""
+    """Return the worker info without the fields that change in every heartbeat."""
     return replace(info, sequence=0, cold_left_ms=0, remaining_ms=-1 if info.remaining_ms < 0 else 0)
--- a/millethead/execution/call_planner.py
+++ b/millethead/execution/call_planner.py
@@ -1,7 +1,8 @@
-"""What the agent asks of its worker: starts, stops and holds. It decides when each is due, and counts those under way.
+"""Decides which calls to the worker are due (starts, stops and polls), and tracks the calls in flight.
 
-Starts go only where room is certain and the hold can reach far enough; a stop is repeated until it is answered. A hold
-asks for the lists, and renews the time for which the worker keeps what runs.
+A run is started only if the worker certainly has room for it and a deadline far enough ahead can be granted. A stop is
+repeated until it is answered. A poll requests the lists of runs and ends and renews the deadline until which the worker
+keeps its runs.
 """
 
 from __future__ import annotations
@@ -21,20 +22,24 @@
 from millethead.execution.worker_clock import MS
 from millethead.execution.worker_instance import MIN_POLL_WAIT_S, POLL_ANSWER_TIMEOUT_S, WorkerInstance
 
-START_TIMEOUTS_S = (0.15, 0.3, 0.6)  # of the attempts of one start; after the last it is stopped
+START_TIMEOUTS_S = (0.15, 0.3, 0.6)  # per attempt; the run is stopped after the last one
 STOP_TIMEOUTS_S = (0.2, 0.4, 0.8, 1.0)
-START_QUEUE_TIMEOUT_S = 1.0  # that a start may wait until it can be made
-MAX_CONCURRENT_ORDERS = 3  # starts and stops under way at the same time
-RENEWAL_THRESHOLD_S = 1.0  # of the hold that is left when the pause between looks is waived
-MIN_RENEWAL_GAIN_MS = 300  # by which a renewal must extend the hold for that
+START_QUEUE_TIMEOUT_S = 1.0  # for which a start may wait before its first attempt
+MAX_CONCURRENT_ORDERS = 3  # starts and stops
+RENEWAL_THRESHOLD_S = 1.0  # a deadline nearer than this is renewed without waiting for the polling interval
+MIN_RENEWAL_GAIN_MS = 300  # by which such a renewal must extend the deadline
 MAX_POLL_WAIT_MS = 2000
-MAX_POLL_WAIT_INTERVALS = 4.0  # times the gap between looks that a run asks for, which a hold may wait for an end
+MAX_POLL_WAIT_INTERVALS = 4.0  # longest wait of a poll as a multiple of the shortest polling interval of a run
 
 
 @dataclass(frozen=True, slots=True)
 class AgentLimits:
-    """`hold_max_ms`: the longest hold that a worker grants; `heartbeat_s`: between two heartbeats; `poll_interval_s`: least
-    time between the answer of a hold and the next one, so that several ends come in one."""
+    """Limits of an agent.
+
+    `hold_max_ms` is the longest time for which a worker keeps a run without renewal, `heartbeat_s` the time between two
+    heartbeats. `poll_interval_s` is the minimum time from the answer of a poll to the next poll, so that one poll
+    returns several ends.
+    """
 
     hold_max_ms: float
     heartbeat_s: float
@@ -42,7 +47,10 @@
 
 
 class CallPlanner:
-    """`act` takes the calls to be made; `poll_interval_s`: least time between two looks, as the head wants it."""
+    """Calls of one agent to its worker.
+
+    `execute` receives the calls to send. `poll_interval_s` is the minimum time between two polls, as set by the head.
+    """
 
     def __init__(
         self, limits: AgentLimits, session: HeadSession, timer: NextTimer, execute: Callable[[Action], None]
@@ -54,22 +62,22 @@
 
     @property
     def fence(self) -> int:
-        """The newest epoch of a welcome: no order of an older one is given any more."""
+        """Epoch of the newest session; orders carry it as their fencing token."""
         return self._session.epoch
 
     @property
     def in_flight_count(self) -> int:
-        """How many calls have not ended."""
+        """Number of calls that have not ended."""
         return len(self._in_flight)
 
     def remove(self, number: int) -> WorkerCall | None:
-        """A call is under way no longer; returns it if it was."""
+        """Remove a call that has ended from the calls in flight; return it, or None if it was not in flight."""
         return self._in_flight.pop(number, None)
 
     # ---- starts and stops ----------------------------------------------------------------------------
 
     def update_run(self, worker: WorkerInstance, run: Run, now: float) -> None:
-        """Change what the run's state has become outdated for: not wanted any more, or attempts_exhausted in vain."""
+        """Move the run to its next state if it is no longer desired or if its start has been attempted too often."""
         may_start = run.desired and not worker.draining
         if (
             run.start_due_since is None
@@ -153,7 +161,7 @@
         )
 
     def _may_send_orders(self) -> bool:
-        """Whether the worker would take an order by its fence."""
+        """Return whether the worker is expected to accept the fencing token."""
         return self.fence > 0 and not self._session.fence_stale
 
     def _may_start(self, worker: WorkerInstance) -> bool:
@@ -169,7 +177,7 @@
     def _has_free_order_slot(self) -> bool:
         return sum(not isinstance(call, PollCall) for call in self._in_flight.values()) < MAX_CONCURRENT_ORDERS
 
-    # ---- holds ---------------------------------------------------------------------------------------
+    # ---- polls -------------------------------------------------------------------------------------------
 
     def poll_if_due(self, worker: WorkerInstance, now: float) -> None:
         poll_needed = worker.runs.any_at_worker() or (
@@ -196,7 +204,7 @@
         )
 
     def _poll_time(self, worker: WorkerInstance, deadline: int | None, now: float) -> float:
-        """When to look next: at once where a list is needed, or the hold runs out and can be renewed."""
+        """Return the time of the next poll: now if a list is needed or if the deadline is close and can be extended."""
         if worker.missed_polls:
             return worker.next_poll_at
         renewable = deadline is not None and deadline >= worker.confirmed_deadline + MIN_RENEWAL_GAIN_MS
@@ -207,7 +215,7 @@
         return worker.next_poll_at
 
     def _list_needed(self, worker: WorkerInstance) -> bool:
-        """Whether a list is needed at once: it shows if a run was ever there, or what runs at all."""
+        """Return whether a list is needed at once: to learn which runs exist, or whether a stopped run ever existed."""
         return not worker.runs_listed or any(
             run.state is RunState.CLOSED
             and run.first_seen_at is None
@@ -228,30 +236,33 @@
             worker.next_poll_at = now + max(self._limits.poll_interval_s, retry_pause(worker.missed_polls))
 
     def _max_poll_wait_s(self, worker: WorkerInstance) -> float:
-        """How long a hold may wait for an end: one that gets lost is found out only after that, so that it must not
-        take much longer than what the most urgent run there can lose."""
+        """Return how long a poll may wait for an end.
+
+        A lost poll is detected only after its wait, so the wait is bounded by the shortest polling interval of the
+        runs.
+        """
         return max(
             MIN_POLL_WAIT_S,
             MAX_POLL_WAIT_INTERVALS * min(map(_run_poll_interval_s, worker.runs.at_worker()), default=math.inf),
         )
 
     def _poll_interval_s(self, worker: WorkerInstance) -> float:
-        """The least time between two looks: each costs, and one brings several ends."""
+        """Return the minimum time between two polls. Each poll has a cost, and one poll can return several ends."""
         return min([self.poll_interval_s, *(_run_poll_interval_s(run) for run in worker.runs.at_worker())])
 
-    def _call(self, make: Callable[[int], WorkerCall]) -> int:
+    def _call(self, create: Callable[[int], WorkerCall]) -> int:
         self._number += 1
-        call = make(self._number)
+        call = create(self._number)
         self._in_flight[self._number] = call
         self._execute(CallWorker(call))
         return self._number
 
 
 def _run_poll_interval_s(run: Run) -> float:
-    """The least time between two looks for the sake of one run (s)."""
+    """Return the minimum time between two polls that the run asks for, in seconds."""
     return math.inf if run.order is None else run.order.poll_interval_ms / MS
 
 
 def _start_deadline(run: Run) -> float:
-    """Until when the start may wait to be made."""
+    """Return the time by which the first attempt to start the run must be made."""
     return math.inf if run.start_due_since is None else run.start_due_since + START_QUEUE_TIMEOUT_S
--- a/millethead/execution/calls.py
+++ b/millethead/execution/calls.py
@@ -1,4 +1,4 @@
-"""Calls of an agent to its worker and what came of them, typed; and their bodies on the wire."""
+"""Typed calls of an agent to its worker and their outcomes, and the encoding of both as JSON over HTTP."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 START_PATH, STOP_PATH, POLL_PATH = "/-/run-start", "/-/run-stop", "/-/hold"
 INSTANCE_HEADER = "X-Expect-Instance"
-MAX_LISTED_ENDS = 500  # by one answer; a list of that length may not be complete
+MAX_LISTED_ENDS = 500  # in one answer; a list of this length may be incomplete
 _ENDS = {
     "done": RunEnd.DONE,
     "failed": RunEnd.FAILED,
@@ -25,12 +25,15 @@
 
 
 class MalformedAnswer(ValueError):
-    """The worker's answer is not what the protocol says."""
+    """The worker's answer violates the protocol."""
 
 
 @dataclass(frozen=True, slots=True)
 class PollCall:
-    """Hold what runs until `deadline_ms` on the worker's clock (None: only look), and list runs and ends."""
+    """Requests the lists of runs and ends and renews all runs until `deadline_ms` on the worker's clock.
+
+    If `deadline_ms` is None, nothing is renewed. The worker delays its answer by up to `wait_ms` until a run ends.
+    """
 
     number: int
     instance: str
@@ -43,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartCall:
-    """Start a run, held until `deadline_ms` on the worker's clock."""
+    """Starts a run, which the worker keeps until `deadline_ms` on its clock unless the run is renewed."""
 
     number: int
     instance: str
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopCall:
-    """Stop a run; if it is not there yet, the worker is to reject it."""
+    """Stops a run. If the run does not exist, the worker rejects a later start of it."""
 
     number: int
     instance: str
@@ -70,44 +73,47 @@
 
 
 class CallStatus(Enum):
-    """What came of a call, as far as the agent's decisions go."""
+    """Outcome of a call as far as the agent has to distinguish it."""
 
-    DONE = "done"  # 200
-    REJECTED = "rejected"  # 409, with a reason
-    WRONG_INSTANCE = "wrong_life"  # 421
-    UNHEALTHY = "unhealthy"  # 429 or 503: the worker has done nothing
+    DONE = "done"  # HTTP 200
+    REJECTED = "rejected"  # HTTP 409, with a reason
+    WRONG_INSTANCE = "wrong_life"  # HTTP 421
+    UNHEALTHY = "unhealthy"  # HTTP 429 or 503: the worker has done nothing
     INVALID = "invalid"  # another 4xx: the worker has done nothing
     NOT_SENT = "not_sent"  # no connection: certainly not carried out
-    UNCLEAR = "unclear"  # no answer, or none that says: may have been carried out, or may be later
+    UNCLEAR = "unclear"  # no conclusive answer: may have been carried out, or may still be
 
 
 class Rejection(StrEnum):
-    """Why a worker rejects an order."""
+    """Reason for which a worker rejects an order."""
 
-    FENCE = "fence"  # it has seen a higher one
-    OLD = "old"  # that run, or a higher one of the task, has ended or was stopped there
-    LATE = "late"  # the deadline is over
-    ROOM = "room"  # it does not fit
+    FENCE = "fence"  # the worker has seen a higher fencing token
+    OLD = "old"  # this run or a later run of the task has ended or was stopped on the worker
+    LATE = "late"  # the deadline has passed
+    ROOM = "room"  # the worker lacks capacity
     OTHER = ""
 
 
 @dataclass(frozen=True, slots=True)
 class RunLists:
-    """What a hold answers: the runs that are there, and the ends above the call's `last_seen`, by rising number."""
+    """Lists in the answer of a poll: existing runs, and the ends after the call's `last_seen` in ascending order."""
 
     running: tuple[RunProgress, ...]
     ends: tuple[EndEntry, ...]
 
     @property
     def complete(self) -> bool:
-        """Whether no end can have been left out."""
+        """Whether the worker has certainly not left out an end."""
         return len(self.ends) < MAX_LISTED_ENDS
 
 
 @dataclass(frozen=True, slots=True)
 class CallAnswer:
-    """The outcome of a call; times are seconds of the agent's steady clock, `clock_ms` is the worker's. `no_listener`:
-    no process listens at the worker's address."""
+    """Outcome of a call.
+
+    `sent_at` and `ended_at` are seconds of the agent's monotonic clock, `clock_ms` is a reading of the worker's clock.
+    `no_listener`: no process listens at the worker's address.
+    """
 
     status: CallStatus
     sent_at: float
@@ -119,14 +125,14 @@
 
 
 def request_path(call: WorkerCall) -> str:
-    """The path that the call goes to."""
+    """Return the HTTP path of the call."""
     if isinstance(call, PollCall):
         return POLL_PATH
     return START_PATH if isinstance(call, StartCall) else STOP_PATH
 
 
 def encode_request(call: WorkerCall) -> bytes:
-    """The call's body in JSON."""
+    """Return the JSON body of the call."""
     if isinstance(call, PollCall):
         return _encode_poll(call)
     body: dict[str, Any] = {"task": call.key.task, "run": call.key.run}
@@ -147,7 +153,7 @@
 
 
 def read_answer(call: WorkerCall, status: int, body: bytes, sent_at: float, ended_at: float) -> CallAnswer:
-    """The outcome that an HTTP answer stands for. An answer that cannot be read leaves the outcome unclear."""
+    """Decode an HTTP answer to the call. The outcome is UNCLEAR if the answer cannot be decoded."""
     try:
         return _decode_answer(call, status, body, sent_at, ended_at)
     except (msgspec.DecodeError, ValueError, TypeError, KeyError, AttributeError):
@@ -188,7 +194,7 @@
 
 
 def read_lists(fields: dict[str, Any]) -> RunLists:
-    """Both lists of a hold's answer; raises MalformedAnswer, ValueError or TypeError."""
+    """Decode the lists in the answer of a poll; raises MalformedAnswer, ValueError or TypeError."""
     running = tuple(_progress(*item) for item in fields.get("running", ()))
     ends = tuple(_end(*item) for item in fields.get("exited", ()))
     return RunLists(running, tuple(sorted(ends, key=lambda end: end.number)))
@@ -200,11 +206,11 @@
 
 def _end(number: int, task: str, run: int, how: str, checkpoint: str = "") -> EndEntry:
     if number < 1:
-        raise MalformedAnswer("ends are counted from 1")
+        raise MalformedAnswer("the number of an end is less than 1")
     return EndEntry(int(number), _key(task, run), _ENDS.get(how, RunEnd.LOST), checkpoint or "")
 
 
 def _key(task: str, run: int) -> RunKey:
     if not isinstance(task, str) or not isinstance(run, int):
-        raise MalformedAnswer("not a task and a run")
+        raise MalformedAnswer("the task is not a string or the run is not an integer")
     return RunKey(task, run)
--- a/millethead/execution/client.py
+++ b/millethead/execution/client.py
@@ -1,4 +1,4 @@
-"""Client of one worker: calls are handed over by the event loop, carried out on threads, and reported to the loop."""
+"""HTTP client for one worker: the event loop submits calls, threads execute them and return the results to the loop."""
 
 from __future__ import annotations
 
@@ -16,21 +16,27 @@
 
 
 class CallKind(Enum):
-    """Which connections a call may use. HOLD: one of its own, for calls that the worker answers late on purpose.
-    ORDERS: one while calls are quick, more while they are not."""
+    """Kind of a call; each kind has its own connections.
+
+    POLL: calls that the worker answers late on purpose, on one connection. ORDER: all other calls, on one connection
+    while they are answered quickly, otherwise on more.
+    """
 
     ORDER = auto()
     POLL = auto()
 
 
 class WorkerClient:
-    """Calls to the worker at `address` (IP:PORT). `post` hands a callable to the event loop from any thread, such as
-    the loop's call_soon_threadsafe; `threads`: order connections at most. Raises ValueError for another address."""
+    """Sends calls to the worker at `address` (IP:PORT); raises ValueError if the address is malformed.
+
+    `post` schedules a callable on the event loop from any thread, such as the loop's `call_soon_threadsafe`.
+    `order_threads` is the maximum number of connections for orders.
+    """
 
     def __init__(self, address: str, post: Post, order_threads: int = ORDER_THREADS) -> None:
         host, _, port = address.rpartition(":")
         if not host or not port.isdigit():
-            raise ValueError(f"not an address of a worker: {address!r}")
+            raise ValueError(f"worker address is not IP:PORT: {address!r}")
         self._pools = {
             CallKind.ORDER: WorkerConnectionPool(host, int(port), post, order_threads),
             CallKind.POLL: WorkerConnectionPool(host, int(port), post, POLL_THREADS),
@@ -46,12 +52,15 @@
         done: Callable[[CallResult], None],
         kind: CallKind = CallKind.ORDER,
     ) -> None:
-        """Send one request, once. `done` is called on the loop when it was answered, could not be sent or has taken
-        `timeout_s`, the wait for a connection included."""
+        """Send one request, without retries.
+
+        `done` is called on the event loop when the request was answered, could not be sent or has taken `timeout_s`,
+        including the wait for a connection.
+        """
         now = time.monotonic()
         self._pools[kind].submit(Call(method, path, body, headers, now, now + timeout_s, done))
 
     def close(self) -> None:
-        """End all calls: those that wait as not sent, those under way without an answer."""
+        """End all calls: queued calls as not sent, calls in flight without an answer."""
         for pool in self._pools.values():
             pool.close()
--- a/millethead/execution/connection_pool.py
+++ b/millethead/execution/connection_pool.py
@@ -1,7 +1,9 @@
-"""A queue of calls to one worker and the daemon threads that carry them out, each with a connection of its own.
+"""Pool of connections to one worker: a queue of calls and daemon threads that execute them, one connection per thread.
 
-New connections to a worker are priced. So a thread that holds an open connection takes calls at once, and one that
-holds none opens another only for a call that has waited MAX_QUEUE_DELAY_S, or where no connection is in use at all."""
+Opening a connection to a worker has a cost. A thread with an open connection therefore takes calls at once. A
+thread without one opens a connection only for a call that has waited MAX_QUEUE_DELAY_S, or if no thread is executing a
+call.
+"""
 
 from __future__ import annotations
 
@@ -16,13 +18,16 @@
 from millethead.execution.worker_connection import Call, CallResult, WorkerConnection, not_sent
 
 log = structlog.get_logger()
-MAX_QUEUE_DELAY_S = 0.05  # s that a call waits for an open connection before another is opened
+MAX_QUEUE_DELAY_S = 0.05  # for which a call waits for an open connection before another one is opened
 Post = Callable[[Callable[[], None]], None]
 
 
 class ThreadState(Enum):
-    """IDLE: waits for work, however long. STANDBY: waits until the oldest call has waited MAX_QUEUE_DELAY_S. BUSY: carries
-    a call out."""
+    """State of a thread of the pool.
+
+    IDLE: waits for a call without a time limit. STANDBY: waits until the oldest call has waited MAX_QUEUE_DELAY_S.
+    BUSY: executes a call.
+    """
 
     IDLE = auto()
     STANDBY = auto()
@@ -30,16 +35,16 @@
 
 
 class _CallThread:
-    """A thread of a lane, its connection and its state; the state is guarded by the lane's lock."""
+    """A thread of the pool with its connection and its state. The pool's lock guards the state."""
 
     def __init__(self, lock: threading.Lock, connection: WorkerConnection) -> None:
-        self.state = ThreadState.BUSY  # until it first looks for work
+        self.state = ThreadState.BUSY  # until it first waits for a call
         self.connection = connection
         self.wake_up = threading.Condition(lock)
 
 
 class WorkerConnectionPool:
-    """Calls in the order of their queueing, on up to `max_threads` threads. Threads start when they are first needed."""
+    """Executes calls in the order of submission on up to `max_threads` threads. Threads are started on demand."""
 
     def __init__(self, host: str, port: int, post: Post, max_threads: int) -> None:
         self._host, self._port, self._post, self._max_threads = host, port, post, max_threads
@@ -49,7 +54,7 @@
         self._closed = False
 
     def submit(self, call: Call) -> None:
-        """Queue a call. Its `done` is posted once; with a result that says nothing was sent if the lane is closed."""
+        """Queue a call. Its `done` is posted once. If the pool is closed, the result states that nothing was sent."""
         with self._lock:
             if not self._closed:
                 self._queue.append(call)
@@ -58,7 +63,7 @@
         self._post_result(call, not_sent(time.monotonic()))
 
     def close(self) -> None:
-        """End the threads. What waits is reported as not sent, what is under way as without an answer."""
+        """Stop the threads. Queued calls end as not sent, calls in flight end without an answer."""
         with self._lock:
             self._closed = True
             dropped = list(self._queue)
@@ -70,11 +75,14 @@
         for call in dropped:
             self._post_result(call, not_sent(time.monotonic()))
 
-    # ---- with the lock held --------------------------------------------------------------------------
+    # ---- called with the lock held -----------------------------------------------------------------------
 
     def _notify_thread(self) -> None:
-        """Have somebody look at the queue: a idle thread with a connection, or one that stands by for the case that
-        the busy ones do not come to it soon."""
+        """Make sure that a thread takes the oldest call.
+
+        Prefers an idle thread with an open connection. Otherwise a thread on standby takes the call if the busy threads
+        do not take it soon.
+        """
         idle = [thread for thread in self._threads if thread.state is ThreadState.IDLE]
         for thread in idle:
             if thread.connection.is_open:
@@ -104,7 +112,7 @@
         thread.state = state
 
     def _may_take(self, thread: _CallThread, now: float) -> bool:
-        """Whether `thread` is to carry the oldest call out now."""
+        """Return whether the thread may take the oldest call now."""
         if thread.connection.check():
             return True
         if now - self._queue[0].queued_at >= MAX_QUEUE_DELAY_S:
@@ -115,7 +123,7 @@
         return any(thread.state is ThreadState.BUSY for thread in self._threads)
 
     def _next_call(self, thread: _CallThread) -> Call | None:
-        """Wait for a call that `thread` is to carry out; None once the lane is closed."""
+        """Wait for a call that the thread may take; return None once the pool is closed."""
         while not self._closed:
             if not self._queue:
                 self._set_state(thread, ThreadState.IDLE)
@@ -135,7 +143,7 @@
             self._notify_thread()
         return call
 
-    # ---- on the threads ------------------------------------------------------------------------------
+    # ---- called on the threads of the pool ---------------------------------------------------------------
 
     def _run(self, thread: _CallThread) -> None:
         while True:
@@ -149,5 +157,5 @@
     def _post_result(self, call: Call, result: CallResult) -> None:
         try:
             self._post(lambda: call.done(result))
-        except RuntimeError:  # the loop is closed: nobody waits any more
+        except RuntimeError:  # the event loop is closed, so nobody waits for the result
             log.info("worker_call_result_dropped", path=call.path, outcome=result.outcome.name)
--- a/millethead/execution/desired_runs.py
+++ b/millethead/execution/desired_runs.py
@@ -1,4 +1,4 @@
-"""What the head's lists change in what is known of a worker: which runs are wanted there, and which are to be stopped."""
+"""Applies the head's lists of desired runs to the state of a worker instance."""
 
 from __future__ import annotations
 
@@ -8,8 +8,11 @@
 
 
 def apply_desired(worker: WorkerInstance, desired: DesiredRuns, now: float) -> None:
-    """Take in a list of the head for this worker; a whole one also says that nothing else is wanted. Of a worker that may
-    have run under an earlier process, the first whole list names runs that may have been started."""
+    """Apply a list of desired runs; after a complete list, no other runs are desired.
+
+    If runs of a previous agent process may exist on the instance, the runs of the first complete list may have been
+    started already.
+    """
     inherited = desired.whole and not worker.desired_received and not worker.observed_from_start
     for order in desired.orders:
         _apply_order(worker, order, inherited, now)
@@ -34,7 +37,7 @@
 
 
 def _apply_stop(worker: WorkerInstance, key: RunKey, now: float) -> None:
-    """A run that is not known may have been started by a predecessor."""
+    """Mark the run as not desired. A run that is not known may have been started by a previous agent process."""
     run = worker.runs.get(key)
     if run is None:
         run = worker.runs.add(Run(key, None, False, RunState.WAITING, now, may_have_started=True))
--- a/millethead/execution/head_finder.py
+++ b/millethead/execution/head_finder.py
@@ -1,7 +1,8 @@
-"""Finds the head of the core and keeps one session with it.
+"""Finds the head among the members of the core and keeps one session with it.
 
-Members are tried in an order that begins with what is known of the head, a further one every ATTEMPT_INTERVAL_S while none has
-answered, so that dead members cost little. A member that is not the head names it. The first welcome wins.
+Members are tried in order, starting with the last known head. While no attempt has succeeded, another one starts every
+ATTEMPT_INTERVAL_S, so that unreachable members cost little time. A member that is not the head returns the address of
+the head. The first welcome wins.
 """
 
 from __future__ import annotations
@@ -19,14 +20,18 @@
 CONNECT_TIMEOUT_S = 0.4
 HELLO_TIMEOUT_S = 0.8  # for the answer to a hello
 ATTEMPT_INTERVAL_S = 0.15  # between the starts of two attempts
-MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.05, 0.3  # between two rounds through the members
-MAX_KNOWN_MEMBERS = 16  # addresses that are remembered besides the seeds
+MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.05, 0.3  # between two rounds through all members
+MAX_KNOWN_MEMBERS = 16  # addresses that are remembered in addition to the seeds
 
 
 class HeadFinder:
-    """Calls on the loop: `session_opened(epoch)` when a session opens (it may be session_closed there); `record_received(record)`;
-    `session_closed()` when it is over. `hello` makes the first record, `seeds` gives the members to begin with, and `round_failed`
-    is called after each round without a session."""
+    """Keeps a session with the head and reports its events to callbacks on the event loop.
+
+    - `hello` returns the first record of a session, `seeds` the addresses of the members to start with.
+    - `session_opened(epoch)` is called when a session opens; it may close the session.
+    - `record_received(record)` is called for each further record, `session_closed()` when the session has ended.
+    - `round_failed()` is called after each round through all members without a session.
+    """
 
     def __init__(
         self,
@@ -43,10 +48,10 @@
             record_received,
             session_closed,
         )
-        self._members: list[str] = []  # members in the order in which they are to be tried
+        self._members: list[str] = []  # in the order in which they are tried
         self._session: Connection | None = None
         self._address = ""
-        self._abandoned_member = ""  # the member whose session was given up last
+        self._abandoned_member = ""  # the member whose session was closed last on this side
         self._session_lost = asyncio.Event()
         self._attempts: dict[Connection, _Attempt] = {}
 
@@ -67,53 +72,53 @@
             self.close_session("the process ends")
 
     def send(self, record: Record) -> None:
-        """Send in the session; does nothing without one."""
+        """Send the record in the session; does nothing without a session."""
         if self._session is not None:
             self._session.send(record)
 
     def close_session(self, cause: str) -> None:
-        """Give the session up; its member is tried last from now on."""
+        """Close the session. Its member is tried last in the next round."""
         if self._session is None:
             return
         log.info("session_closed", head=self._address, cause=cause)
         self._abandoned_member = self._address
         self._session.close()
 
-    # ---- one round -----------------------------------------------------------------------------------
+    # ---- one round of attempts ---------------------------------------------------------------------------
 
     async def _try_members(self) -> None:
-        """Try every member once, and those that they name; returns with a session, or when all have round_failed."""
+        """Try all members, including those learnt on the way; return when a session is open or all attempts failed."""
         self._session_lost.clear()
         tried: set[str] = set()
-        running: set[asyncio.Task[None]] = set()
+        pending: set[asyncio.Task[None]] = set()
         try:
             while self._session is None:
                 address = self._next_address(tried)
                 if address is not None:
                     tried.add(address)
-                    running.add(asyncio.create_task(self._attempt(address)))
-                elif not running:
+                    pending.add(asyncio.create_task(self._attempt(address)))
+                elif not pending:
                     return
-                running = await self._wait(running, ATTEMPT_INTERVAL_S if address is not None else None)
+                pending = await self._wait(pending, ATTEMPT_INTERVAL_S if address is not None else None)
         finally:
-            for task in running:
+            for task in pending:
                 task.cancel()
-            await asyncio.gather(*running, return_exceptions=True)
+            await asyncio.gather(*pending, return_exceptions=True)
 
-    async def _wait(self, running: set[asyncio.Task[None]], timeout_s: float | None) -> set[asyncio.Task[None]]:
-        """Wait for the first attempt to end; returns those that go on."""
-        _, pending = await asyncio.wait(running, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
-        return pending
+    async def _wait(self, pending: set[asyncio.Task[None]], timeout_s: float | None) -> set[asyncio.Task[None]]:
+        """Wait for the first attempt to finish; return the unfinished ones."""
+        _, unfinished = await asyncio.wait(pending, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
+        return unfinished
 
     def _next_address(self, tried: set[str]) -> str | None:
         addresses = self._members + [seed for seed in self._seeds() if seed not in self._members]
-        if self._abandoned_member in addresses:  # it may not know yet that another member is the head
+        if self._abandoned_member in addresses:  # it may not have learnt yet that another member is the head
             addresses.remove(self._abandoned_member)
             addresses.append(self._abandoned_member)
         return next((address for address in addresses if address not in tried), None)
 
     async def _attempt(self, address: str) -> None:
-        """One attempt; it ends with the session, an answer that there is none here, or a failure."""
+        """Try one member; the attempt ends with a session, a redirect or a failure."""
         try:
             connection = await connect(address, self._on_record, self._on_close, CONNECT_TIMEOUT_S)
         except OSError:
@@ -130,11 +135,11 @@
             if connection is not self._session:
                 connection.close()
 
-    # ---- what members say ----------------------------------------------------------------------------
+    # ---- records of members ------------------------------------------------------------------------------
 
     def _on_record(self, connection: Connection, record: Record) -> None:
         if connection is self._session:
-            if isinstance(record, AgentWelcome):  # the same member goes on as the head of a newer epoch
+            if isinstance(record, AgentWelcome):  # the same member has become the head of a newer epoch
                 self._on_session_opened(record.epoch)
             elif isinstance(record, AgentTurnedAway):
                 self._apply_redirect(self._address, record)
@@ -167,7 +172,7 @@
             self._session_lost.set()
             self._on_session_closed()
 
-    # ---- the order of the members --------------------------------------------------------------------
+    # ---- order of the members ----------------------------------------------------------------------------
 
     def _apply_redirect(self, address: str, answer: AgentTurnedAway) -> None:
         for member in answer.members:
--- a/millethead/execution/heartbeats.py
+++ b/millethead/execution/heartbeats.py
@@ -1,5 +1,7 @@
-"""What a worker sends its agent: heartbeats and its leave, over HTTP. Every well-formed call is acknowledged at once,
-whatever the core does."""
+"""HTTP endpoints for the heartbeats of a worker and the announcement of its shutdown.
+
+Every well-formed request is acknowledged at once, regardless of the state of the core.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +15,7 @@
 
 INSTANCES_PATH = "/-/instances/<instance>"
 DRAINING = "draining"
-MAX_INSTANCE_ID_BYTES = 200  # bytes of an id
+MAX_INSTANCE_ID_BYTES = 200
 NOT_DRAINING = -1  # `remaining_ms` of a worker that does not drain
 _MAX_U32, _MAX_U16, _MAX_I64 = (1 << 32) - 1, (1 << 16) - 1, (1 << 63) - 1
 
@@ -46,11 +48,11 @@
 
 
 class MalformedHeartbeat(ValueError):
-    """A heartbeat that cannot be read."""
+    """A heartbeat cannot be decoded."""
 
 
 def read_heartbeat(instance: str, body: bytes) -> tuple[WorkerInfo, float | None]:
-    """What a heartbeat says of the worker, and its clock in ms if it tells it; raises MalformedHeartbeat."""
+    """Return the worker info in a heartbeat, and the worker's clock in ms if given; raises MalformedHeartbeat."""
     if not 0 < len(instance.encode("utf-8", "replace")) <= MAX_INSTANCE_ID_BYTES:
         raise MalformedHeartbeat("the id is empty or too long")
     try:
@@ -84,12 +86,12 @@
 
 
 def _clamp_to_int(value: float, largest: int) -> int:
-    """A whole number that its field holds, rounded down."""
+    """Round the value down and limit it to the range from 0 to `largest`."""
     return max(0, min(largest, int(value)))
 
 
 def heartbeat_app(on_heartbeat: HeartbeatHandler, on_leave: LeaveHandler) -> bottle.Bottle:
-    """The application that takes a worker's calls and hands on what they say."""
+    """Return the application that decodes the worker's requests and calls the handlers."""
     app = bottle.Bottle()
 
     def put(instance: str) -> Response:
--- a/millethead/execution/lease.py
+++ b/millethead/execution/lease.py
@@ -1,4 +1,4 @@
-"""The agent's side of its session with the head: the epoch in force, and the lease within which it may hold runs."""
+"""The agent's session with the head: its epoch, and the lease within which the agent may renew runs."""
 
 from __future__ import annotations
 
@@ -6,15 +6,22 @@
 from dataclasses import dataclass
 
 MS = 1000
-LEASE_REQUEST_INTERVAL_S = 1.0  # between two requests for the lease
-GRANT_TIMEOUT_S = 1.0  # a head that has not lease_granted a request for so long is silent
+LEASE_REQUEST_INTERVAL_S = 1.0
+GRANT_TIMEOUT_S = 1.0  # from a lease request; a head that does not grant it in time counts as unresponsive
 
 
 @dataclass(slots=True)
 class HeadSession:
-    """`epoch`: the newest of a open, the fence of all orders. `lease_end`: seconds of the agent's steady clock.
-    `is_open`: a session is open. `lease_granted`: it has brought a lease. `fence_stale`: the worker has seen a higher
-    fence, so nothing is ordered until a newer open."""
+    """State of the session with the head. Times are seconds of the agent's monotonic clock.
+
+    - `epoch`: the newest epoch of a head; the fencing token of all orders.
+    - `lease_end`: the end of the lease. The lease outlives the session.
+    - `is_open`: a head has accepted the session.
+    - `lease_granted`: the lease was granted in this session.
+    - `fence_stale`: the worker has seen a higher fencing token; no orders are sent until a newer head opens a session.
+    - `request_at`: when the next lease request is due.
+    - `unanswered_since`: when the oldest unanswered lease request was sent.
+    """
 
     epoch: int = 0
     lease_end: float = -math.inf
@@ -25,7 +32,7 @@
     unanswered_since: float | None = None
 
     def open(self, epoch: int, now: float) -> bool:
-        """Open the session; False if the epoch is older than one that is known, and the session must be closed."""
+        """Open the session; return False if the epoch is outdated, in which case the session must be closed."""
         if epoch < self.epoch:
             return False
         if epoch > self.epoch:
@@ -36,19 +43,19 @@
         return True
 
     def close(self) -> None:
-        """The session is over. The lease goes on until its end."""
+        """Close the session. The lease remains valid until its end."""
         self.is_open, self.lease_granted = False, False
         self.request_at, self.unanswered_since = math.inf, None
 
     def request(self, now: float) -> int:
-        """Note that the lease is asked for now; returns the moment in milliseconds, rounded down."""
+        """Record that a lease request is sent now; return this time in milliseconds, rounded down."""
         self.request_at = now + LEASE_REQUEST_INTERVAL_S
         if self.unanswered_since is None:
             self.unanswered_since = now
         return int(now * MS)
 
     def grant(self, sent_ms: int, lease_ms: int, now: float) -> None:
-        """Take a grant of a request of this process."""
+        """Extend the lease; a grant that does not belong to a request of this process is ignored."""
         if not self.is_open or sent_ms > now * MS:
             return
         self.lease_granted = True
@@ -57,14 +64,14 @@
 
     @property
     def grant_deadline(self) -> float:
-        """When the head counts as silent unless it grants before."""
+        """Time at which the head counts as unresponsive if it grants no lease before."""
         return math.inf if self.unanswered_since is None else self.unanswered_since + GRANT_TIMEOUT_S
 
     def lease_holds(self, now: float) -> bool:
-        """Whether the lease is valid."""
+        """Return whether the lease is valid."""
         return now < self.lease_end
 
     @property
     def lease_pending(self) -> bool:
-        """Whether the first grant of an open session is still to come."""
+        """Whether the session is open and its first grant has not been received yet."""
         return self.is_open and not self.lease_granted
--- a/millethead/execution/messages.py
+++ b/millethead/execution/messages.py
@@ -1,4 +1,4 @@
-"""Records between the head of the core and the agents. Times are milliseconds; `run` rises from 1 for each task."""
+"""Records exchanged between the head and the agents. Times are milliseconds; `run` counts the runs of a task from 1."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RunEnd(IntEnum):
-    """How a run ended, as its worker lists it, or as follows from what is known of it."""
+    """How a run ended, as listed by its worker or inferred by the agent."""
 
     DONE = 1
     FAILED = 2
@@ -17,13 +17,13 @@
     LAPSED = 4
     BROKEN = 5
     ALONE = 6
-    LOST = 7  # the worker's life or its lease is over: the run is gone without a listed end
-    NEVER = 8  # proven never to have run, and never to run: the order was rejected, or stopped before it came
+    LOST = 7  # the worker instance or its lease ended, so the run is gone without a listed end
+    NEVER = 8  # certainly never started and never will: the start was rejected, or stopped before it arrived
 
 
 @dataclass(frozen=True, slots=True)
 class RunKey(Record):
-    """One run of one task, by the name that the worker knows the task under (ID.K.STEP.INDEX)."""
+    """One run of a task; `task` is the name under which the worker knows the task (ID.K.STEP.INDEX)."""
 
     task: str
     run: U32
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resources(Record):
-    """What a worker has, or a task asks for: thousandths of a core, megabytes, GPUs."""
+    """Resources that a worker has or a task needs: thousandths of a core, megabytes, GPUs."""
 
     cpu: U32
     mem_mb: U32
@@ -40,7 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerInfo(Record):
-    """What a worker said of itself. `remaining_ms` is -1 unless it drains; then at least so much time is left."""
+    """A worker's description of itself.
+
+    `remaining_ms` is the minimum time left to a draining worker; -1 if the worker does not drain.
+    """
 
     instance: str
     service: str
@@ -58,8 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunOrder(Record):
-    """A run that the head wants at the agent's worker; the assignment is committed already. `poll_interval_ms`: the least
-    time between two looks at the worker while it runs."""
+    """A run that the head wants on the worker; its assignment is committed.
+
+    `poll_interval_ms` is the minimum time between two polls of the worker while the run exists.
+    """
 
     key: RunKey
     spec: str
@@ -70,8 +75,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EndEntry(Record):
-    """One listed end: `number` is the worker's N; 0 where no listed end stands behind it (LOST, NEVER). `ran_ms`: from
-    the answer of its start to the list that showed its end, by the agent's clock; 0: not known, or only roughly."""
+    """The end of one run.
+
+    `number` is the worker's number of the end, or 0 for an inferred end (LOST, NEVER). `ran_ms` is the time from the
+    answer to the start until the list with the end, by the agent's clock; 0 if it is unknown or imprecise.
+    """
 
     number: U64
     key: RunKey
@@ -82,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunProgress(Record):
-    """A run that the worker listed as running: its newest checkpoint and its percentage."""
+    """A run that the worker listed as running, with its newest checkpoint and its percentage."""
 
     key: RunKey
     checkpoint: str
@@ -92,8 +100,11 @@
 @tagged(100)
 @dataclass(frozen=True, slots=True)
 class AgentHello(Record):
-    """First record of an agent's session. `process` is a random number of the agent's process; `epoch` the newest
-    epoch it knows; `address` where its worker takes calls."""
+    """First record of an agent's session.
+
+    `process` is a random number of the agent process, `epoch` the newest epoch that it has seen, `address` the address
+    at which its worker accepts calls.
+    """
 
     node: str
     process: U64
@@ -106,7 +117,7 @@
 @tagged(101)
 @dataclass(frozen=True, slots=True)
 class AgentWelcome(Record):
-    """The head takes the session. Its epoch is the fence of all orders until a newer welcome."""
+    """The head accepts the session. Its epoch is the fencing token of all orders until a newer welcome."""
 
     epoch: U64
 
@@ -114,7 +125,7 @@
 @tagged(102)
 @dataclass(frozen=True, slots=True)
 class LeaseRequest(Record):
-    """Asks for the lease to be renewed; `sent_ms` is the agent's steady clock, which comes back with the grant."""
+    """Requests a renewal of the lease. `sent_ms` is the agent's monotonic clock; the grant returns it."""
 
     sent_ms: U64
 
@@ -122,8 +133,11 @@
 @tagged(103)
 @dataclass(frozen=True, slots=True)
 class LeaseGrant(Record):
-    """The lease holds until `sent_ms` + `lease_ms` on the agent's steady clock. `poll_interval_ms`: the least time between
-    two looks at the worker, whatever runs there; short while tasks wait for room."""
+    """Extends the lease to `sent_ms` + `lease_ms` on the agent's monotonic clock.
+
+    `poll_interval_ms` is the minimum time between two polls of the worker, whichever runs exist; it is short while
+    tasks wait for capacity.
+    """
 
     sent_ms: U64
     lease_ms: U32
@@ -133,8 +147,10 @@
 @tagged(104)
 @dataclass(frozen=True, slots=True)
 class WorkerUpdate(Record):
-    """The agent's worker as it is now, in the life `info.instance`; None: no life is known (it left, or it is gone
-    and everything that ran there is over)."""
+    """Current state of the agent's worker.
+
+    None: no worker instance exists; it has left, or it is gone and all its runs have ended.
+    """
 
     info: WorkerInfo | None
 
@@ -142,7 +158,7 @@
 @tagged(105)
 @dataclass(frozen=True, slots=True)
 class LifeOver(Record):
-    """The life is over for certain: all its runs are gone, unless their ends were listed."""
+    """The worker instance has certainly ended: its runs are lost, unless their ends were listed."""
 
     instance: str
 
@@ -150,8 +166,11 @@
 @tagged(106)
 @dataclass(frozen=True, slots=True)
 class DesiredRuns(Record):
-    """The runs wanted in a life. `whole`: `orders` is the complete list, what else runs there is to be stopped;
-    otherwise `orders` are added and `stops` are taken out. Sent again whole after each new session."""
+    """Runs that the head wants on a worker instance.
+
+    If `whole`, `orders` is the complete list and all other runs have to be stopped. Otherwise `orders` are added and
+    `stops` are removed. The complete list is sent again in each new session.
+    """
 
     instance: str
     whole: bool
@@ -162,8 +181,11 @@
 @tagged(107)
 @dataclass(frozen=True, slots=True)
 class RunReport(Record):
-    """What the agent learnt. `sequence` rises with each report that holds ends, and is acknowledged by `EndsNoted`;
-    a report is sent again in a new session until then."""
+    """Changes that the agent has observed.
+
+    `sequence` increases with each report that contains ends. Such a report is acknowledged by `EndsNoted` and sent
+    again in each new session until then.
+    """
 
     instance: str
     sequence: U64
@@ -175,8 +197,10 @@
 @tagged(108)
 @dataclass(frozen=True, slots=True)
 class EndsNoted(Record):
-    """The ends of the report `sequence` are committed: only now `last_seen` may move past them. It says nothing of
-    earlier reports, which may never have come."""
+    """Acknowledges that the ends of the report `sequence` are committed; `last_seen` may advance past them only now.
+
+    It does not acknowledge earlier reports, which may have been lost.
+    """
 
     instance: str
     sequence: U64
@@ -185,7 +209,7 @@
 @tagged(109)
 @dataclass(frozen=True, slots=True)
 class AgentTurnedAway(Record):
-    """This member is not the head; `epoch` and `head` are what it knows (empty: unknown)."""
+    """The member is not the head; `epoch` and `head` are the newest that it knows (an empty `head` is unknown)."""
 
     epoch: U64
     head: str
@@ -195,7 +219,7 @@
 @tagged(110)
 @dataclass(frozen=True, slots=True)
 class WorkerSuspected(Record):
-    """The worker does not answer its agent: `silent_ms` since it last did. Nothing of it is over yet."""
+    """The worker has not answered its agent for `silent_ms`. None of its runs has ended yet."""
 
     instance: str
     silent_ms: U32
--- a/millethead/execution/next_timer.py
+++ b/millethead/execution/next_timer.py
@@ -1,4 +1,4 @@
-"""When a pure machine has to be called again."""
+"""Tracks the time at which a state machine has to be called next."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class NextTimer:
-    """Collects the moments that lie ahead, in the machine's steady seconds."""
+    """The earliest time, in seconds of the monotonic clock, at which something becomes due."""
 
     def __init__(self) -> None:
         self.at = math.inf
 
     def reset(self) -> None:
-        """Nothing lies ahead any more: all is looked at anew."""
+        """Forget all times; the state machine checks everything again."""
         self.at = math.inf
 
     def is_due(self, at: float, now: float) -> bool:
-        """Whether the moment has come; if not, it lies ahead."""
+        """Return whether the time has come; if not, make sure that the timer expires by then."""
         if at <= now:
             return True
         self.at = min(self.at, at)
--- a/millethead/execution/order_answers.py
+++ b/millethead/execution/order_answers.py
@@ -1,4 +1,4 @@
-"""What the worker's answers to starts and stops change in what is known of a worker."""
+"""Applies the worker's answers to starts and stops to the state of the instance."""
 
 from __future__ import annotations
 
@@ -12,12 +12,15 @@
 
 
 def retry_pause(attempts: int) -> float:
-    """Seconds until an order that was not carried out is given again."""
+    """Return the seconds to wait before an order that was not carried out is sent again."""
     return RETRY_PAUSES_S[min(attempts, len(RETRY_PAUSES_S) - 1)]
 
 
 def apply_start_answer(worker: WorkerInstance, call: StartCall, answer: CallAnswer, now: float) -> None:
-    """A start was answered, or not. Only a start that was never unclear is disproved by a rejection."""
+    """Apply the outcome of a start.
+
+    A rejection proves that the run never started only if no earlier attempt may have been carried out.
+    """
     if answer.status is CallStatus.DONE or answer.rejection in (Rejection.OLD, Rejection.ROOM):
         worker.confirmed_deadline = max(worker.confirmed_deadline, call.deadline_ms)
     run = _finish_call(worker, call.key, RunState.STARTING)
@@ -39,7 +42,7 @@
 
 
 def _retry_start(run: Run, now: float) -> None:
-    """This call was certainly not carried out."""
+    """Schedule another attempt after a call that was certainly not carried out."""
     pause = retry_pause(run.attempts)
     if not run.may_have_started:
         transition(run, RunState.WAITING, now)
@@ -47,7 +50,7 @@
 
 
 def apply_stop_answer(worker: WorkerInstance, call: StopCall, answer: CallAnswer, now: float) -> None:
-    """A stop was answered, or not: from its answer on the worker rejects the run."""
+    """Apply the outcome of a stop. Once the worker has answered it, the worker rejects any start of the run."""
     stopped = answer.status is CallStatus.DONE or answer.rejection is Rejection.OLD
     abandoned = worker.abandoned_runs.get(call.key)
     if abandoned is not None:
@@ -65,7 +68,7 @@
 
 
 def _finish_call(worker: WorkerInstance, key: RunKey, state: RunState) -> Run | None:
-    """The run whose call has ended, if it is still in the state that the call was for."""
+    """Record that the run's call has ended; return the run if it is still in the state for which the call was sent."""
     run = worker.runs.get(key)
     if run is None:
         return None
--- a/millethead/execution/reports.py
+++ b/millethead/execution/reports.py
@@ -1,4 +1,4 @@
-"""Ends on their way to the head: sent until they are acknowledged; only then does `last_seen` move past them."""
+"""Reports of ended runs: sent until the head acknowledges them; only then does `last_seen` advance past them."""
 
 from __future__ import annotations
 
@@ -9,15 +9,18 @@
 
 @dataclass(slots=True)
 class LastSeen:
-    """How far the listed ends of one life are acknowledged: `number` is the largest such that all up to it are, or were
-    forgotten by the worker before (an agent that was started anew finds those missing)."""
+    """Progress of the acknowledgements of one instance's ends.
+
+    `number` is the largest number for which all ends up to it are acknowledged. A new agent process finds that the
+    worker has forgotten the first ends; these count as acknowledged.
+    """
 
     number: int = 0
     _reported: set[int] = field(default_factory=set)
     _acknowledged: set[int] = field(default_factory=set)
 
     def take_new(self, ends: tuple[EndEntry, ...]) -> tuple[EndEntry, ...]:
-        """The listed ends, by rising number, that have not been reported yet; they count as reported from now on."""
+        """Return the listed ends (in ascending order) that have not been reported yet and mark them as reported."""
         if ends and not self._reported:
             self.number = max(self.number, ends[0].number - 1)
         new = tuple(end for end in ends if end.number > self.number and end.number not in self._reported)
@@ -25,7 +28,7 @@
         return new
 
     def acknowledge(self, number: int) -> None:
-        """The end is committed."""
+        """Record that the head has committed the end."""
         self._acknowledged.add(number)
         while self.number + 1 in self._acknowledged:
             self.number += 1
@@ -34,7 +37,7 @@
 
 
 class PendingReports:
-    """Reports of all lives that hold ends and are not acknowledged yet, by rising sequence."""
+    """Reports with ends that the head has not acknowledged yet, for all instances, by ascending sequence."""
 
     def __init__(self) -> None:
         self._sequence = 0
@@ -42,11 +45,14 @@
 
     @property
     def unacknowledged(self) -> tuple[RunReport, ...]:
-        """What is to be sent again in a new session."""
+        """The reports to send again in a new session."""
         return tuple(self._unacknowledged)
 
     def add(self, report: RunReport) -> RunReport:
-        """The report with its sequence: the next one if it holds ends, else 0, and then it is not kept."""
+        """Return the report with its sequence number.
+
+        A report with ends gets the next number and is kept. A report without ends gets 0 and is not kept.
+        """
         if not report.ends:
             return report
         self._sequence += 1
@@ -55,8 +61,11 @@
         return numbered
 
     def acknowledge(self, instance: str, sequence: int) -> tuple[EndEntry, ...]:
-        """Drop the life's report of this sequence; returns the ends that are acknowledged thereby. It says nothing of those
-        before: one may have come while its member was not the head, and the next one to the head of a new epoch."""
+        """Drop the report with this sequence number and return its ends.
+
+        Earlier reports remain pending: a report may have been lost while its member was not the head, and the next one
+        may have reached the head of a new epoch.
+        """
         acknowledged = [
             report for report in self._unacknowledged if report.instance == instance and report.sequence == sequence
         ]
@@ -66,14 +75,14 @@
 
 @dataclass(slots=True)
 class ReportDraft:
-    """What is to be told about one life once the event at hand has been dealt with."""
+    """What has to be reported about one instance after the current event has been processed."""
 
     started: list[RunKey] = field(default_factory=list)
     ends: list[EndEntry] = field(default_factory=list)
     progress: list[RunProgress] = field(default_factory=list)
 
     def take(self, instance: str) -> RunReport | None:
-        """What there is to tell, as a report; None if nothing. The draft is empty afterwards."""
+        """Return the draft as a report and clear it; None if it is empty."""
         if not (self.started or self.ends or self.progress):
             return None
         report = RunReport(instance, 0, tuple(self.started), tuple(self.ends), tuple(self.progress))
--- a/millethead/execution/run_lists.py
+++ b/millethead/execution/run_lists.py
@@ -1,4 +1,4 @@
-"""What the lists in the answer of a hold change in what is known of a worker."""
+"""Applies the lists of a poll's answer to the state of the instance."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from millethead.execution.worker_clock import MS
 from millethead.execution.worker_instance import WorkerInstance
 
-MAX_UNOBSERVED_SHARE = 0.5  # part of a run's time by which it may be known too late for the time to say something
-PROGRESS_REPORT_INTERVAL_S = 1.0  # between two reports of a run's percentage; a new checkpoint is told at once
+MAX_UNOBSERVED_SHARE = 0.5  # of a run's duration; if its end may be older than this, the duration is too imprecise
+PROGRESS_REPORT_INTERVAL_S = 1.0  # between two reports of a run's percentage; a new checkpoint is reported at once
 
 
 def apply_run_lists(worker: WorkerInstance, lists: RunLists, sent_at: float, now: float) -> None:
-    """Take in the lists of a hold that was sent at `sent_at`: what is missing proves nothing about later events."""
+    """Apply the lists of a poll sent at `sent_at`. A missing run proves nothing about events after that time."""
     unobserved_s = worker.unobserved_s(sent_at)
     for end in worker.last_seen.take_new(lists.ends):
         _apply_end(worker, end, unobserved_s, now)
@@ -28,13 +28,13 @@
 
 
 def record_inferred_end(worker: WorkerInstance, run: Run, how: RunEnd, now: float) -> None:
-    """End a run whose end is not listed but follows from what is known."""
+    """End a run whose end is not listed but follows from other facts."""
     transition(run, RunState.ENDED, now)
     worker.report_draft.ends.append(EndEntry(0, run.key, how, ""))
 
 
 def record_started(worker: WorkerInstance, run: Run, now: float) -> None:
-    """The worker has the run whose start was unclear or under way."""
+    """Record that the worker has the run, whose start was in flight or unanswered."""
     transition(run, RunState.RUNNING, now)
     worker.report_draft.started.append(run.key)
 
@@ -51,8 +51,10 @@
 
 
 def _ran_ms(run: Run, unobserved_s: float, now: float) -> int:
-    """How long a run has run until now; 0 where that is not known. It may have ended up to `unobserved_s` earlier, as
-    holds before the one that shows its end went unanswered."""
+    """Return how long the run ran until now in ms, or 0 if that is not known.
+
+    The run may have ended up to `unobserved_s` earlier if polls before the current one were missed.
+    """
     if run.started_at is None:
         return 0
     ran_s = now - run.started_at
@@ -73,7 +75,7 @@
 
 
 def _rediscover_run(run: Run, now: float) -> None:
-    """A run whose end was concluded is there after all. (One whose end was listed is not: that list is newer.)"""
+    """Stop a run that exists although its end was inferred. A listed end is newer than this list and stays."""
     if not run.end_listed:
         run.desired = False
         transition(run, RunState.STOPPING, now)
@@ -92,7 +94,7 @@
 
 
 def _end_missing_runs(worker: WorkerInstance, running: set[RunKey], sent_at: float, now: float) -> None:
-    """Conclude the ends of runs that a list proves to be neither there nor to come."""
+    """End the runs that are missing in the list and can no longer start."""
     for run in worker.runs.at_worker():
         if run.key in running or run.call_in_flight:
             continue
--- a/millethead/execution/runs.py
+++ b/millethead/execution/runs.py
@@ -1,4 +1,4 @@
-"""The runs of one life as the agent knows them. `transition` makes every transition of a run's state."""
+"""Runs of one worker instance as the agent knows them. All changes of a run's state go through `transition`."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class RunState(Enum):
-    """Where a run stands. All but WAITING and ENDED take room: the worker may be running it."""
+    """State of a run. In all states but WAITING and ENDED, the worker may execute it, so it reserves capacity."""
 
-    WAITING = "waiting"  # ordered, and certainly not at the worker
-    STARTING = "starting"  # a start was sent, or may have been by this agent's predecessor
-    RUNNING = "running"  # the worker has answered its start, or end_listed it
-    STOPPING = "stopping"  # to be stopped; no stop has been answered yet
-    CLOSED = "closed"  # from now on the worker rejects its start; whether it was there, a later list shows
-    ENDED = "ended"  # over, or certain never to run; kept until the head has noted its end
+    WAITING = "waiting"  # desired, and certainly not on the worker
+    STARTING = "starting"  # a start was sent, or may have been sent by a previous agent process
+    RUNNING = "running"  # the worker has answered the start or has listed the run
+    STOPPING = "stopping"  # must be stopped; no stop has been answered yet
+    CLOSED = "closed"  # the worker rejects its start from now on; a later list shows whether it existed
+    ENDED = "ended"  # ended or certainly never started; kept until the head acknowledges the end
 
 
 _TRANSITIONS = {
@@ -26,25 +26,31 @@
     RunState.RUNNING: {RunState.STOPPING, RunState.CLOSED, RunState.ENDED},
     RunState.STOPPING: {RunState.CLOSED, RunState.ENDED},
     RunState.CLOSED: {RunState.ENDED},
-    RunState.ENDED: {RunState.STOPPING},  # it was found at the worker after all
+    RunState.ENDED: {RunState.STOPPING},  # found on the worker after its end was inferred
 }
 _RESERVING_STATES = {RunState.STARTING, RunState.RUNNING, RunState.STOPPING, RunState.CLOSED}
 
 
 class InvalidTransition(RuntimeError):
-    """A transition of state that no event can bring about."""
+    """A transition between two states that no event can cause."""
 
 
 @dataclass(slots=True)
 class Run:
-    """One run. `order` is None for one that the worker end_listed and the head has not named: its needs are not known.
-
-    `desired`: by the newest list of the head. `may_have_started`: a start may have been carried out, or may be later.
-    `call_in_flight`: a start or stop is under way. `attempts`: starts or stops made in this state. `retry_at`: no call before.
-    `state_since`: when the state was entered. `start_due_since`: state_since when its start is due.
-    `started_at`: when its start was answered; None where that may have been carried out before, or the worker was cold.
-    `first_seen_at`: when the worker was first known to have it. `end_listed`: its end was end_listed, not concluded. `checkpoint`,
-    `percent` and `progress_sent_at`: its progress as the head was told last. Times are seconds of the agent's steady clock.
+    """State of one run. Times are seconds of the agent's monotonic clock.
+
+    - `order`: None for a run that the worker listed and the head has not ordered; its needs are not known.
+    - `desired`: it is part of the newest list of the head.
+    - `state_since`: when the current state was entered.
+    - `may_have_started`: a start may have been carried out, or may still be.
+    - `call_in_flight`: a start or stop is in flight.
+    - `attempts`: starts or stops sent in the current state.
+    - `retry_at`: no call is sent before.
+    - `start_due_since`: since when the start could have been sent.
+    - `started_at`: when the start was answered; None if it may have been carried out earlier or if the worker was cold.
+    - `first_seen_at`: when the worker was first known to have the run.
+    - `end_listed`: the worker listed the end; False for an inferred end.
+    - `checkpoint`, `percent`, `progress_sent_at`: the progress in the last report to the head.
     """
 
     key: RunKey
@@ -66,12 +72,12 @@
 
     @property
     def at_worker(self) -> bool:
-        """Whether the worker may have it."""
+        """Whether the worker may have the run."""
         return self.state in _RESERVING_STATES
 
 
 def transition(run: Run, state: RunState, now: float) -> None:
-    """Bring the run into `state`; raises InvalidTransition."""
+    """Move the run into `state`; raises InvalidTransition."""
     if state not in _TRANSITIONS[run.state]:
         raise InvalidTransition(f"{run.key.task} run {run.key.run}: {run.state.value} to {state.value}")
     run.state, run.state_since = state, now
@@ -81,7 +87,7 @@
 
 
 class RunTable:
-    """All runs of a life by key, in the order in which they became known."""
+    """All runs of an instance by key, in the order in which they became known."""
 
     def __init__(self) -> None:
         self._runs: dict[RunKey, Run] = {}
@@ -93,30 +99,30 @@
         return len(self._runs)
 
     def get(self, key: RunKey) -> Run | None:
-        """The run, if it is known."""
+        """Return the run, or None if it is not known."""
         return self._runs.get(key)
 
     def add(self, run: Run) -> Run:
-        """Take in a run that was not known."""
+        """Add a run that was not known and return it."""
         self._runs[run.key] = run
         return run
 
     def forget(self, key: RunKey) -> None:
-        """Drop a run whose end was noted."""
+        """Remove a run whose end was acknowledged."""
         run = self._runs.get(key)
         if run is not None and run.state is RunState.ENDED:
             del self._runs[key]
 
     def at_worker(self) -> list[Run]:
-        """The runs that the worker may have."""
+        """Return the runs that may exist on the worker."""
         return [run for run in self._runs.values() if run.at_worker]
 
     def any_at_worker(self) -> bool:
-        """Whether the worker may have any."""
+        """Return whether any run may exist on the worker."""
         return any(run.at_worker for run in self._runs.values())
 
     def reserved(self) -> Resources | None:
-        """What the runs at the worker may take together; None if one's needs are not known."""
+        """Return the resources that the runs on the worker may use together; None if the needs of one are not known."""
         cpu = mem_mb = gpu = 0
         for run in self._runs.values():
             if not run.at_worker:
@@ -128,7 +134,7 @@
         return Resources(cpu, mem_mb, gpu)
 
     def fits(self, run: Run, capacity: Resources) -> bool:
-        """Whether starting the run keeps all that may be at the worker within its capacity."""
+        """Return whether all runs that may exist on the worker fit into its capacity if this run is started."""
         reserved = self.reserved()
         if reserved is None or run.order is None:
             return False
--- a/millethead/execution/shell.py
+++ b/millethead/execution/shell.py
@@ -1,4 +1,4 @@
-"""The agent's shell: sockets, threads and the clock around its decisions."""
+"""Runs the agent's state machine: provides its sockets, threads and clock."""
 
 from __future__ import annotations
 
@@ -34,19 +34,19 @@
 
 log = structlog.get_logger()
 MS = 1000.0
-MAX_HOLD_MS = 6500.0  # a worker that is lost without a trace is known to be so after this time
-SHUTDOWN_TIMEOUT_S = 0.3  # for calls under way and answers to the worker, when the process is to end
-MAX_CONNECTIONS = 64  # of the worker
-FAILED_ROUNDS_PER_RELOAD = 5  # failed rounds through the members after which the settings are read again
+MAX_HOLD_MS = 6500.0  # bounds the time until the runs of an unreachable worker have certainly ended
+SHUTDOWN_TIMEOUT_S = 0.3  # for calls in flight and for answers to the worker
+MAX_CONNECTIONS = 64  # from the worker
+FAILED_ROUNDS_PER_RELOAD = 5  # without a session, after which the settings are read again
 CONTENT_TYPE = {"Content-Type": "application/json"}
 
 
 class UnfitSettings(ValueError):
-    """The settings do not describe an agent: they lack the worker's address or where its heartbeats come in."""
+    """The settings do not describe an agent: the worker's address or the address for heartbeats is missing."""
 
 
 class AgentShell:
-    """One agent: `run` lasts until `stop`. `reload` reads the settings again (for their seeds)."""
+    """Runs one agent until `stop` is called. `reload` reads the settings again, for their seeds."""
 
     def __init__(self, settings: ProcessSettings, reload: Callable[[], ProcessSettings] = load_settings) -> None:
         if settings.app is None or settings.listen.control is None:
@@ -69,7 +69,7 @@
         self._stopped = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve the worker until `stop`; its runs go on then, and the next process finds them."""
+        """Serve the worker until `stop` is called. Its runs continue, and the next agent process finds them."""
         host, port = self._control.rsplit(":", 1)
         await self._server.listen(host, int(port))
         log.info("agent_started", node=self._settings.node, worker=self._app)
@@ -82,22 +82,22 @@
             finder.result()
 
     def add_metrics(self, collect: Callable[[Agent, float], Iterable[MetricFamily]]) -> None:
-        """Have `collect(agent, steady seconds)` told at the address for heartbeats."""
+        """Export the metrics that `collect(agent, monotonic seconds)` returns at the address for heartbeats."""
         add_metrics(self._heartbeat_app, lambda: collect(self._agent, self._loop.time()))
 
     def stop(self) -> None:
-        """End `run` soon."""
+        """Make `run` return soon."""
         self._stopped.set()
 
     def reload_settings(self) -> None:
-        """Take the seeds of the settings as they are now; settings that cannot be read change nothing."""
+        """Use the seeds of the current settings; settings that cannot be read change nothing."""
         try:
             self._settings = self._reload()
         except InvalidSettings as error:
             log.warning("settings_not_read", why=str(error))
 
     async def _shut_down(self, finder: asyncio.Task[None]) -> None:
-        """Let what is under way come to its end for a moment, and report it."""
+        """Wait briefly for the calls in flight so that their outcomes are reported, then close everything."""
         deadline = self._loop.time() + SHUTDOWN_TIMEOUT_S
         await self._server.drain(SHUTDOWN_TIMEOUT_S)
         while self._agent.calls_in_flight and self._loop.time() < deadline:
@@ -110,7 +110,7 @@
             await asyncio.gather(finder, return_exceptions=True)
         log.info("agent_stopped", node=self._settings.node)
 
-    # ---- events --------------------------------------------------------------------------------------
+    # ---- events ------------------------------------------------------------------------------------------
 
     def _on_heartbeat(self, info: WorkerInfo, clock_ms: float | None) -> None:
         self._execute(self._agent.heartbeat_received(info, clock_ms, self._loop.time()))
@@ -140,7 +140,7 @@
         if self._failed_rounds % FAILED_ROUNDS_PER_RELOAD == 0:
             self.reload_settings()
 
-    # ---- actions -------------------------------------------------------------------------------------
+    # ---- actions -----------------------------------------------------------------------------------------
 
     def _execute(self, actions: list[Action]) -> None:
         for action in actions:
@@ -152,9 +152,9 @@
                 self._finder.close_session(action.cause)
         self._set_timer(self._agent.next_timer())
 
-    def _post(self, call: Callable[[], None]) -> None:
-        """Have the loop make the call; may be used on any thread."""
-        self._loop.call_soon_threadsafe(call)
+    def _post(self, callback: Callable[[], None]) -> None:
+        """Schedule the callable on the event loop; may be called on any thread."""
+        self._loop.call_soon_threadsafe(callback)
 
     def _send_call(self, call: WorkerCall) -> None:
         headers = {**CONTENT_TYPE, INSTANCE_HEADER: call.instance}
@@ -170,14 +170,14 @@
         )
 
     def _set_timer(self, at: float) -> None:
-        """Have one timer, at the moment that the agent waits for; one that comes too early does no harm."""
+        """Make sure that the timer expires at `at` or before; an early expiry does no harm."""
         if at >= self._timer_at:
             return
         if self._timer is not None:
             self._timer.cancel()
         self._timer, self._timer_at = self._loop.call_at(at, self._on_timer), at
 
-    # ---- the session ---------------------------------------------------------------------------------
+    # ---- session -----------------------------------------------------------------------------------------
 
     def _hello(self) -> AgentHello:
         return AgentHello(
@@ -190,7 +190,7 @@
         )
 
     def _seeds(self) -> list[str]:
-        """The members' addresses for what programs say to one another, as the seeds of the settings tell."""
+        """Return the seeds' hosts with the port for connections between the programs."""
         port = self._settings.port_range[0]
         return [f"{seed.rsplit(':', 1)[0]}:{port}" for seed in self._settings.seeds]
 
@@ -208,7 +208,7 @@
 
 
 async def run_until_signal(shell: AgentShell) -> None:
-    """Run the shell until SIGTERM or SIGINT; SIGHUP reads its settings again."""
+    """Run the shell until SIGTERM or SIGINT; SIGHUP reloads its settings."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, shell.stop)
--- a/millethead/execution/worker_connection.py
+++ b/millethead/execution/worker_connection.py
@@ -1,4 +1,4 @@
-"""One call to a worker, and the kept connection that carries it: blocking, by urllib3, never sent twice."""
+"""A persistent connection to a worker that executes one call at a time: blocking, based on urllib3, without retries."""
 
 from __future__ import annotations
 
@@ -26,8 +26,11 @@
 
 
 class CallOutcome(Enum):
-    """What became of a call. REFUSED_CONNECTION: no connection came about, or its time was over before that, so
-    nothing was sent. NO_ANSWER: it may have been sent, and may be carried out later."""
+    """Outcome of a call.
+
+    REFUSED_CONNECTION: no connection could be opened in time, so nothing was sent. NO_ANSWER: the request may have been
+    sent and may still be carried out.
+    """
 
     ANSWERED = auto()
     REFUSED_CONNECTION = auto()
@@ -36,9 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """The end of a call. `status` is 0 and `body` empty unless it was answered. Both times are monotonic seconds:
-    `sent_at` is taken just before the first byte goes out (where none did, it equals `ended_at`). `no_listener`: no
-    process listens at the address."""
+    """Result of a call.
+
+    `status` is 0 and `body` is empty unless the call was answered. Times are monotonic seconds; `sent_at` is taken just
+    before the first byte is sent and equals `ended_at` if nothing was sent. `no_listener`: no process listens at the
+    address.
+    """
 
     outcome: CallOutcome
     status: int
@@ -50,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call as it waits in a queue. `queued_at` and `deadline` are monotonic seconds."""
+    """A queued call. `queued_at` and `deadline` are monotonic seconds."""
 
     method: str
     path: str
@@ -62,42 +68,47 @@
 
 
 class AnswerTooLarge(HTTPError):
-    """An answer is longer than MAX_ANSWER_BYTES."""
+    """The answer is longer than MAX_ANSWER_BYTES."""
 
 
 class UnframedAnswer(HTTPError):
-    """An answer tells no length: its end cannot be told from a cut."""
+    """The answer has no length, so a truncated body could not be detected."""
 
 
 def not_sent(now: float, no_listener: bool = False) -> CallResult:
-    """The result of a call of which nothing went out."""
+    """Return the result of a call of which nothing was sent."""
     return CallResult(CallOutcome.REFUSED_CONNECTION, 0, b"", now, now, no_listener)
 
 
 class WorkerConnection:
-    """A connection to a worker, opened when it is needed and kept. One thread uses it; only `abort` may come from
-    another."""
+    """A connection to a worker that is opened on demand and kept open.
+
+    It is used by one thread; only `abort` may be called from another one.
+    """
 
     def __init__(self, host: str, port: int) -> None:
         self._http = HTTPConnection(host, port, socket_options=None)
         self._user_timeout_ms = 0
-        self._no_listener = False  # the last attempt to connect met a closed port
+        self._no_listener = False  # the last connection attempt found a closed port
 
     @property
     def is_open(self) -> bool:
-        """Whether it was opened and not closed on this side."""
+        """Whether the connection was opened and has not been closed on this side."""
         return not self._http.is_closed
 
     def check(self) -> bool:
-        """Whether a call can go out on it as it is. Where the worker has closed it, or sent what nobody asked for, it
-        is closed on this side too."""
+        """Return whether the connection is usable.
+
+        A connection that the worker has closed, or on which it has sent unexpected data, is closed.
+        """
         if self.is_open and not self._http.is_connected:
             self._http.close()
         return self.is_open
 
     def exchange(self, call: Call) -> CallResult:
-        """Carry the call out, on a connection that was checked. Never raises: what fails is told by the outcome, and
-        closes the connection."""
+        """Execute the call on a checked connection. Never raises: a failure is part of the result and closes the
+        connection.
+        """
         if time.monotonic() >= call.deadline:
             return not_sent(time.monotonic())
         if not (self.is_open or self._connect(call)):
@@ -113,25 +124,25 @@
         return CallResult(CallOutcome.NO_ANSWER, 0, b"", sent_at, time.monotonic())
 
     def abort(self) -> None:
-        """Cut the connection under a call that is under way, which then ends without an answer."""
+        """Shut down the connection; a call in flight then ends without an answer."""
         sock = self._http.sock
         if sock is None:
             return
-        with contextlib.suppress(OSError):  # it may not be connected any more
+        with contextlib.suppress(OSError):  # it may be disconnected already
             sock.shutdown(socket.SHUT_RDWR)
 
     def close(self) -> None:
-        """Give the descriptor up; the next call opens another."""
+        """Close the connection; the next call opens a new one."""
         self._http.close()
 
     def _connect(self, call: Call) -> bool:
-        """Open a connection within the call's time; False where that fails."""
+        """Open a connection before the call's deadline; return whether that succeeded."""
         self._no_listener = False
-        left = call.deadline - time.monotonic()
-        if left <= 0:
+        remaining_s = call.deadline - time.monotonic()
+        if remaining_s <= 0:
             return False
-        self._user_timeout_ms = _user_timeout_ms(left)
-        self._http.timeout = left
+        self._user_timeout_ms = _user_timeout_ms(remaining_s)
+        self._http.timeout = remaining_s
         self._http.socket_options = [
             (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
             (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self._user_timeout_ms),
@@ -162,7 +173,7 @@
         return CallResult(CallOutcome.ANSWERED, response.status, body, sent_at, time.monotonic())
 
     def _bound_sending(self, sock: socket.socket, seconds: float) -> None:
-        """Let the next call take so long; the system's own limit is raised where it is shorter."""
+        """Apply the call's time limit to the socket. The TCP user timeout is raised if it is shorter."""
         self._http.timeout = seconds
         if _user_timeout_ms(seconds) > self._user_timeout_ms:
             self._user_timeout_ms = _user_timeout_ms(seconds)
@@ -184,13 +195,13 @@
 
 
 def _remaining_s(call: Call) -> float:
-    """Seconds to the call's deadline; raises TimeoutError once that is over."""
-    left = call.deadline - time.monotonic()
-    if left <= 0:
+    """Return the seconds until the call's deadline; raises TimeoutError if it has passed."""
+    remaining_s = call.deadline - time.monotonic()
+    if remaining_s <= 0:
         raise TimeoutError
-    return left
+    return remaining_s
 
 
 def _user_timeout_ms(seconds: float) -> int:
-    """Milliseconds that bytes may stay unacknowledged: rounded up, so that calls alike in time need no new setting."""
+    """Return the TCP user timeout in ms for this time, rounded up so that similar calls need no new socket option."""
     return USER_TIMEOUT_STEP_MS * math.ceil(seconds * 1000 / USER_TIMEOUT_STEP_MS)
