--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent's decisions: each rule by itself, plays against a worker with seeded trouble, and mutants of the rules."""
+"""Tests of the agent's state machine: single rules, simulated histories with faults, and mutants of the rules."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 import pytest
-from agent_world import World, play, unit
+from agent_world import SimulatedSystem, run_history, work_unit
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -58,9 +58,9 @@
 from millethead.rpc.codec import Record
 
 LIMITS = AgentLimits(hold_max_ms=6000, heartbeat_s=1.0)
-PROCESS_START = 100.0  # when the agent's process began
+PROCESS_START = 100.0  # when the agent process started
 NEEDS = Resources(1000, 512, 0)
-CLOCK_MS = 50_000.0  # the worker's clock at PROCESS_START, in the tests that do not let it run slow
+CLOCK_MS = 50_000.0  # the worker's clock at PROCESS_START, in tests in which it runs at the normal rate
 
 
 def info(instance: str = "i-1", sequence: int = 1, **changes: object) -> WorkerInfo:
@@ -75,7 +75,7 @@
 
 
 class AgentHarness:
-    """An agent whose calls and records are answered by hand."""
+    """An agent whose calls and records are answered by the test."""
 
     def __init__(self) -> None:
         self.now = PROCESS_START
@@ -94,7 +94,7 @@
                 self.closed.append(action.cause)
 
     def pass_time(self, seconds: float) -> None:
-        """Let time go on, with the timer whenever the agent asks for it."""
+        """Advance the time and call the agent whenever its timer expires."""
         until = self.now + seconds
         while self.agent.next_timer() <= until:
             self.now = max(self.now, self.agent.next_timer())
@@ -154,18 +154,18 @@
 
 @pytest.fixture
 def harness() -> AgentHarness:
-    """An agent with a session and a worker that is known from its beginning, with nothing there."""
+    """Return an agent with a session and a worker instance that was observed from its start, without runs."""
     harness = AgentHarness()
     harness.heartbeat(info("i-0"))
     harness.welcome()
     harness.heartbeat(info("i-1"))
     harness.order_runs(whole=True)
-    harness.answer(harness.only_call(PollCall))  # of the worker before
+    harness.answer(harness.only_call(PollCall))  # of the previous worker instance
     harness.sent.clear()
     return harness
 
 
-# ---- the worker's clock ------------------------------------------------------------------------------
+# ---- worker clock ------------------------------------------------------------------------------------
 
 
 @given(
@@ -202,24 +202,24 @@
 # ---- runs and reports --------------------------------------------------------------------------------
 
 
-def test_illegal_change_is_refused() -> None:
+def test_invalid_transition_is_rejected() -> None:
     run = Run(RunKey("a.0.0.0", 1), None, False, RunState.CLOSED, PROCESS_START)
     with pytest.raises(InvalidTransition):
         transition(run, RunState.STARTING, PROCESS_START)
 
 
-def test_unknown_needs_leave_no_room() -> None:
+def test_run_with_unknown_needs_leaves_no_capacity() -> None:
     table = RunTable()
     table.add(Run(RunKey("a.0.0.0", 1), None, False, RunState.RUNNING, PROCESS_START))
     waiting = table.add(Run(RunKey("b.0.0.0", 1), order("b.0.0.0"), True, RunState.WAITING, PROCESS_START))
     assert not table.fits(waiting, Resources(1 << 20, 1 << 20, 8))
 
 
-def test_last_seen_moves_only_over_noted_ends_without_a_gap() -> None:
+def test_last_seen_advances_only_over_consecutive_acknowledged_ends() -> None:
     seen = LastSeen()
     ends = tuple(EndEntry(number, RunKey(f"t{number}", 1), RunEnd.DONE, "") for number in (5, 6, 7))
     assert seen.take_new(ends) == ends
-    assert seen.number == 4  # what is missing below was forgotten before this process began
+    assert seen.number == 4  # the worker forgot the earlier ends before this process started
     assert seen.take_new(ends) == ()
     seen.acknowledge(6)
     assert seen.number == 4
@@ -227,7 +227,7 @@
     assert seen.number == 6
 
 
-def test_reports_are_kept_until_noted() -> None:
+def test_reports_are_kept_until_acknowledged() -> None:
     reports = PendingReports()
     end = EndEntry(1, RunKey("t", 1), RunEnd.DONE, "")
     assert reports.add(RunReport("i-1", 0, (), (), ())).sequence == 0
@@ -239,10 +239,10 @@
     assert [report.instance for report in reports.unacknowledged] == ["i-2"]
 
 
-# ---- the wire ----------------------------------------------------------------------------------------
+# ---- encoding ----------------------------------------------------------------------------------------
 
 
-def test_bodies_leave_out_what_is_empty() -> None:
+def test_request_bodies_omit_empty_fields() -> None:
     poll = PollCall(1, "i", 1.0, 7, 57, None, 0)
     assert encode_request(poll) == b'{"fence":7,"last_seen":57}'
     start = StartCall(1, "i", 1.0, 7, RunKey("t", 2), "s", "", 99)
@@ -256,7 +256,7 @@
         assert answer.status is not CallStatus.DONE or not isinstance(call, PollCall) or answer.lists is not None
 
 
-def test_hold_answer_is_read() -> None:
+def test_poll_answer_is_decoded() -> None:
     raw = b'{"clock_ms":482113,"running":[["a.0.1.17",2,"x",41]],"exited":[[58,"a.0.1.9",1,"done",""]]}'
     answer = read_answer(PollCall(1, "i", 1.0, 7, 0, None, 0), 200, raw, 1.0, 2.0)
     assert answer.clock_ms == 482113
@@ -266,7 +266,7 @@
 
 
 @given(st.binary(max_size=60))
-def test_any_heartbeat_is_read_or_refused(body: bytes) -> None:
+def test_any_heartbeat_is_decoded_or_rejected(body: bytes) -> None:
     try:
         worker, _ = read_heartbeat("i-1", body)
     except MalformedHeartbeat:
@@ -274,7 +274,7 @@
     assert worker.instance == "i-1"
 
 
-def test_heartbeat_is_read() -> None:
+def test_heartbeat_is_decoded() -> None:
     body = (
         b'{"service":"s","addr":"10.0.0.9:80","state":"draining","remaining_ms":1500.7,"seq":4,"clock_ms":12,'
         b'"capacity":{"cpu":16000,"mem_mb":32768,"gpu":0},"labels":["a"],"more":1}'
@@ -287,7 +287,7 @@
 # ---- starting ----------------------------------------------------------------------------------------
 
 
-def test_wanted_run_is_started_with_the_fence_and_reported(harness: AgentHarness) -> None:
+def test_desired_run_is_started_with_the_fencing_token_and_reported(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     call = harness.only_call(StartCall)
     assert isinstance(call, StartCall)
@@ -305,7 +305,9 @@
         (CallStatus.INVALID, Rejection.OTHER),
     ],
 )
-def test_first_call_rejected_never_ran(harness: AgentHarness, status: CallStatus, rejection: Rejection) -> None:
+def test_run_whose_first_start_is_rejected_never_started(
+    harness: AgentHarness, status: CallStatus, rejection: Rejection
+) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall), status, rejection)
     assert harness.ends() == [("a.0.0.0", RunEnd.NEVER)]
@@ -314,14 +316,14 @@
 
 
 @pytest.mark.parametrize("rejection", [Rejection.ROOM, Rejection.OLD])
-def test_rejection_after_silence_proves_nothing_alone(harness: AgentHarness, rejection: Rejection) -> None:
+def test_rejection_after_an_unanswered_start_proves_nothing(harness: AgentHarness, rejection: Rejection) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall), CallStatus.UNCLEAR, after=0.3)
     harness.answer(harness.only_call(StartCall), CallStatus.REJECTED, rejection)
     assert harness.ends() == []
 
 
-def test_unclear_start_is_tried_three_times_then_stopped_and_disproved(harness: AgentHarness) -> None:
+def test_unanswered_start_is_attempted_three_times_then_stopped(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     for _ in range(3):
         for poll in [call for call in harness.calls if isinstance(call, PollCall)]:
@@ -338,12 +340,12 @@
     poll = harness.only_call(PollCall)
     harness.answer(poll)
     harness.pass_time(0.3)
-    if not harness.ends():  # that look had been sent before the stop was answered
+    if not harness.ends():  # that poll was sent before the stop was answered
         harness.answer(harness.only_call(PollCall))
     assert harness.ends() == [("a.0.0.0", RunEnd.NEVER)]
 
 
-def test_late_start_is_made_again(harness: AgentHarness) -> None:
+def test_late_start_is_retried(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall), CallStatus.REJECTED, Rejection.LATE)
     harness.pass_time(0.1)
@@ -351,7 +353,7 @@
     assert harness.ends() == []
 
 
-def test_higher_fence_at_the_worker_closes_the_session(harness: AgentHarness) -> None:
+def test_higher_fencing_token_at_the_worker_closes_the_session(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall), CallStatus.REJECTED, Rejection.FENCE)
     assert harness.closed
@@ -364,7 +366,7 @@
     assert isinstance(call, StartCall) and call.fence == 8
 
 
-def test_what_does_not_fit_waits_and_then_never_ran(harness: AgentHarness) -> None:
+def test_run_that_does_not_fit_waits_and_is_then_reported_as_never_started(harness: AgentHarness) -> None:
     harness.order_runs(*(order(f"a.0.0.{index}", needs=Resources(2000, 512, 0)) for index in range(3)))
     assert harness.starts() == ["a.0.0.0", "a.0.0.1"]
     for call in list(harness.calls):
@@ -374,7 +376,7 @@
     assert harness.ends() == [("a.0.0.2", RunEnd.NEVER)]
 
 
-def test_stopped_run_takes_room_until_its_end_is_listed(harness: AgentHarness) -> None:
+def test_stopped_run_reserves_capacity_until_its_end_is_listed(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0", needs=Resources(4000, 512, 0)))
     harness.answer(harness.only_call(StartCall))
     harness.order_runs(order("b.0.0.0", needs=Resources(4000, 512, 0)), stops=(RunKey("a.0.0.0", 1),))
@@ -385,7 +387,7 @@
     assert harness.starts() == ["b.0.0.0"]
 
 
-def test_draining_worker_gets_nothing(harness: AgentHarness) -> None:
+def test_draining_worker_gets_no_starts(harness: AgentHarness) -> None:
     harness.heartbeat(info(sequence=2, draining=True, remaining_ms=3000))
     harness.order_runs(order("a.0.0.0"))
     assert not harness.calls
@@ -394,7 +396,7 @@
     assert isinstance(update, WorkerUpdate) and update.info is not None and update.info.draining
 
 
-def test_no_lease_no_start(harness: AgentHarness) -> None:
+def test_no_start_without_a_lease(harness: AgentHarness) -> None:
     harness.pass_time(0.5)
     harness.execute(harness.agent.session_closed(harness.now))
     other = AgentHarness()
@@ -407,13 +409,13 @@
     assert other.starts() == ["a.0.0.0"]
 
 
-# ---- a new process -----------------------------------------------------------------------------------
+# ---- restart of the agent ----------------------------------------------------------------------------
 
 
 def test_new_process_starts_nothing_before_both_lists() -> None:
     harness = AgentHarness()
     harness.welcome()
-    assert not harness.records(WorkerUpdate)  # it does not know of any worker, nor that there is none
+    assert not harness.records(WorkerUpdate)  # it does not know yet whether there is a worker
     harness.heartbeat()
     poll = harness.only_call(PollCall)
     assert isinstance(poll, PollCall) and poll.wait_ms == 0
@@ -423,18 +425,18 @@
     assert harness.starts() == ["b.0.0.0"]
 
 
-def test_new_process_stops_what_nobody_wants() -> None:
+def test_new_process_stops_runs_that_are_not_desired() -> None:
     harness = AgentHarness()
     harness.welcome()
     harness.heartbeat()
     harness.answer(harness.only_call(PollCall), running=(RunProgress(RunKey("a.0.0.0", 1), "", 30),))
-    assert not any(isinstance(call, StopCall) for call in harness.calls)  # the head has not said what it wants
+    assert not any(isinstance(call, StopCall) for call in harness.calls)  # the head has not sent the desired runs
     harness.order_runs(whole=True)
     stop = harness.only_call(StopCall)
     assert isinstance(stop, StopCall) and stop.key == RunKey("a.0.0.0", 1)
 
 
-def test_cancelled_run_of_a_predecessor_is_stopped_before_it_never_ran() -> None:
+def test_cancelled_run_of_a_previous_process_is_stopped_before_it_counts_as_never_started() -> None:
     harness = AgentHarness()
     harness.welcome()
     harness.heartbeat()
@@ -449,7 +451,7 @@
     assert harness.ends() == [("a.0.0.0", RunEnd.NEVER)]
 
 
-def test_life_is_known_from_the_head_before_its_heartbeat() -> None:
+def test_instance_is_learnt_from_the_head_before_its_first_heartbeat() -> None:
     harness = AgentHarness()
     harness.welcome()
     harness.order_runs(order("a.0.0.0"), whole=True)
@@ -463,10 +465,10 @@
     assert not harness.records(LifeOver)
 
 
-# ---- holds and ends ----------------------------------------------------------------------------------
+# ---- polls and ends ----------------------------------------------------------------------------------
 
 
-def test_idle_worker_is_not_looked_at(harness: AgentHarness) -> None:
+def test_idle_worker_is_not_polled(harness: AgentHarness) -> None:
     for sequence in range(2, 30):
         harness.pass_time(1.0)
         harness.heartbeat(info(sequence=sequence))
@@ -474,7 +476,7 @@
     assert not harness.calls
 
 
-def test_looks_keep_their_gap_and_wait_for_ends(harness: AgentHarness) -> None:
+def test_polls_keep_their_interval_and_wait_for_ends(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall))
     poll = harness.only_call(PollCall)
@@ -486,7 +488,7 @@
     assert isinstance(poll, PollCall) and 1500 <= poll.wait_ms <= 2000
 
 
-def test_end_tells_how_long_the_run_took(harness: AgentHarness) -> None:
+def test_end_contains_the_duration_of_the_run(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall))
     harness.answer(harness.only_call(PollCall), running=(RunProgress(RunKey("a.0.0.0", 1), "", 1),))
@@ -498,7 +500,7 @@
     assert 2000 <= report.ends[0].ran_ms <= 2100
 
 
-def test_end_of_a_run_that_may_have_begun_before_its_start_was_answered_tells_no_time(harness: AgentHarness) -> None:
+def test_end_of_a_run_with_an_unanswered_start_has_no_duration(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall), CallStatus.UNCLEAR, after=0.3)
     harness.answer(harness.only_call(StartCall))
@@ -509,7 +511,7 @@
     assert report.ends[0].ran_ms == 0
 
 
-def test_end_of_a_run_at_a_cold_worker_tells_no_time(harness: AgentHarness) -> None:
+def test_end_of_a_run_on_a_cold_worker_has_no_duration(harness: AgentHarness) -> None:
     harness.heartbeat(info("i-1", 2, cold_left_ms=4000))
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall))
@@ -518,7 +520,7 @@
     assert report.ends[0].ran_ms == 0
 
 
-def test_looks_come_as_soon_as_a_run_there_asks_for(harness: AgentHarness) -> None:
+def test_polling_interval_is_the_shortest_of_all_runs(harness: AgentHarness) -> None:
     harness.receive(LeaseGrant(int(harness.now * 1000), 60_000, 1200))
     harness.order_runs(order("a.0.0.0"), replace(order("b.0.0.0"), poll_interval_ms=60))
     for start in [call for call in harness.calls if isinstance(call, StartCall)]:
@@ -531,14 +533,14 @@
     ended = (EndEntry(1, RunKey("b.0.0.0", 1), RunEnd.DONE, ""),)
     harness.answer(harness.only_call(PollCall), running=running[:1], ends=ended)
     harness.pass_time(1.1)
-    assert not harness.calls  # what is left there has time
+    assert not harness.calls  # the remaining run asks for a longer interval
     harness.order_runs(replace(order("c.0.0.0"), poll_interval_ms=60))
     harness.answer(harness.only_call(StartCall))
     harness.pass_time(0.06)
     assert isinstance(harness.only_call(PollCall), PollCall)
 
 
-def test_unanswered_hold_is_repeated_at_once_and_then_extends_nothing(harness: AgentHarness) -> None:
+def test_unanswered_poll_is_repeated_at_once_and_then_extends_no_deadline(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall))
     harness.answer(harness.only_call(PollCall), CallStatus.UNCLEAR, after=2.7)
@@ -550,8 +552,8 @@
     assert probe.deadline_ms is None or probe.deadline_ms == again.deadline_ms
 
 
-def test_single_lost_hold_raises_no_suspicion_and_new_starts_go_on(harness: AgentHarness) -> None:
-    """A hold that waits is due only after its wait; one lost order says little of the worker."""
+def test_single_lost_poll_raises_no_suspicion_and_starts_continue(harness: AgentHarness) -> None:
+    """A poll with a wait is due only after its wait, and a single lost call may be lost on the way."""
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall))
     harness.answer(harness.only_call(PollCall), CallStatus.UNCLEAR, after=2.7)
@@ -563,7 +565,7 @@
     assert not harness.records(WorkerSuspected)
 
 
-def test_second_lost_call_raises_suspicion_and_keeps_new_starts_back(harness: AgentHarness) -> None:
+def test_second_lost_call_raises_suspicion_and_delays_starts(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall))
     first = harness.only_call(PollCall)
@@ -577,8 +579,8 @@
     assert harness.records(WorkerSuspected)
 
 
-def test_hold_waits_no_longer_than_the_most_urgent_run_there_allows(harness: AgentHarness) -> None:
-    """A lost hold is found out after its wait: until then no end at that worker is known."""
+def test_wait_of_a_poll_is_limited_by_the_shortest_polling_interval(harness: AgentHarness) -> None:
+    """A lost poll is detected only after its wait; no end at the worker is known until then."""
     urgent = replace(order("a.0.0.0"), poll_interval_ms=100)
     harness.order_runs(urgent, order("b.0.0.0"))
     for start in [call for call in harness.calls if isinstance(call, StartCall)]:
@@ -595,7 +597,7 @@
     assert harness.only_call(PollCall).wait_ms > 1000
 
 
-def test_holds_wait_briefly_after_one_was_lost(harness: AgentHarness) -> None:
+def test_polls_wait_briefly_after_a_lost_one(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall))
     running = (RunProgress(RunKey("a.0.0.0", 1), "", 1),)
@@ -613,8 +615,8 @@
     assert min(wait for at, wait in waits if at > LOSS_RECOVERY_S + 1) > 1000
 
 
-def test_end_that_was_listed_late_after_a_lost_hold_tells_no_time(harness: AgentHarness) -> None:
-    """Otherwise a worker that loses an order now and then is taken for a slow one."""
+def test_end_listed_late_after_a_lost_poll_has_no_duration(harness: AgentHarness) -> None:
+    """Otherwise, a worker that loses an occasional call would count as slow."""
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall))
     harness.answer(harness.only_call(PollCall), running=(RunProgress(RunKey("a.0.0.0", 1), "", 1),))
@@ -625,12 +627,12 @@
     assert report.ends[0].ran_ms == 0
 
 
-def test_hold_that_an_unhealthy_worker_turns_down_counts_as_missed(harness: AgentHarness) -> None:
+def test_poll_that_an_unhealthy_worker_refuses_counts_as_missed(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall))
     for _ in range(3):
         harness.answer(harness.only_call(PollCall), CallStatus.UNHEALTHY)
-        assert not harness.calls  # it is not asked again at once
+        assert not harness.calls  # no immediate retry
         harness.pass_time(0.5)
     worker = harness.agent.worker
     assert worker is not None
@@ -641,11 +643,11 @@
     assert harness.records(WorkerSuspected)
 
 
-def test_silent_worker_is_suspected_and_its_runs_are_lost_once_the_hold_lapsed(harness: AgentHarness) -> None:
+def test_unresponsive_worker_is_suspected_and_its_runs_are_lost_after_the_deadline(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall))
-    begun = harness.now
-    while not harness.ends() and harness.now < begun + 20:
+    started_at = harness.now
+    while not harness.ends() and harness.now < started_at + 20:
         harness.receive(LeaseGrant(int(harness.now * 1000), 4000))
         for call in list(harness.calls):
             harness.answer(call, CallStatus.UNCLEAR, after=call.timeout_s)
@@ -657,9 +659,13 @@
     assert harness.records(WorkerSuspected)
 
 
-def test_a_noted_report_says_nothing_of_the_one_before(harness: AgentHarness) -> None:
-    """The one before was dropped, as its member was between two epochs, and the next one was taken by the same member
-    as the head of the new epoch, before this agent was welcomed: its ends were forgotten, and its tasks ran twice."""
+def test_acknowledgement_does_not_cover_earlier_reports(harness: AgentHarness) -> None:
+    """An acknowledgement must not cover earlier reports.
+
+    The first report was dropped because its member was between two epochs. The same member took the second report as
+    the head of the new epoch, before it welcomed the agent. The ends of the first report were forgotten, and their
+    tasks ran twice.
+    """
     harness.order_runs(order("a.0.0.0"), order("b.0.0.0"))
     for start in [call for call in harness.calls if isinstance(call, StartCall)]:
         harness.answer(start)
@@ -681,7 +687,7 @@
     assert worker.last_seen.number == 2
 
 
-def test_ends_are_reported_once_in_a_session_and_again_in_the_next(harness: AgentHarness) -> None:
+def test_ends_are_reported_once_per_session_until_acknowledged(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"), order("b.0.0.0"))
     for call in list(harness.calls):
         if isinstance(call, StartCall):
@@ -719,21 +725,21 @@
     assert harness.ends() == []
 
 
-# ---- lives and sessions ------------------------------------------------------------------------------
+# ---- instances and sessions --------------------------------------------------------------------------
 
 
-def test_new_life_ends_the_old_one(harness: AgentHarness) -> None:
+def test_new_instance_ends_the_old_one(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall))
     harness.heartbeat(info("i-2"))
     assert harness.records(LifeOver) == [LifeOver("i-1")]
     harness.order_runs(order("a.0.0.0", 1), instance="i-1")
     assert harness.records(LifeOver) == [LifeOver("i-1")] * 2
-    harness.heartbeat(info("i-1", sequence=99))  # a late one
+    harness.heartbeat(info("i-1", sequence=99))  # outdated
     assert harness.agent.worker is not None and harness.agent.worker.instance == "i-2"
 
 
-def test_other_life_answers_421(harness: AgentHarness) -> None:
+def test_answer_421_ends_the_instance(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall), CallStatus.WRONG_INSTANCE)
     assert harness.records(LifeOver) == [LifeOver("i-1")]
@@ -746,7 +752,7 @@
     assert harness.agent.worker is not None and harness.agent.worker.draining
 
 
-def test_leaving_worker_is_over_shortly_after(harness: AgentHarness) -> None:
+def test_leaving_worker_ends_after_the_grace_period(harness: AgentHarness) -> None:
     harness.execute(harness.agent.worker_left("i-1", harness.now))
     assert not harness.records(LifeOver)
     harness.pass_time(0.3)
@@ -754,14 +760,14 @@
     assert harness.records(WorkerUpdate) == [WorkerUpdate(info(draining=True)), WorkerUpdate(None)]
 
 
-def test_worker_that_serves_on_after_its_leave_is_held_until_its_runs_are_over(harness: AgentHarness) -> None:
+def test_worker_that_serves_after_leaving_is_polled_until_its_runs_end(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall))
     harness.execute(harness.agent.worker_left("i-1", harness.now))
     running = (RunProgress(RunKey("a.0.0.0", 1), "", 1),)
     harness.answer(harness.only_call(PollCall), running=running)
-    harness.order_runs(order("b.0.0.0"))  # crosses what the head is told
-    harness.heartbeat(info(sequence=9))  # a late one
+    harness.order_runs(order("b.0.0.0"))  # sent before the head receives the update
+    harness.heartbeat(info(sequence=9))  # outdated
     harness.pass_time(0.3)
     assert not harness.records(LifeOver) and not harness.starts()
     poll = harness.only_call(PollCall)
@@ -771,7 +777,7 @@
     assert harness.records(LifeOver) == [LifeOver("i-1")]
 
 
-def test_worker_that_is_gone_after_its_leave_is_over_once_its_port_is_closed(harness: AgentHarness) -> None:
+def test_worker_that_left_ends_once_its_port_is_closed(harness: AgentHarness) -> None:
     harness.order_runs(order("a.0.0.0"))
     harness.answer(harness.only_call(StartCall))
     harness.execute(harness.agent.worker_left("i-1", harness.now))
@@ -785,20 +791,20 @@
     assert harness.records(LifeOver) == [LifeOver("i-1")]
 
 
-def test_welcome_of_an_older_epoch_is_refused(harness: AgentHarness) -> None:
+def test_head_of_an_older_epoch_is_rejected(harness: AgentHarness) -> None:
     harness.execute(harness.agent.session_closed(harness.now))
     harness.execute(harness.agent.session_opened(6, harness.now))
     assert harness.closed and harness.agent.epoch == 7
 
 
-def test_head_that_grants_nothing_is_left(harness: AgentHarness) -> None:
+def test_session_with_a_head_that_grants_no_lease_is_closed(harness: AgentHarness) -> None:
     harness.pass_time(1.5)
     assert harness.records(LeaseRequest)
     harness.pass_time(1.0)
     assert harness.closed
 
 
-def test_heartbeats_that_stay_away_are_told(harness: AgentHarness) -> None:
+def test_missing_heartbeats_are_reported(harness: AgentHarness) -> None:
     for _ in range(6):
         harness.pass_time(1.0)
         harness.receive(LeaseGrant(int(harness.now * 1000), 4000))
@@ -806,35 +812,35 @@
     assert not harness.calls
 
 
-# ---- plays -------------------------------------------------------------------------------------------
+# ---- simulated histories -----------------------------------------------------------------------------
 
 
-def test_calm_play_needs_few_looks_and_none_when_idle() -> None:
-    world = World(1, [unit(f"u{number}.0.0", seconds=0.5 + number % 3) for number in range(12)])
-    world.run(10)
-    world.check_whole()
-    assert world.head.finished
-    assert [start.run for start in world.worker.starts] == [1] * 12
-    polls = world.polls
+def test_history_without_faults_needs_few_polls_and_none_when_idle() -> None:
+    system = SimulatedSystem(1, [work_unit(f"u{number}.0.0", seconds=0.5 + number % 3) for number in range(12)])
+    system.run(10)
+    system.check_history()
+    assert system.head.finished
+    assert [start.run for start in system.worker.starts] == [1] * 12
+    polls = system.polls
     assert polls <= 12
-    world.run(60)
-    assert world.polls == polls
+    system.run(60)
+    assert system.polls == polls
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_play_with_trouble(seed: int) -> None:
-    play(seed)
+def test_history_with_faults(seed: int) -> None:
+    run_history(seed)
 
 
-# ---- mutants: each must be caught by the oracle -----------------------------------------------------
+# ---- mutants: the checks must detect each of them ----------------------------------------------------
 
 MUTANT_SEEDS = range(60)
 
 
-def conclude_unclear(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A start without an answer is reported never to have run."""
+def end_unconfirmed_start(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A start without an answer is reported as never started."""
 
-    def take(worker: WorkerInstance, call: StartCall, answer: CallAnswer, now: float) -> None:
+    def apply(worker: WorkerInstance, call: StartCall, answer: CallAnswer, now: float) -> None:
         run = worker.runs.get(call.key)
         if run is not None and answer.status is CallStatus.UNCLEAR and run.state is RunState.STARTING:
             run.call_in_flight = False
@@ -843,60 +849,69 @@
         original(worker, call, answer, now)
 
     original = apply_start_answer
-    monkeypatch.setattr(agent_module, "apply_start_answer", take)
+    monkeypatch.setattr(agent_module, "apply_start_answer", apply)
 
 
-def hold_without_lease(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Holds go to the longest time, whatever the lease."""
+def renew_without_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Runs are renewed for the longest possible time, regardless of the lease."""
     original = WorkerInstance.renewal_deadline
     monkeypatch.setattr(
-        WorkerInstance, "renewal_deadline", lambda self, lease_end, most, now: original(self, now + 100, most, now)
+        WorkerInstance,
+        "renewal_deadline",
+        lambda self, lease_end, hold_max_ms, now: original(self, now + 100, hold_max_ms, now),
     )
 
 
-def forget_unnoted(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The worker is told to forget ends that are merely reported."""
+def forget_unacknowledged_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The worker is allowed to forget ends that are reported but not acknowledged."""
     original = LastSeen.take_new
 
-    def fresh(self: LastSeen, ends: tuple[EndEntry, ...]) -> tuple[EndEntry, ...]:
+    def take_new(self: LastSeen, ends: tuple[EndEntry, ...]) -> tuple[EndEntry, ...]:
         found = original(self, ends)
         for end in found:
             self.acknowledge(end.number)
         return found
 
-    monkeypatch.setattr(LastSeen, "take_new", fresh)
+    monkeypatch.setattr(LastSeen, "take_new", take_new)
 
 
-def no_room_for_unclear(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Runs whose start or stop is under way take no room."""
+def reserve_only_for_running(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Runs whose start or stop is in flight reserve no capacity."""
     original = RunTable.reserved
 
-    def taken(self: RunTable) -> Resources | None:
-        sure = RunTable()
+    def reserved(self: RunTable) -> Resources | None:
+        running = RunTable()
         for run in self:
             if run.state is RunState.RUNNING:
-                sure.add(run)
-        return original(sure)
+                running.add(run)
+        return original(running)
 
-    monkeypatch.setattr(RunTable, "reserved", taken)
+    monkeypatch.setattr(RunTable, "reserved", reserved)
 
 
 def start_when_draining(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Draining is not looked at."""
+    """Runs are started on a draining worker."""
     monkeypatch.setattr(WorkerInstance, "draining", property(lambda self: False))
 
 
-def lost_too_early(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A silent worker's runs are given up a second after its last answer."""
+def end_runs_too_early(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The runs of an unresponsive worker are ended one second after its last answer."""
     monkeypatch.setattr(WorkerInstance, "expired_at", property(lambda self: self.last_contact_at + 1.0))
 
 
 @pytest.mark.parametrize(
     "mutate",
-    [conclude_unclear, hold_without_lease, forget_unnoted, no_room_for_unclear, start_when_draining, lost_too_early],
+    [
+        end_unconfirmed_start,
+        renew_without_lease,
+        forget_unacknowledged_ends,
+        reserve_only_for_running,
+        start_when_draining,
+        end_runs_too_early,
+    ],
 )
-def test_mutant_is_caught(monkeypatch: pytest.MonkeyPatch, mutate: Callable[[pytest.MonkeyPatch], None]) -> None:
+def test_mutant_is_detected(monkeypatch: pytest.MonkeyPatch, mutate: Callable[[pytest.MonkeyPatch], None]) -> None:
     mutate(monkeypatch)
     with pytest.raises(AssertionError):
         for seed in MUTANT_SEEDS:
-            play(seed)
+            run_history(seed)
--- a/tests/test_agent_shell.py
+++ b/tests/test_agent_shell.py
@@ -1,4 +1,4 @@
-"""The agent's shell on loopback: heartbeats, a session with a head that is found by way of another member, a worker."""
+"""Tests of the agent's shell on loopback: heartbeats, a session with a head found through another member, a worker."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class FakeMember:
-    """A member of the core: the head, or one that turns agents away to it."""
+    """A member of the core: the head, or a member that redirects agents to the head."""
 
     def __init__(self, head: str | None = None, epoch: int = 3) -> None:
         self.head, self.epoch = head, epoch
@@ -98,7 +98,7 @@
 
 
 class System:
-    """The agent's shell with its worker, a head, and the member that its seeds name."""
+    """The agent's shell with its worker, a head, and the member that is its seed."""
 
     def __init__(self, settings: ProcessSettings) -> None:
         port = settings.port_range[0]
@@ -133,7 +133,7 @@
 def agent_settings() -> ProcessSettings:
     port = free_port()
     return ProcessSettings(
-        node="side-1",
+        node="agent-1",
         role="agent",
         ip=HOST,
         zone="z",
@@ -172,11 +172,11 @@
         ("a.0.0.1", RunEnd.DONE),
         ("a.0.0.2", RunEnd.DONE),
     ]
-    assert system.other.hellos  # the head was found by way of it
+    assert system.other.hellos  # the head was found through this member
     assert system.head.hellos[0].address == system.settings.app
 
 
-async def test_lost_session_is_opened_again(system: System) -> None:
+async def test_lost_session_is_reopened(system: System) -> None:
     async with asyncio.timeout(TEST_TIMEOUT_S):
         await system.head.worker.get()
         system.head.desired = orders("a.0.0.0")
@@ -185,7 +185,7 @@
     assert len(system.head.sessions) == 2
 
 
-async def test_heartbeats_are_checked(system: System) -> None:
+async def test_malformed_heartbeats_are_rejected(system: System) -> None:
     def ask(method: str, path: str, body: bytes | None) -> int:
         with urllib3.PoolManager(retries=False) as http:
             return int(http.request(method, f"http://{system.settings.listen.control}{path}", body=body).status)
@@ -197,13 +197,13 @@
     assert await asyncio.to_thread(ask, "DELETE", "/-/instances/i-9", None) == 200
 
 
-async def test_settings_without_a_worker_are_refused() -> None:
+async def test_settings_without_a_worker_are_rejected() -> None:
     settings = ProcessSettings(node="n", role="r", ip=HOST, port_range=(1, 2))
     with pytest.raises(UnfitSettings):
         AgentShell(settings)
 
 
-async def test_stop_without_any_member() -> None:
+async def test_agent_stops_without_any_reachable_member() -> None:
     settings = agent_settings()
     shell = AgentShell(settings)
     running = asyncio.create_task(shell.run())
--- a/tests/test_worker_client.py
+++ b/tests/test_worker_client.py
@@ -1,4 +1,4 @@
-"""The client of a worker against a stand-in on loopback: outcomes, kept connections, lanes and the end."""
+"""Tests of the client of a worker against a fake worker on loopback."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from millethead.execution.client import CallKind, CallOutcome, CallResult, WorkerClient
 from millethead.execution.worker_connection import Call, WorkerConnection
 
-TEST_TIMEOUT_S = 10.0  # a test that waits longer has failed
-SHORT_TIMEOUT_S = 0.1  # a time-out that a test wants to be reached
+TEST_TIMEOUT_S = 10.0  # a test that waits longer fails
+SHORT_TIMEOUT_S = 0.1  # of calls that are expected to time out
 UNLIMITED_S = 60.0
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 
 @dataclass
 class Exchange:
-    """A request as the stand-in has read it, and the connection to answer on."""
+    """A request that the fake worker has read, and the connection for the response."""
 
     sock: socket.socket
     head: bytes
@@ -38,13 +38,13 @@
 
     def reset(self) -> None:
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        self.sock.shutdown(socket.SHUT_RD)  # the stand-in's own read would put the close off
+        self.sock.shutdown(socket.SHUT_RD)  # a pending read of the fake worker would delay the close
         self.sock.close()
 
 
 @dataclass
 class FakeWorker:
-    """A worker that hands each request to the test, or auto_reply by itself while `auto_reply` is set."""
+    """A worker that passes each request to the test and responds by itself while `auto_reply` is set."""
 
     auto_reply: bytes | None = OK
     connections: int = 0
@@ -95,7 +95,7 @@
 
 
 class ClientHarness:
-    """A client whose results come to the test by a queue that stands for the event loop."""
+    """A client whose results are posted to a queue in place of an event loop."""
 
     def __init__(self, address: str, threads: int = 4) -> None:
         self.posted: queue.Queue[Callable[[], None]] = queue.Queue()
@@ -114,7 +114,7 @@
         )
 
     def next_result(self) -> tuple[str, CallResult]:
-        """The next result, with the path that it is for."""
+        """Wait for the next result; return it with the path of its call."""
         self.posted.get(timeout=TEST_TIMEOUT_S)()
         return self.results[-1]
 
@@ -141,11 +141,11 @@
 
 @pytest.fixture
 def one_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    """However busy the machine is, no call waits so long that another connection is opened."""
+    """Disable the opening of another connection for calls that wait, however slow the machine is."""
     monkeypatch.setattr(connection_pool, "MAX_QUEUE_DELAY_S", UNLIMITED_S)
 
 
-def test_request_goes_out_as_asked_and_its_answer_comes_back(worker: FakeWorker, client: ClientHarness) -> None:
+def test_request_is_sent_unchanged_and_its_answer_returned(worker: FakeWorker, client: ClientHarness) -> None:
     result = client.call_and_wait("/-/run-stop")
     assert (result.outcome, result.status, result.body) == (CallOutcome.ANSWERED, 200, b"hi")
     assert result.sent_at <= result.ended_at
@@ -170,7 +170,7 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"x" * 300000, 200, b"x" * 300000),
     ],
 )
-def test_any_answer_is_final_and_keeps_the_connection(
+def test_any_answer_is_final_and_the_connection_is_kept(
     worker: FakeWorker, client: ClientHarness, one_connection: None, answer: bytes, status: int, body: bytes
 ) -> None:
     worker.auto_reply = answer
@@ -180,23 +180,21 @@
     assert worker.connections == 1 and worker.requests.qsize() == 2
 
 
-def test_calls_in_a_row_share_a_connection(worker: FakeWorker, client: ClientHarness, one_connection: None) -> None:
+def test_consecutive_calls_share_a_connection(worker: FakeWorker, client: ClientHarness, one_connection: None) -> None:
     for number in range(20):
         client.call(f"/{number}")
     assert [client.next_result()[0] for _ in range(20)] == [f"/{number}" for number in range(20)]
     assert worker.connections == 1
 
 
-def test_closed_port_tells_that_nothing_was_sent(worker: FakeWorker, client: ClientHarness) -> None:
+def test_closed_port_means_that_nothing_was_sent(worker: FakeWorker, client: ClientHarness) -> None:
     worker.listener.shutdown(socket.SHUT_RDWR)
     worker.listener.close()
     assert client.call_and_wait().outcome is CallOutcome.REFUSED_CONNECTION
     assert client.call_and_wait().outcome is CallOutcome.REFUSED_CONNECTION
 
 
-def test_time_that_is_over_before_a_call_is_begun_tells_that_nothing_was_sent(
-    worker: FakeWorker, client: ClientHarness
-) -> None:
+def test_call_that_expires_in_the_queue_is_not_sent(worker: FakeWorker, client: ClientHarness) -> None:
     client.call_and_wait()
     worker.next_request()
     assert client.call_and_wait(timeout_s=0.0).outcome is CallOutcome.REFUSED_CONNECTION
@@ -204,7 +202,7 @@
     assert worker.connections == 1 and worker.requests.qsize() == 1
 
 
-def test_silence_ends_with_the_time(worker: FakeWorker, client: ClientHarness) -> None:
+def test_call_without_an_answer_times_out(worker: FakeWorker, client: ClientHarness) -> None:
     worker.auto_reply = None
     result = client.call_and_wait(timeout_s=SHORT_TIMEOUT_S)
     assert result.outcome is CallOutcome.NO_ANSWER and result.ended_at > result.sent_at
@@ -213,7 +211,7 @@
 
 
 @pytest.mark.parametrize("answer", [b"junk\r\n\r\n", b"HTTP/1.1 x\r\n\r\n"])
-def test_answer_that_cannot_be_read_is_none(worker: FakeWorker, client: ClientHarness, answer: bytes) -> None:
+def test_malformed_answer_counts_as_no_answer(worker: FakeWorker, client: ClientHarness, answer: bytes) -> None:
     worker.auto_reply = answer
     assert client.call_and_wait().outcome is CallOutcome.NO_ANSWER
 
@@ -221,9 +219,9 @@
 @pytest.mark.parametrize(
     "part", [b"", b"HTTP/1.1 200 OK\r\n", OK[:-1], b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n"]
 )
-@pytest.mark.parametrize("cut", [Exchange.close, Exchange.reset])
-def test_cut_after_the_request_is_no_answer_and_nothing_is_sent_again(
-    worker: FakeWorker, client: ClientHarness, part: bytes, cut: Callable[[Exchange], None]
+@pytest.mark.parametrize("disconnect", [Exchange.close, Exchange.reset])
+def test_connection_closed_after_the_request_is_no_answer_and_no_retry(
+    worker: FakeWorker, client: ClientHarness, part: bytes, disconnect: Callable[[Exchange], None]
 ) -> None:
     client.call_and_wait()
     worker.next_request()
@@ -231,29 +229,29 @@
     client.call()
     request = worker.next_request()
     request.reply(part)
-    cut(request)
+    disconnect(request)
     assert client.next_result()[1].outcome is CallOutcome.NO_ANSWER
     assert worker.connections == 1 and worker.requests.empty()
 
 
-def test_answer_that_stops_midway_ends_with_the_time(worker: FakeWorker, client: ClientHarness) -> None:
+def test_incomplete_answer_times_out(worker: FakeWorker, client: ClientHarness) -> None:
     worker.auto_reply = OK[:-1]
     assert client.call_and_wait(timeout_s=SHORT_TIMEOUT_S).outcome is CallOutcome.NO_ANSWER
 
 
-def test_connection_that_the_worker_closed_meanwhile_is_replaced(worker: FakeWorker, client: ClientHarness) -> None:
+def test_connection_that_the_worker_closed_while_idle_is_replaced(worker: FakeWorker, client: ClientHarness) -> None:
     client.call_and_wait()
     worker.next_request().close()
     assert client.call_and_wait().outcome is CallOutcome.ANSWERED and worker.connections == 2
 
 
-def test_connection_ends_where_the_answer_says_so(worker: FakeWorker, client: ClientHarness) -> None:
+def test_connection_is_closed_after_connection_close(worker: FakeWorker, client: ClientHarness) -> None:
     worker.auto_reply = OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
     assert [client.call_and_wait().body for _ in range(2)] == [b"hi"] * 2
     assert worker.connections == 2
 
 
-def test_call_that_waits_behind_a_slow_one_gets_a_connection(worker: FakeWorker, client: ClientHarness) -> None:
+def test_call_queued_behind_a_slow_one_opens_a_connection(worker: FakeWorker, client: ClientHarness) -> None:
     worker.auto_reply = None
     client.call("/slow")
     slow = worker.next_request()
@@ -264,44 +262,44 @@
     assert client.next_result()[0] == "/slow" and worker.connections == 2
 
 
-def test_connections_are_bounded(worker: FakeWorker, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_number_of_connections_is_limited(worker: FakeWorker, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_pool, "MAX_QUEUE_DELAY_S", 0.0)
     client = ClientHarness(worker.address, threads=2)
     worker.auto_reply = None
     for number in range(4):
         client.call(f"/{number}")
-    begun = [worker.next_request(), worker.next_request()]
+    first_requests = [worker.next_request(), worker.next_request()]
     worker.auto_reply = OK
-    for request in begun:
+    for request in first_requests:
         request.reply(OK)
     assert sorted(client.next_result()[0] for _ in range(4)) == ["/0", "/1", "/2", "/3"]
     assert worker.connections == 2
     client.worker_client.close()
 
 
-def test_hold_keeps_no_order_waiting(worker: FakeWorker, client: ClientHarness, one_connection: None) -> None:
+def test_poll_does_not_delay_orders(worker: FakeWorker, client: ClientHarness, one_connection: None) -> None:
     worker.auto_reply = None
     client.call("/-/hold", kind=CallKind.POLL)
-    hold = worker.next_request()
+    poll = worker.next_request()
     client.call()
     worker.next_request().reply(OK)
     assert client.next_result()[0] == "/-/run-start"
-    hold.reply(OK)
+    poll.reply(OK)
     assert client.next_result()[0] == "/-/hold" and worker.connections == 2
 
 
 def test_close_ends_every_call(worker: FakeWorker, client: ClientHarness, one_connection: None) -> None:
     worker.auto_reply = None
-    client.call("/begun")
+    client.call("/in-flight")
     worker.next_request()
-    client.call("/waits")
+    client.call("/queued")
     client.worker_client.close()
     ended = {path: result.outcome for path, result in (client.next_result(), client.next_result())}
-    assert ended == {"/begun": CallOutcome.NO_ANSWER, "/waits": CallOutcome.REFUSED_CONNECTION}
+    assert ended == {"/in-flight": CallOutcome.NO_ANSWER, "/queued": CallOutcome.REFUSED_CONNECTION}
     assert client.call_and_wait("/after").outcome is CallOutcome.REFUSED_CONNECTION
 
 
-def test_threads_start_with_the_first_call_and_end_with_the_client(worker: FakeWorker) -> None:
+def test_threads_start_on_the_first_call_and_stop_on_close(worker: FakeWorker) -> None:
     def threads() -> list[threading.Thread]:
         return [thread for thread in threading.enumerate() if thread.name == f"worker-call-{worker.address}"]
 
@@ -314,7 +312,7 @@
     assert not thread.is_alive()
 
 
-def test_loop_that_is_closed_ends_no_thread(worker: FakeWorker) -> None:
+def test_closed_event_loop_does_not_stop_the_threads(worker: FakeWorker) -> None:
     posted: queue.Queue[Callable[[], None]] = queue.Queue()
     broken = threading.Event()
 
@@ -332,7 +330,7 @@
     client.close()
 
 
-def test_connection_has_the_options_that_bound_silence(worker: FakeWorker) -> None:
+def test_connection_sets_the_tcp_user_timeout(worker: FakeWorker) -> None:
     connection = WorkerConnection("127.0.0.1", worker.listener.getsockname()[1])
     assert not connection.is_open and not connection.check()
     for seconds, option in ((1.0, 1000), (0.5, 1000), (2.5, 2500)):
@@ -346,6 +344,6 @@
 
 
 @pytest.mark.parametrize("address", ["", "127.0.0.1", ":80", "127.0.0.1:x"])
-def test_address_that_is_none_is_refused(address: str) -> None:
+def test_malformed_address_is_rejected(address: str) -> None:
     with pytest.raises(ValueError):
         WorkerClient(address, lambda call: None)
