--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -11,7 +11,7 @@
 import bottle
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
-from test_agent import Desk
+from test_agent import AgentHarness
 from test_head import NAME, HeadHarness, job, worker
 from test_system_docs import section
 
@@ -128,8 +128,8 @@
 
 
 def test_agent_metrics():
-    desk = Desk()
-    page = read(agent_figures(desk.agent, desk.now))
+    harness = AgentHarness()
+    page = read(agent_figures(harness.agent, harness.now))
     assert page["worker_known",] == 0 and page["lease_left_seconds",] == 0
     assert page["runs", "running"] == 0
 
