--- a/millethead/execution/call_planner.py
+++ b/millethead/execution/call_planner.py
@@ -24,12 +24,12 @@
 
 START_TIMEOUTS_S = (0.15, 0.3, 0.6)  # per attempt; the run is stopped after the last one
 STOP_TIMEOUTS_S = (0.2, 0.4, 0.8, 1.0)
-START_QUEUE_TIMEOUT_S = 1.0  # for which a start may wait before its first attempt
-MAX_CONCURRENT_ORDERS = 3  # starts and stops
+START_QUEUE_TIMEOUT_S = 1.0  # maximum delay of the first attempt to start a run
+MAX_CONCURRENT_ORDERS = 3  # starts and stops in flight
 RENEWAL_THRESHOLD_S = 1.0  # a deadline nearer than this is renewed without waiting for the polling interval
-MIN_RENEWAL_GAIN_MS = 300  # by which such a renewal must extend the deadline
+MIN_RENEWAL_GAIN_MS = 300  # minimum extension of the deadline by such a renewal
 MAX_POLL_WAIT_MS = 2000
-MAX_POLL_WAIT_INTERVALS = 4.0  # longest wait of a poll as a multiple of the shortest polling interval of a run
+MAX_POLL_WAIT_INTERVALS = 4.0  # maximum wait of a poll, as a multiple of the shortest polling interval of a run
 
 
 @dataclass(frozen=True, slots=True)
--- a/millethead/execution/connection_pool.py
+++ b/millethead/execution/connection_pool.py
@@ -18,7 +18,7 @@
 from millethead.execution.worker_connection import Call, CallResult, WorkerConnection, not_sent
 
 log = structlog.get_logger()
-MAX_QUEUE_DELAY_S = 0.05  # for which a call waits for an open connection before another one is opened
+MAX_QUEUE_DELAY_S = 0.05  # a call that waits longer for an open connection gets a new one
 Post = Callable[[Callable[[], None]], None]
 
 
--- a/millethead/execution/desired_runs.py
+++ b/millethead/execution/desired_runs.py
@@ -13,10 +13,10 @@
     If runs of a previous agent process may exist on the instance, the runs of the first complete list may have been
     started already.
     """
-    inherited = desired.whole and not worker.desired_received and not worker.observed_from_start
+    inherited = desired.complete and not worker.desired_received and not worker.observed_from_start
     for order in desired.orders:
         _apply_order(worker, order, inherited, now)
-    if desired.whole:
+    if desired.complete:
         desired_keys = {order.key for order in desired.orders}
         for run in worker.runs:
             run.desired = run.key in desired_keys
--- a/millethead/execution/head_finder.py
+++ b/millethead/execution/head_finder.py
@@ -18,7 +18,7 @@
 
 log = structlog.get_logger()
 CONNECT_TIMEOUT_S = 0.4
-HELLO_TIMEOUT_S = 0.8  # for the answer to a hello
+HELLO_TIMEOUT_S = 0.8  # timeout of the answer to a hello
 ATTEMPT_INTERVAL_S = 0.15  # between the starts of two attempts
 MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.05, 0.3  # between two rounds through all members
 MAX_KNOWN_MEMBERS = 16  # addresses that are remembered in addition to the seeds
--- a/millethead/execution/messages.py
+++ b/millethead/execution/messages.py
@@ -168,12 +168,12 @@
 class DesiredRuns(Record):
     """Runs that the head wants on a worker instance.
 
-    If `whole`, `orders` is the complete list and all other runs have to be stopped. Otherwise `orders` are added and
+    If `complete`, `orders` is the complete list and all other runs have to be stopped. Otherwise `orders` are added and
     `stops` are removed. The complete list is sent again in each new session.
     """
 
     instance: str
-    whole: bool
+    complete: bool
     orders: tuple[RunOrder, ...]
     stops: tuple[RunKey, ...]
 
--- a/millethead/execution/order_answers.py
+++ b/millethead/execution/order_answers.py
@@ -8,7 +8,7 @@
 from millethead.execution.runs import Run, RunState, transition
 from millethead.execution.worker_instance import WorkerInstance
 
-RETRY_PAUSES_S = (0.05, 0.1, 0.2, 0.4, 0.5)  # after an order that was not carried out
+RETRY_PAUSES_S = (0.05, 0.1, 0.2, 0.4, 0.5)  # before each retry of an order that was not carried out
 
 
 def retry_pause(attempts: int) -> float:
--- a/millethead/execution/run_lists.py
+++ b/millethead/execution/run_lists.py
@@ -10,7 +10,7 @@
 from millethead.execution.worker_clock import MS
 from millethead.execution.worker_instance import WorkerInstance
 
-MAX_UNOBSERVED_SHARE = 0.5  # of a run's duration; if its end may be older than this, the duration is too imprecise
+MAX_UNOBSERVED_SHARE = 0.5  # a duration is reported only if the uncertainty of its end is at most this share of it
 PROGRESS_REPORT_INTERVAL_S = 1.0  # between two reports of a run's percentage; a new checkpoint is reported at once
 
 
--- a/millethead/execution/shell.py
+++ b/millethead/execution/shell.py
@@ -35,9 +35,9 @@
 log = structlog.get_logger()
 MS = 1000.0
 MAX_HOLD_MS = 6500.0  # bounds the time until the runs of an unreachable worker have certainly ended
-SHUTDOWN_TIMEOUT_S = 0.3  # for calls in flight and for answers to the worker
-MAX_CONNECTIONS = 64  # from the worker
-FAILED_ROUNDS_PER_RELOAD = 5  # without a session, after which the settings are read again
+SHUTDOWN_TIMEOUT_S = 0.3  # time limit for calls in flight and for answers to the worker
+MAX_CONNECTIONS = 64  # maximum number of connections from the worker
+FAILED_ROUNDS_PER_RELOAD = 5  # failed rounds through the members between two reloads of the settings
 CONTENT_TYPE = {"Content-Type": "application/json"}
 
 
--- a/millethead/execution/worker_instance.py
+++ b/millethead/execution/worker_instance.py
@@ -10,19 +10,19 @@
 from millethead.execution.runs import RunTable
 from millethead.execution.worker_clock import MS, WorkerClock
 
-EXPIRY_MARGIN_S = 0.3  # from the time at which the last deadline has certainly passed to the assumed end of the runs
+EXPIRY_MARGIN_S = 0.3  # time from the latest possible passing of a deadline to the assumed end of the runs
 MIN_RENEWAL_MS = 200  # a deadline nearer than this is not worth a call
 MAX_MISSED_POLLS_FOR_RENEWAL = 1  # after more consecutive missed polls, no poll extends the deadline
-MAX_POLL_WAIT_S = 2.0  # for which a poll may wait for an end
-POLL_ANSWER_TIMEOUT_S = 0.7  # for the answer of a poll, in addition to its wait
-SHORT_POLL_ANSWER_TIMEOUT_S = 0.35  # for the first attempts, of which one may be lost
-MISSED_POLLS_FOR_LONG_TIMEOUT = 2  # consecutive missed polls from which on POLL_ANSWER_TIMEOUT_S applies
-MIN_MISSED_CALLS = 2  # consecutive missed calls that make a worker unresponsive; a single one may be lost on the way
+MAX_POLL_WAIT_S = 2.0  # maximum time for which the worker delays the answer of a poll
+POLL_ANSWER_TIMEOUT_S = 0.7  # timeout of a poll in addition to its wait
+SHORT_POLL_ANSWER_TIMEOUT_S = 0.35  # the same for the first polls in a row, of which one may be lost
+MISSED_POLLS_FOR_LONG_TIMEOUT = 2  # after this many missed polls in a row, POLL_ANSWER_TIMEOUT_S applies
+MIN_MISSED_CALLS = 2  # consecutive missed calls that make a worker unresponsive; single calls get lost
 LOSS_RECOVERY_S = 10.0  # after a missed poll, polls wait for at most MAX_POLL_WAIT_AFTER_LOSS_S during this time
 MAX_POLL_WAIT_AFTER_LOSS_S = 0.25
-RENEWAL_MARGIN_S = 1.5  # that must be left until the deadline when a waiting poll returns
+RENEWAL_MARGIN_S = 1.5  # minimum time left until the deadline when a poll returns
 MIN_POLL_WAIT_S = 0.3
-MAX_MISSED_HEARTBEATS = 3  # plus HEARTBEAT_MARGIN_S, until a worker is suspected that receives no calls
+MAX_MISSED_HEARTBEATS = 3  # a worker without calls is suspected after these heartbeats and HEARTBEAT_MARGIN_S
 HEARTBEAT_MARGIN_S = 1.0
 CLOSED_PORT_DURATION_S = 0.4  # after this time and MIN_REFUSALS refused calls, the worker process counts as gone
 MIN_REFUSALS = 3
--- a/tests/agent_world.py
+++ b/tests/agent_world.py
@@ -42,11 +42,11 @@
 from millethead.rpc.codec import Record, decode_any, encode_any
 
 LEASE_MS = 4000
-COMMIT_S = 0.012  # from a report to its acknowledgement
+COMMIT_S = 0.012  # time from a report to its acknowledgement
 HEARTBEAT_S = 1.0
 START_TIME_S = 1000.0  # initial virtual time
-FAULT_PHASE_S = 40.0  # of the history of a `seeded_system`
-MAX_RECOVERY_S = 230.0  # in which all work must finish after the faults
+FAULT_PHASE_S = 40.0  # duration of the faults in a `seeded_system`
+MAX_RECOVERY_S = 230.0  # time limit for all work to finish after the faults
 
 
 class Clock:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -64,10 +64,10 @@
 
 
 def info(instance: str = "i-1", sequence: int = 1, **changes: object) -> WorkerInfo:
-    whole = WorkerInfo(
+    default = WorkerInfo(
         instance, "service", "10.0.0.1:80", "zone", "v1", 8, False, 0, Resources(4000, 4096, 0), (), -1, sequence
     )
-    return replace(whole, **changes)  # type: ignore[arg-type]
+    return replace(default, **changes)  # type: ignore[arg-type]
 
 
 def order(name: str, run: int = 1, needs: Resources = NEEDS) -> RunOrder:
@@ -116,9 +116,9 @@
         self.execute(self.agent.record_received(record, self.now))
 
     def order_runs(
-        self, *orders: RunOrder, whole: bool = False, instance: str = "i-1", stops: tuple[RunKey, ...] = ()
+        self, *orders: RunOrder, complete: bool = False, instance: str = "i-1", stops: tuple[RunKey, ...] = ()
     ) -> None:
-        self.receive(DesiredRuns(instance, whole, orders, stops))
+        self.receive(DesiredRuns(instance, complete, orders, stops))
 
     def answer(
         self,
@@ -159,7 +159,7 @@
     harness.heartbeat(info("i-0"))
     harness.welcome()
     harness.heartbeat(info("i-1"))
-    harness.order_runs(whole=True)
+    harness.order_runs(complete=True)
     harness.answer(harness.only_call(PollCall))  # of the previous worker instance
     harness.sent.clear()
     return harness
@@ -361,7 +361,7 @@
     harness.pass_time(0.5)
     assert harness.calls == in_flight
     harness.welcome(8)
-    harness.order_runs(order("a.0.0.0"), whole=True)
+    harness.order_runs(order("a.0.0.0"), complete=True)
     call = harness.only_call(StartCall)
     assert isinstance(call, StartCall) and call.fence == 8
 
@@ -403,7 +403,7 @@
     other.heartbeat(info("i-0"))
     other.execute(other.agent.session_opened(7, other.now))
     other.heartbeat(info("i-1"))
-    other.order_runs(order("a.0.0.0"), whole=True)
+    other.order_runs(order("a.0.0.0"), complete=True)
     assert not other.calls
     other.receive(LeaseGrant(int(other.now * 1000), 4000))
     assert other.starts() == ["a.0.0.0"]
@@ -419,7 +419,7 @@
     harness.heartbeat()
     poll = harness.only_call(PollCall)
     assert isinstance(poll, PollCall) and poll.wait_ms == 0
-    harness.order_runs(order("a.0.0.0"), order("b.0.0.0"), whole=True)
+    harness.order_runs(order("a.0.0.0"), order("b.0.0.0"), complete=True)
     assert not harness.starts()
     harness.answer(poll, running=(RunProgress(RunKey("a.0.0.0", 1), "", 30),))
     assert harness.starts() == ["b.0.0.0"]
@@ -431,7 +431,7 @@
     harness.heartbeat()
     harness.answer(harness.only_call(PollCall), running=(RunProgress(RunKey("a.0.0.0", 1), "", 30),))
     assert not any(isinstance(call, StopCall) for call in harness.calls)  # the head has not sent the desired runs
-    harness.order_runs(whole=True)
+    harness.order_runs(complete=True)
     stop = harness.only_call(StopCall)
     assert isinstance(stop, StopCall) and stop.key == RunKey("a.0.0.0", 1)
 
@@ -441,7 +441,7 @@
     harness.welcome()
     harness.heartbeat()
     harness.answer(harness.only_call(PollCall))
-    harness.order_runs(whole=True, stops=(RunKey("a.0.0.0", 1),))
+    harness.order_runs(complete=True, stops=(RunKey("a.0.0.0", 1),))
     assert harness.ends() == []
     harness.answer(harness.only_call(StopCall))
     for _ in range(3):
@@ -454,7 +454,7 @@
 def test_instance_is_learnt_from_the_head_before_its_first_heartbeat() -> None:
     harness = AgentHarness()
     harness.welcome()
-    harness.order_runs(order("a.0.0.0"), whole=True)
+    harness.order_runs(order("a.0.0.0"), complete=True)
     poll = harness.only_call(PollCall)
     assert poll.instance == "i-1"
     harness.answer(poll, running=(RunProgress(RunKey("a.0.0.0", 1), "", 30),))
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -1102,7 +1102,7 @@
     harness.ask("DELETE", OTHER)
     harness.head.agent_disconnected(agent.session)
     again = harness.agent()
-    whole = [desired for desired in again.desired_runs() if desired.whole]
+    whole = [desired for desired in again.desired_runs() if desired.complete]
     assert whole and all(desired.instance == "i-1" for desired in whole)
     assert [order.key for order in whole[-1].orders] == [RunKey(task(), 1)]
     assert whole[-1].stops == (RunKey(task(name=OTHER), 1),)
