--- a/millethead/execution/worker_connection.py
+++ b/millethead/execution/worker_connection.py
@@ -106,8 +106,9 @@
         return self.is_open
 
     def exchange(self, call: Call) -> CallResult:
-        """Execute the call on a checked connection. Never raises: a failure is part of the result and closes the
-        connection.
+        """Execute the call on a checked connection.
+
+        Never raises: a failure is part of the result and closes the connection.
         """
         if time.monotonic() >= call.deadline:
             return not_sent(time.monotonic())
