--- a/millethead/execution/calls.py
+++ b/millethead/execution/calls.py
@@ -1,4 +1,4 @@
-"""Calls of an agent to its worker and what came of them, typed; and their bodies on the wire."""
+"""Typed calls of an agent to its worker and their outcomes, and the encoding of both as JSON over HTTP."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 from millethead.execution.messages import EndEntry, RunEnd, RunKey, RunProgress
 
-START_PATH, STOP_PATH, HOLD_PATH = "/-/run-start", "/-/run-stop", "/-/hold"
-LIFE_HEADER = "X-Expect-Instance"
-MOST_ENDS_LISTED = 500  # by one answer; a list of that length may not be complete
+START_PATH, STOP_PATH, POLL_PATH = "/-/run-start", "/-/run-stop", "/-/hold"
+INSTANCE_HEADER = "X-Expect-Instance"
+MAX_LISTED_ENDS = 500  # in one answer; a list of this length may be incomplete
 _ENDS = {
     "done": RunEnd.DONE,
     "failed": RunEnd.FAILED,
@@ -25,14 +25,17 @@
 
 
 class MalformedAnswer(ValueError):
-    """The worker's answer is not what the protocol says."""
+    """The worker's answer violates the protocol."""
 
 
 @dataclass(frozen=True, slots=True)
-class HoldCall:
-    """Hold what runs until `deadline_ms` on the worker's clock (None: only look), and list runs and ends."""
+class PollCall:
+    """Requests the lists of runs and ends and renews all runs until `deadline_ms` on the worker's clock.
 
-    call: int
+    If `deadline_ms` is None, nothing is renewed. The worker delays its answer by up to `wait_ms` until a run ends.
+    """
+
+    number: int
     instance: str
     timeout_s: float
     fence: int
@@ -43,9 +46,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartCall:
-    """Start a run, held until `deadline_ms` on the worker's clock."""
+    """Starts a run, which the worker keeps until `deadline_ms` on its clock unless the run is renewed."""
 
-    call: int
+    number: int
     instance: str
     timeout_s: float
     fence: int
@@ -57,78 +60,81 @@
 
 @dataclass(frozen=True, slots=True)
 class StopCall:
-    """Stop a run; if it is not there yet, the worker is to reject it."""
+    """Stops a run. If the run does not exist, the worker rejects a later start of it."""
 
-    call: int
+    number: int
     instance: str
     timeout_s: float
     fence: int
     key: RunKey
 
 
-WorkerCall = HoldCall | StartCall | StopCall
+WorkerCall = PollCall | StartCall | StopCall
 
 
-class CallVerdict(Enum):
-    """What came of a call, as far as the agent's decisions go."""
+class CallStatus(Enum):
+    """Outcome of a call as far as the agent has to distinguish it."""
 
-    DONE = "done"  # 200
-    REJECTED = "rejected"  # 409, with a reason
-    WRONG_LIFE = "wrong_life"  # 421
-    UNHEALTHY = "unhealthy"  # 429 or 503: the worker has done nothing
+    DONE = "done"  # HTTP 200
+    REJECTED = "rejected"  # HTTP 409, with a reason
+    WRONG_INSTANCE = "wrong_life"  # HTTP 421
+    UNHEALTHY = "unhealthy"  # HTTP 429 or 503: the worker has done nothing
     INVALID = "invalid"  # another 4xx: the worker has done nothing
     NOT_SENT = "not_sent"  # no connection: certainly not carried out
-    UNCLEAR = "unclear"  # no answer, or none that says: may have been carried out, or may be later
+    UNCLEAR = "unclear"  # no conclusive answer: may have been carried out, or may still be
 
 
 class Rejection(StrEnum):
-    """Why a worker rejects an order."""
+    """Reason for which a worker rejects an order."""
 
-    FENCE = "fence"  # it has seen a higher one
-    OLD = "old"  # that run, or a higher one of the task, has ended or was stopped there
-    LATE = "late"  # the deadline is over
-    ROOM = "room"  # it does not fit
+    FENCE = "fence"  # the worker has seen a higher fencing token
+    OLD = "old"  # this run or a later run of the task has ended or was stopped on the worker
+    LATE = "late"  # the deadline has passed
+    ROOM = "room"  # the worker lacks capacity
     OTHER = ""
 
 
 @dataclass(frozen=True, slots=True)
-class HoldLists:
-    """What a hold answers: the runs that are there, and the ends above the call's `last_seen`, by rising number."""
+class RunLists:
+    """Lists in the answer of a poll: existing runs, and the ends after the call's `last_seen` in ascending order."""
 
     running: tuple[RunProgress, ...]
     ends: tuple[EndEntry, ...]
 
     @property
     def complete(self) -> bool:
-        """Whether no end can have been left out."""
-        return len(self.ends) < MOST_ENDS_LISTED
+        """Whether the worker has certainly not left out an end."""
+        return len(self.ends) < MAX_LISTED_ENDS
 
 
 @dataclass(frozen=True, slots=True)
 class CallAnswer:
-    """The outcome of a call; times are seconds of the agent's steady clock, `clock_ms` is the worker's. `no_listener`:
-    no process listens at the worker's address."""
+    """Outcome of a call.
+
+    `sent_at` and `ended_at` are seconds of the agent's monotonic clock, `clock_ms` is a reading of the worker's clock.
+    `no_listener`: no process listens at the worker's address.
+    """
 
-    result: CallVerdict
+    status: CallStatus
     sent_at: float
     ended_at: float
     rejection: Rejection = Rejection.OTHER
     clock_ms: float | None = None
-    lists: HoldLists | None = None
+    lists: RunLists | None = None
     no_listener: bool = False
 
 
-def path_of(call: WorkerCall) -> str:
-    """The path that the call goes to."""
-    if isinstance(call, HoldCall):
-        return HOLD_PATH
+def request_path(call: WorkerCall) -> str:
+    """Return the HTTP path of the call."""
+    if isinstance(call, PollCall):
+        return POLL_PATH
     return START_PATH if isinstance(call, StartCall) else STOP_PATH
 
 
-def body_of(call: WorkerCall) -> bytes:
-    """The call's body in JSON."""
-    if isinstance(call, HoldCall):
-        return _hold_body(call)
+def encode_request(call: WorkerCall) -> bytes:
+    """Return the JSON body of the call."""
+    if isinstance(call, PollCall):
+        return _encode_poll(call)
     body: dict[str, Any] = {"task": call.key.task, "run": call.key.run}
     if isinstance(call, StartCall):
         body |= {"spec": call.spec, "deadline_ms": call.deadline_ms}
@@ -137,7 +143,7 @@
     return _encode(body | {"fence": call.fence})
 
 
-def _hold_body(call: HoldCall) -> bytes:
+def _encode_poll(call: PollCall) -> bytes:
     body: dict[str, Any] = {"fence": call.fence, "last_seen": call.last_seen}
     if call.deadline_ms is not None:
         body["deadline_ms"] = call.deadline_ms
@@ -147,37 +153,37 @@
 
 
 def read_answer(call: WorkerCall, status: int, body: bytes, sent_at: float, ended_at: float) -> CallAnswer:
-    """The outcome that an HTTP answer stands for. An answer that cannot be read leaves the outcome unclear."""
+    """Decode an HTTP answer to the call. The outcome is UNCLEAR if the answer cannot be decoded."""
     try:
-        return _read(call, status, body, sent_at, ended_at)
+        return _decode_answer(call, status, body, sent_at, ended_at)
     except (msgspec.DecodeError, ValueError, TypeError, KeyError, AttributeError):
-        return CallAnswer(CallVerdict.UNCLEAR, sent_at, ended_at)
+        return CallAnswer(CallStatus.UNCLEAR, sent_at, ended_at)
 
 
-def _read(call: WorkerCall, status: int, body: bytes, sent_at: float, ended_at: float) -> CallAnswer:
-    result = _result(status)
-    if result in (CallVerdict.UNHEALTHY, CallVerdict.INVALID, CallVerdict.WRONG_LIFE, CallVerdict.UNCLEAR):
-        return CallAnswer(result, sent_at, ended_at)
+def _decode_answer(call: WorkerCall, status: int, body: bytes, sent_at: float, ended_at: float) -> CallAnswer:
+    call_status = _call_status(status)
+    if call_status in (CallStatus.UNHEALTHY, CallStatus.INVALID, CallStatus.WRONG_INSTANCE, CallStatus.UNCLEAR):
+        return CallAnswer(call_status, sent_at, ended_at)
     fields = msgspec.json.decode(body)
     clock_ms = float(fields["clock_ms"]) if "clock_ms" in fields else None
-    if result is CallVerdict.REJECTED:
-        return CallAnswer(result, sent_at, ended_at, _rejection(fields.get("reason")), clock_ms)
-    lists = read_lists(fields) if isinstance(call, HoldCall) else None
-    return CallAnswer(result, sent_at, ended_at, Rejection.OTHER, clock_ms, lists)
+    if call_status is CallStatus.REJECTED:
+        return CallAnswer(call_status, sent_at, ended_at, _rejection(fields.get("reason")), clock_ms)
+    lists = read_lists(fields) if isinstance(call, PollCall) else None
+    return CallAnswer(call_status, sent_at, ended_at, Rejection.OTHER, clock_ms, lists)
 
 
-def _result(status: int) -> CallVerdict:
+def _call_status(status: int) -> CallStatus:
     known = {
-        200: CallVerdict.DONE,
-        409: CallVerdict.REJECTED,
-        421: CallVerdict.WRONG_LIFE,
-        408: CallVerdict.UNCLEAR,
-        429: CallVerdict.UNHEALTHY,
-        503: CallVerdict.UNHEALTHY,
+        200: CallStatus.DONE,
+        409: CallStatus.REJECTED,
+        421: CallStatus.WRONG_INSTANCE,
+        408: CallStatus.UNCLEAR,
+        429: CallStatus.UNHEALTHY,
+        503: CallStatus.UNHEALTHY,
     }
     if status in known:
         return known[status]
-    return CallVerdict.INVALID if 400 <= status < 500 else CallVerdict.UNCLEAR
+    return CallStatus.INVALID if 400 <= status < 500 else CallStatus.UNCLEAR
 
 
 def _rejection(reason: object) -> Rejection:
@@ -187,24 +193,24 @@
         return Rejection.OTHER
 
 
-def read_lists(fields: dict[str, Any]) -> HoldLists:
-    """Both lists of a hold's answer; raises MalformedAnswer, ValueError or TypeError."""
+def read_lists(fields: dict[str, Any]) -> RunLists:
+    """Decode the lists in the answer of a poll; raises MalformedAnswer, ValueError or TypeError."""
     running = tuple(_progress(*item) for item in fields.get("running", ()))
     ends = tuple(_end(*item) for item in fields.get("exited", ()))
-    return HoldLists(running, tuple(sorted(ends, key=lambda end: end.number)))
+    return RunLists(running, tuple(sorted(ends, key=lambda end: end.number)))
 
 
-def _progress(task: str, run: int, saved: str = "", percent: float = 0) -> RunProgress:
-    return RunProgress(_key(task, run), saved or "", max(0, min(100, int(percent or 0))))
+def _progress(task: str, run: int, checkpoint: str = "", percent: float = 0) -> RunProgress:
+    return RunProgress(_key(task, run), checkpoint or "", max(0, min(100, int(percent or 0))))
 
 
-def _end(number: int, task: str, run: int, how: str, saved: str = "") -> EndEntry:
+def _end(number: int, task: str, run: int, how: str, checkpoint: str = "") -> EndEntry:
     if number < 1:
-        raise MalformedAnswer("ends are counted from 1")
-    return EndEntry(int(number), _key(task, run), _ENDS.get(how, RunEnd.LOST), saved or "")
+        raise MalformedAnswer("the number of an end is less than 1")
+    return EndEntry(int(number), _key(task, run), _ENDS.get(how, RunEnd.LOST), checkpoint or "")
 
 
 def _key(task: str, run: int) -> RunKey:
     if not isinstance(task, str) or not isinstance(run, int):
-        raise MalformedAnswer("not a task and a run")
+        raise MalformedAnswer("the task is not a string or the run is not an integer")
     return RunKey(task, run)
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -706,7 +706,7 @@
     agent = harness.agent()
     agent.desired_runs()
     assert harness.ask("POST", body=job(*steps))[0] == 200
-    return [order.look_gap_ms for desired in agent.desired_runs() for order in desired.orders]
+    return [order.poll_interval_ms for desired in agent.desired_runs() for order in desired.orders]
 
 
 def test_order_contains_the_poll_interval() -> None:
@@ -1104,7 +1104,7 @@
     harness.ask("DELETE", OTHER)
     harness.head.agent_disconnected(agent.session)
     again = harness.agent()
-    whole = [desired for desired in again.desired_runs() if desired.whole]
+    whole = [desired for desired in again.desired_runs() if desired.complete]
     assert whole and all(desired.instance == "i-1" for desired in whole)
     assert [order.key for order in whole[-1].orders] == [RunKey(task(), 1)]
     assert whole[-1].stops == (RunKey(task(name=OTHER), 1),)
