--- a/millethead/__main__.py
+++ b/millethead/__main__.py
@@ -1,4 +1,4 @@
-"""python -m millethead: the system's commands, or those of the dispatcher in `cli`."""
+"""Entry point of `python -m millethead`: commands of the cluster, or of the stand-alone dispatcher (`cli`)."""
 
 import os
 import sys
@@ -7,24 +7,24 @@
     {"control", "dispatcher", "agent", "demo", "status", "drain", "jobs", "config", "log", "snapshot", "settings"}
 )
 COMPLETION_OPTIONS = frozenset({"--install-completion", "--show-completion"})
-COMPLETION_VARIABLE = "_MILLETHEAD_COMPLETE"  # set by the shell that asks how a line could go on
+COMPLETION_VARIABLE = "_MILLETHEAD_COMPLETE"  # set by the shell when it requests completions
 
 
 def main() -> None:
-    """Hand the arguments to the command line that knows the command; ends the process."""
+    """Runs the command line that defines the command, and ends the process."""
     from millethead.programs.serving import serve_plainly
 
     if serve_plainly(sys.argv[1:]):
         return
     first = sys.argv[1] if len(sys.argv) > 1 else ""
     if first in SYSTEM_COMMANDS | COMPLETION_OPTIONS or COMPLETION_VARIABLE in os.environ:
-        from millethead.programs.command_line import main as system
+        from millethead.programs.command_line import main as cluster_main
 
-        system()
+        cluster_main()
     else:
-        from millethead.cli import main as single
+        from millethead.cli import main as dispatcher_main
 
-        sys.exit(single())
+        sys.exit(dispatcher_main())
 
 
 if __name__ == "__main__":
--- a/millethead/admission/queue.py
+++ b/millethead/admission/queue.py
@@ -18,7 +18,7 @@
 from millethead.admission.retry_times import RetryReservations, ServiceRate
 from millethead.admission.setup import AdmissionSetup
 from millethead.admission.window import AdmissionWindow
-from millethead.console.figures import More
+from millethead.console.figures import ExtraMetric
 from millethead.decide.interface import Settings
 from millethead.exchange.model import Answer, Cancellable, Clock, Final, Order
 from millethead.exchange.records import Record, Records, ended_unsent
@@ -32,7 +32,7 @@
     reject_deferred,
     reject_repeated,
 )
-from millethead.logs import Sparing
+from millethead.logs import RateLimitedLog
 
 ADMIT_INTERVAL_MS = 5.0  # between attempts to admit more jobs while some are queued
 EXPIRY_INTERVAL_MS = 100.0  # between searches for queued jobs that are out of time
@@ -49,7 +49,7 @@
 }
 
 log = structlog.get_logger()
-limited_log = Sparing()
+limited_log = RateLimitedLog()
 
 
 @dataclass(slots=True, eq=False)
@@ -138,7 +138,7 @@
             return Record(job.item.arrived, came=job.item.arrived, state="queued")
         return self.inner.record(origin, job_id) or self._records.get((origin, job_id))
 
-    def figures(self) -> list[More]:
+    def figures(self) -> list[ExtraMetric]:
         """The metrics of this stage."""
         counts = self.counters + self.reservations.by_tenant
         return [
--- a/millethead/cli.py
+++ b/millethead/cli.py
@@ -28,8 +28,8 @@
 
 from millethead import __version__
 from millethead.config import Config, ConfigError, load_config
-from millethead.logs import LEVELS, set_up
-from millethead.operators import Operator, load_operator
+from millethead.logs import LEVELS, configure_logging
+from millethead.operators import OperatorSetup, load_operator
 from millethead.program import Program
 
 
@@ -43,13 +43,13 @@
             raise ConfigError(f"--log-level: one of {', '.join(LEVELS)}, not {args['--log-level']!r}")
         config = load_config()
         path = args["--operator"] or os.environ.get("MILLETHEAD_OPERATOR")
-        operator = load_operator(path, config.names("classes"), config.names("azs")) if path else Operator()
+        operator = load_operator(path, config.names("classes"), config.names("azs")) if path else OperatorSetup()
         if args["check"]:
             print(f"{config.name}: the configuration can be used")
-            for line in in_force(config, operator):
+            for line in effective_settings(config, operator):
                 print(line)
             return 0
-        set_up(args["--log-level"], config.name)
+        configure_logging(args["--log-level"], config.name)
         asyncio.run(_serve(config, operator))
     except ConfigError as error:
         print(f"millethead: {error}", file=sys.stderr)
@@ -57,8 +57,8 @@
     return 0
 
 
-def in_force(config: Config, operator: Operator) -> list[str]:
-    """What an operator's file has set up, with the bounds that hold."""
+def effective_settings(config: Config, operator: OperatorSetup) -> list[str]:
+    """Describes the parts that the operator's file enables, with the limits in force, one line each."""
     lines = []
     if operator.faktory is not None:
         lines.append(
@@ -74,18 +74,18 @@
             f"waiting: {waiting.jobs} jobs, {waiting.bytes} bytes, {waiting.edges} edges, set times up to "
             f"{waiting.horizon_s:.0f} s ahead, {waiting.aged_rate:g} aged starts a second for all"
         )
-        for name, known in zip(config.names("classes"), config.settings.classes, strict=True):
+        for name, job_class in zip(config.names("classes"), config.settings.classes, strict=True):
             bound = waiting.classes.get(name)
             lines.append(
                 f"waiting.classes.{name}: "
                 + (
                     f"answered within {bound.bound_s:g} s of being due, refused ones wait on"
                     if bound is not None
-                    else f"answered within {known.deadline / 1000:g} s of being due, refused ones are not kept"
+                    else f"answered within {job_class.deadline / 1000:g} s of being due, refused ones are not kept"
                 )
             )
     return lines
 
 
-async def _serve(config: Config, operator: Operator) -> None:
+async def _serve(config: Config, operator: OperatorSetup) -> None:
     await Program(config, operator).run()
--- a/millethead/config.py
+++ b/millethead/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a dispatcher: the environment and the configuration file."""
+"""The configuration that the platform gives a dispatcher: environment variables and the configuration file."""
 
 from __future__ import annotations
 
@@ -14,19 +14,24 @@
 from millethead.decide.settings import SettingsError, settings_from
 from millethead.errors import ConfigError as ConfigError
 
-NAMED = ("azs", "kinds", "classes", "tenants")  # what the settings name, and all else knows by its place there
+# Lists of names in the settings. The program refers to their entries by index.
+INDEXED_SETTINGS = ("azs", "kinds", "classes", "tenants")
 
 
-def parse_address(text: Any, what: str) -> tuple[str, int]:
+def parse_address(text: Any, key: str) -> tuple[str, int]:
+    """Parses `host:port`. Raises ConfigError that names `key`."""
     host, _, port = str(text).rpartition(":")
     host = host.strip("[]")
     if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise ConfigError(f"{what}: not an address: {text!r}")
+        raise ConfigError(f"{key}: not an address: {text!r}")
     return host, int(port)
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """The configuration of a dispatcher. `known`: the worker list of the last run, as stored by the platform.
+    `sockets`: limit of open connections. `info`: the settings as read, `settings`: those of the decision module."""
+
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
@@ -35,21 +40,23 @@
     known: Any
     info: dict[str, Any]
     settings: Settings
-    console: tuple[str, int] | None = None  # where the staff call; None: nowhere
+    console: tuple[str, int] | None = None  # address of the operator console; None: no console
 
     def names(self, key: str) -> list[str]:
+        """Returns the names in one of the lists of INDEXED_SETTINGS."""
         return [str(x["name"] if isinstance(x, dict) else x) for x in self.info.get(key) or ()]
 
     @property
-    def whose(self) -> str:
-        """Which dispatcher's state this is. One of the same name and address, but with other classes, tenants, zones or
-        kinds, is another: jobs and workers are kept by their numbers."""
-        names = json.dumps([self.names(key) for key in NAMED])
+    def state_owner(self) -> str:
+        """Identifies the dispatcher that owns stored state. A dispatcher of the same name and address with other
+        classes, tenants, zones or kinds has another identity, since the state refers to these by index."""
+        names = json.dumps([self.names(key) for key in INDEXED_SETTINGS])
         return f"{self.name} at {self.listen[0]}:{self.listen[1]}, {crc32(names.encode()):08x}"
 
 
 def load_config(env: Mapping[str, str] = os.environ) -> Config:
-    """The file that BALANCER_CONFIG names; the other variables stand in for what it leaves out."""
+    """Reads the file that BALANCER_CONFIG names. Other environment variables replace what the file omits. Raises
+    ConfigError."""
     path = env.get("BALANCER_CONFIG")
     if not path:
         raise ConfigError("BALANCER_CONFIG is not set")
@@ -61,11 +68,11 @@
         raise ConfigError(f"{path}: not a JSON object")
     try:
         info, settings = settings_from(json.dumps(raw.get("settings")).encode())
-        settings = replace(settings, watch_needed=True)  # on sockets pushed lists come on a watch as well
+        settings = replace(settings, watch_needed=True)  # pushed lists arrive on a watch too
         seed = int(str(raw.get("seed") or "0"), 16)
         sockets = int((raw.get("limits") or {}).get("sockets") or 1024)
         console = raw.get("console") or env.get("BALANCER_CONSOLE")
-        made = Config(
+        config = Config(
             name=str(raw.get("name") or env.get("BALANCER_NAME") or "dispatcher"),
             listen=parse_address(raw.get("listen") or env.get("BALANCER_LISTEN"), "listen"),
             discovery=parse_address(raw.get("discovery") or env.get("BALANCER_DISCOVERY"), "discovery"),
@@ -76,9 +83,9 @@
             settings=settings,
             console=parse_address(console, "console") if console else None,
         )
-        for key in NAMED:  # on the wire of the simulator numbers will do, here all goes by names
-            made.names(key)
-        return made
+        for key in INDEXED_SETTINGS:  # raises KeyError if an entry has no name; only the simulator accepts that
+            config.names(key)
+        return config
     except KeyError as error:
         raise ConfigError(f"{path}: settings lack {error}") from None
     except (SettingsError, ValueError, TypeError, AttributeError, OverflowError) as error:
--- a/millethead/console/__init__.py
+++ b/millethead/console/__init__.py
@@ -1,1 +1,2 @@
-"""The second address, for the staff: readiness, figures, and workers out by hand. Off without an address."""
+"""The operator console, an HTTP API on an address of its own: readiness, metrics, and manual exclusion of workers.
+Disabled unless the address is configured."""
--- a/millethead/console/calls.py
+++ b/millethead/console/calls.py
@@ -1,4 +1,4 @@
-"""What each call of the staff means. No input or output here but the desk's, which the program hands in."""
+"""Request handling of the operator console. All effects go through the OperatorActions that the program provides."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, Protocol
 
-from millethead.console.figures import CONTENT_TYPE, Figures, render
-from millethead.console.store import NAME
+from millethead.console.figures import CONTENT_TYPE, MetricsSnapshot, render
+from millethead.console.store import MAX_NAME_CHARACTERS
 from millethead.net.accept import Reply
 from millethead.net.parse import Request
 
@@ -17,85 +17,86 @@
     "/ops/booking-workers/down": "POST",
     "/ops/booking-workers/up": "POST",
 }
-WANTED = 'a JSON object with the id of a booking worker is wanted: {"member":"ID"}'
+MEMBER_REQUIRED = 'a JSON object with the id of a booking worker is wanted: {"member":"ID"}'
 
 
-Part = Callable[[Request], Awaitable[Reply]]
+CallHandler = Callable[[Request], Awaitable[Reply]]
 
 
-class UnknownMember(Exception):
+class UnknownWorker(Exception):
     """No booking worker has this id."""
 
 
-class NotKept(Exception):
-    """The call could not be carried out; the text says why in one line."""
+class ActionFailed(Exception):
+    """The action could not be carried out. The text gives the reason in one line."""
 
 
-class Desk(Protocol):
-    """What the program does for its staff."""
+class OperatorActions(Protocol):
+    """What operators can read and do through the console."""
 
     @property
-    def takes(self) -> str:
-        """Why no clients are taken; empty when they are."""
+    def not_ready_reason(self) -> str:
+        """Why the program does not accept clients. Empty if it does."""
 
-    def figures(self) -> Figures: ...
+    def metrics(self) -> MetricsSnapshot:
+        """Returns the current metrics."""
 
     def take_out(self, member: str) -> None:
-        """Leave a booking worker out; raises UnknownMember or NotKept."""
+        """Excludes a booking worker from new jobs. Raises UnknownWorker or ActionFailed."""
 
     def put_back(self, member: str) -> None:
-        """Use it again; raises UnknownMember or NotKept."""
+        """Ends the exclusion. Raises UnknownWorker or ActionFailed."""
 
 
 class Calls:
-    """`parts` are the calls of parts that an operator has set up: path -> (method, what answers it)."""
+    """Routes requests of the console. `handlers` are the calls of optional parts: path -> (method, handler)."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk, self.parts = desk, dict[str, tuple[str, Part]]()
+    def __init__(self, actions: OperatorActions) -> None:
+        self.actions, self.handlers = actions, dict[str, tuple[str, CallHandler]]()
 
     async def reply(self, request: Request) -> Reply:
-        """The answer to one call, whoever's it is."""
-        method, part = self.parts.get(request.path, ("", None))
-        if part is not None and request.method == method:
-            return await part(request)
+        """Returns the reply to one request, from an optional part or from `answer`."""
+        method, handler = self.handlers.get(request.path, ("", None))
+        if handler is not None and request.method == method:
+            return await handler(request)
         return self.answer(request)
 
     def answer(self, request: Request) -> Reply:
-        """The answer to one call: 2xx for yes; a 4xx or 5xx with one line that says what was wanted."""
+        """Returns the reply to one of the calls in METHODS, or an error reply of one line."""
         path = request.path
-        method = METHODS.get(path) or self.parts.get(path, (None,))[0]
+        method = METHODS.get(path) or self.handlers.get(path, (None,))[0]
         if method is None:
-            return _no(404, "no such call; there are " + ", ".join((*METHODS, *self.parts)))
+            return _error(404, "no such call; there are " + ", ".join((*METHODS, *self.handlers)))
         if request.method != method:
             return Reply(405, f"{method} is wanted here\n".encode(), {"Allow": method})
         if path == "/ops/readiness":
-            why = self.desk.takes
-            return _no(503, f"no: {why}") if why else Reply(200, b"yes\n")
+            why = self.actions.not_ready_reason
+            return _error(503, f"no: {why}") if why else Reply(200, b"yes\n")
         if path == "/ops/stats":
-            return Reply(200, render(self.desk.figures()), {"Content-Type": CONTENT_TYPE})
+            return Reply(200, render(self.actions.metrics()), {"Content-Type": CONTENT_TYPE})
         member = read_member(request.body)
         if member is None:
-            return _no(400, WANTED)
+            return _error(400, MEMBER_REQUIRED)
         try:
             if path == "/ops/booking-workers/down":
-                self.desk.take_out(member)
+                self.actions.take_out(member)
                 return Reply(200, f"{member} is left out until it is called back\n".encode())
-            self.desk.put_back(member)
+            self.actions.put_back(member)
             return Reply(200, f"{member} is used again\n".encode())
-        except UnknownMember:
-            return _no(404, "no booking worker has this id: see `name` in discovery's list")
-        except NotKept as why:
-            return _no(503, str(why))
+        except UnknownWorker:
+            return _error(404, "no booking worker has this id: see `name` in discovery's list")
+        except ActionFailed as why:
+            return _error(503, str(why))
 
 
 def read_member(body: bytes) -> str | None:
-    """The id that a call names; None if it names none that could be one."""
+    """Returns the worker id in the body of a call, or None if there is no valid one."""
     try:
         raw: Any = json.loads(body)
     except (ValueError, RecursionError):
         return None
     member = raw.get("member") if isinstance(raw, dict) else None
-    usable = isinstance(member, str) and 0 < len(member) <= NAME and member.isprintable()
+    usable = isinstance(member, str) and 0 < len(member) <= MAX_NAME_CHARACTERS and member.isprintable()
     return member if usable else None
 
 
@@ -103,5 +104,5 @@
     return Reply(status, json.dumps(body).encode() + b"\n", {"Content-Type": "application/json"})
 
 
-def _no(status: int, text: str) -> Reply:
+def _error(status: int, text: str) -> Reply:
     return Reply(status, text.encode() + b"\n")
--- a/millethead/console/store.py
+++ b/millethead/console/store.py
@@ -1,4 +1,4 @@
-"""Workers out by hand, kept in a file for the next process of the same dispatcher."""
+"""Stores the workers that operators have excluded, for the next process of the same dispatcher."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 import structlog
 
-from millethead.files import plain_name, write_whole
+from millethead.files import safe_file_name, write_atomically
 
 log = structlog.get_logger()
 VERSION = 1
-MOST, BYTES = 4096, 1 << 20  # workers out, and bytes of the file
-NAME = 256  # characters of an id
+MAX_WORKERS, MAX_FILE_BYTES = 4096, 1 << 20
+MAX_NAME_CHARACTERS = 256  # of a worker id
 
 
-class OutFile:
-    """The file, which is written whole or not at all. `whose` says which dispatcher's it is: a file of another one
-    is not used."""
+class ExcludedWorkersFile:
+    """A file with the ids of the excluded workers, replaced atomically. `owner` identifies the dispatcher: a file of
+    another owner is ignored."""
 
-    def __init__(self, folder: Path, name: str, whose: str) -> None:
-        self.path = folder / f"millethead-{plain_name(name)}.out"
-        self.whose = whose
+    def __init__(self, folder: Path, name: str, owner: str) -> None:
+        self.path = folder / f"millethead-{safe_file_name(name)}.out"
+        self.owner = owner
 
     def load(self) -> list[str]:
-        """The ids out; none where there is no file, or none that can be used (one log line says so)."""
+        """Returns the stored ids. Returns none if there is no file, or if it is invalid, which is logged."""
         try:
             with self.path.open("rb") as file:
-                raw = file.read(BYTES + 1)
+                raw = file.read(MAX_FILE_BYTES + 1)
         except FileNotFoundError:
             return []
         except OSError as error:
@@ -36,24 +36,24 @@
             return []
         try:
             text = json.loads(raw)
-            if len(raw) > BYTES or text["version"] != VERSION or text["whose"] != self.whose:
-                raise ValueError("it is too large, of another version or of another dispatcher")
+            if len(raw) > MAX_FILE_BYTES or text["version"] != VERSION or text["whose"] != self.owner:
+                raise ValueError("the file is too large, of another version or of another dispatcher")
             out = text["out"]
             if (
                 not isinstance(out, list)
-                or len(out) > MOST
-                or not all(isinstance(name, str) and 0 < len(name) <= NAME for name in out)
+                or len(out) > MAX_WORKERS
+                or not all(isinstance(name, str) and 0 < len(name) <= MAX_NAME_CHARACTERS for name in out)
             ):
-                raise ValueError("its list cannot be meant")
+                raise ValueError("the list of workers is invalid")
         except (ValueError, KeyError, TypeError, RecursionError) as error:
             log.warning("out_file_unusable", why=repr(error))
             return []
         return out
 
     def store(self, out: Iterable[str]) -> None:
-        """Write the ids; raises OSError, and then the old file stands."""
+        """Replaces the stored ids. Raises OSError, and leaves the old file in place then."""
         names = sorted(out)
-        if len(names) > MOST:
-            raise OSError(f"more than {MOST} booking workers are out")
-        text = json.dumps({"version": VERSION, "whose": self.whose, "out": names}).encode()
-        write_whole(self.path, text)
+        if len(names) > MAX_WORKERS:
+            raise OSError(f"more than {MAX_WORKERS} booking workers are out")
+        text = json.dumps({"version": VERSION, "whose": self.owner, "out": names}).encode()
+        write_atomically(self.path, text)
--- a/millethead/errors.py
+++ b/millethead/errors.py
@@ -1,7 +1,7 @@
-"""Errors that several parts raise and catch; importing them costs nothing else."""
+"""Exceptions shared by several parts. This module has no imports, so that it loads fast."""
 
 from __future__ import annotations
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text says why in one line."""
+    """The configuration is invalid. The text gives the reason in one line."""
--- a/millethead/exchange/stage.py
+++ b/millethead/exchange/stage.py
@@ -14,9 +14,9 @@
 from millethead.decide.interface import Settings
 from millethead.exchange.model import Answer, Final, Order
 from millethead.exchange.records import Record
-from millethead.logs import Sparing
+from millethead.logs import RateLimitedLog
 
-limited_log = Sparing()
+limited_log = RateLimitedLog()
 Reply = Callable[[Answer], None]
 Finished = Callable[[Order, Answer | None, float, float], None]  # (order, answer, came, ended), ms
 
--- a/millethead/files.py
+++ b/millethead/files.py
@@ -1,4 +1,4 @@
-"""Small files that must be there whole or not at all."""
+"""Atomic replacement of small files."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from pathlib import Path
 
 
-def plain_name(name: str) -> str:
-    """A dispatcher's name as a part of a file's name."""
+def safe_file_name(name: str) -> str:
+    """Returns `name`, the name of a dispatcher, with characters that are unsafe in file names replaced."""
     return re.sub(r"[^A-Za-z0-9-]", "_", name)[:64]
 
 
-def write_whole(path: Path, data: bytes) -> None:
-    """Put a new file in the old one's place; raises OSError, and then the old one stands."""
+def write_atomically(path: Path, data: bytes) -> None:
+    """Replaces the file at `path` with a new one. Raises OSError, and leaves the old file in place then."""
     new = path.with_name(f"{path.name}.{os.getpid()}")
     try:
         with new.open("wb") as file:
--- a/millethead/flows/setup.py
+++ b/millethead/flows/setup.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta
 
-from millethead.tables import Local, Table
+from millethead.tables import LoopbackAddress, Table
 
 
 class FlowSetup(Table, frozen=True, kw_only=True):
@@ -18,7 +18,7 @@
     queue: the maximum number of queued records.
     """
 
-    collector: Local
+    collector: LoopbackAddress
     domain: Annotated[int, Meta(ge=0, le=2**32 - 1)] = 1
     template_s: Annotated[float, Meta(ge=1, le=3600)] = 60.0
     queue: Annotated[int, Meta(ge=1, le=65536)] = 1024
--- a/millethead/frontends/faktory/session.py
+++ b/millethead/frontends/faktory/session.py
@@ -20,9 +20,9 @@
 from millethead.frontends.faktory import resp
 from millethead.frontends.faktory.jobs import ORIGIN, Jobs, read_jid
 from millethead.frontends.faktory.workers import FaktoryWorkers, Process
-from millethead.net.accept import FAULTS, FIRST_TIME, READ_TIME, Server
-from millethead.net.answer import WRITE_TIME
-from millethead.net.connection import Connection, within
+from millethead.net.accept import FIRST_REQUEST_TIMEOUT_S, MAX_CONSECUTIVE_ERRORS, REQUEST_TIMEOUT_S, Server
+from millethead.net.answer import WRITE_TIMEOUT_S
+from millethead.net.connection import Connection, with_timeout
 
 log = structlog.get_logger()
 HASH_ROUNDS = 4096  # iterations of the password hash
@@ -47,7 +47,7 @@
         super().__init__(limit)
         self.stage, self.jobs, self.workers = stage, jobs, workers
 
-    async def talk(self, conn: Connection) -> None:
+    async def handle_connection(self, conn: Connection) -> None:
         session = Session(self, conn)
         try:
             await session.run()
@@ -78,9 +78,9 @@
     async def run(self) -> None:
         if not await self.greet():
             return
-        self.server.work(self.conn)  # exempts it from closing as idle: a worker pauses for long between fetches
+        self.server.mark_busy(self.conn)  # exempts it from closing as idle: a worker pauses for long between fetches
         faults = 0
-        while faults < FAULTS:
+        while faults < MAX_CONSECUTIVE_ERRORS:
             line = await self.read(IDLE_TIMEOUT_S)
             if line is None:
                 await self.write(resp.error("a line that is too long or does not end in CR LF"))
@@ -108,14 +108,14 @@
     async def read(self, idle: float) -> bytes | None:
         """Reads a line, which must begin within `idle` s; None if it is too long."""
         if not len(self.conn.buffer):
-            await within(idle, self.conn.fill())
+            await with_timeout(idle, self.conn.fill())
         try:
-            return await within(READ_TIME, self.conn.line(resp.MAX_LINE_BYTES))
+            return await with_timeout(REQUEST_TIMEOUT_S, self.conn.line(resp.MAX_LINE_BYTES))
         except OverflowError:
             return None
 
     async def write(self, data: bytes) -> None:
-        await within(WRITE_TIME, self.conn.write(data))
+        await with_timeout(WRITE_TIMEOUT_S, self.conn.write(data))
 
     # ---- handshake -----------------------------------------------------------------------------------
 
@@ -127,7 +127,7 @@
         if password:
             greeting |= {"s": salt, "i": HASH_ROUNDS}
         await self.write(b"+HI " + resp.bulk(greeting).split(b"\r\n")[1] + b"\r\n")
-        line = await within(FIRST_TIME, self.read(FIRST_TIME))
+        line = await with_timeout(FIRST_REQUEST_TIMEOUT_S, self.read(FIRST_REQUEST_TIMEOUT_S))
         try:
             verb, rest = resp.split_command(line or b"")
             if verb != "HELLO":
--- a/millethead/frontends/faktory/setup.py
+++ b/millethead/frontends/faktory/setup.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from millethead.config import ConfigError
-from millethead.tables import Local, Table, read_table
+from millethead.tables import LoopbackAddress, Table, read_table
 
 Name = Annotated[str, Meta(min_length=1)]
 
@@ -24,7 +24,7 @@
 class _Faktory(Table, frozen=True, kw_only=True):
     """The table as it is written in the file."""
 
-    listen: Local
+    listen: LoopbackAddress
     password_file: Name | None = None
     classes: dict[str, _ClassNames] = {}
     zone: str | None = None
--- a/millethead/frontends/faktory/workers.py
+++ b/millethead/frontends/faktory/workers.py
@@ -15,7 +15,7 @@
 from millethead.exchange.model import Attempt, Cancellable, Worker, WorkerListing
 from millethead.frontends.faktory import resp
 from millethead.frontends.faktory.jobs import Jobs
-from millethead.net.connection import Closed, Connection, Late, within
+from millethead.net.connection import Closed, Connection, PeerTimeout, with_timeout
 
 log = structlog.get_logger()
 WRITE_TIMEOUT_S = 5.0
@@ -76,7 +76,7 @@
             return
         while lane.fetches:
             waiting = lane.fetches.popleft()
-            if not waiting.reply.done() and waiting.conn.quiet():
+            if not waiting.reply.done() and waiting.conn.has_no_input():
                 process.running[attempt.order.id] = attempt
                 # when the reservation expires the attempt ends, although the worker may still run the job
                 self._timers[attempt] = self.exchange.clock.later(
@@ -86,7 +86,7 @@
                 data = resp.bulk(self.jobs.fetched(attempt, self.exchange.clock.now()))
                 # the write starts here, so that it precedes the session's next reply
                 IOLoop.current().spawn_callback(
-                    self._finish_write, process, attempt, waiting.conn, waiting.conn.begin(data)
+                    self._finish_write, process, attempt, waiting.conn, waiting.conn.start_write(data)
                 )
                 return
         self.exchange.ended(attempt, Outcome.FULL, report=self._report(lane))
@@ -95,8 +95,8 @@
         self, process: Process, attempt: Attempt, conn: Connection, written: Awaitable[None]
     ) -> None:
         try:
-            await within(WRITE_TIMEOUT_S, written)
-        except (Closed, Late):
+            await with_timeout(WRITE_TIMEOUT_S, written)
+        except (Closed, PeerTimeout):
             conn.close()
             self._end(process, attempt, Outcome.CONNECT_FAILED)  # the worker did not receive the complete job
             return
--- a/millethead/frontends/http.py
+++ b/millethead/frontends/http.py
@@ -13,12 +13,12 @@
 from millethead.frontends.times import read_time
 from millethead.net.accept import Reply
 from millethead.net.connection import Connection
-from millethead.net.exchange import answer_of, exchange_job
-from millethead.net.news import Take, read_news
+from millethead.net.exchange import submit_job, wait_for_answer
+from millethead.net.news import CallbackHandler, process_callback
 from millethead.net.parse import BadMessage, Request
 
 if TYPE_CHECKING:
-    from millethead.console.figures import More
+    from millethead.console.figures import ExtraMetric
 
 DEFAULT_RETRY_AFTER_MS = 1000.0  # where the answer gives no estimate
 _ID = re.compile(r"[!-.0-~]{1,128}")  # printable, and no slash: it becomes part of a path
@@ -37,7 +37,7 @@
         stage: Stage,
         classes: list[str],
         tenants: list[str],
-        take: Take,
+        take: CallbackHandler,
         report: Callable[[str], api.Report | None],
         client: str = "",
     ) -> None:
@@ -65,7 +65,7 @@
             if request.path == "/_jobs/news":
                 return await self.news(request.body)
             order = self.order(request, conn)
-            answer = await exchange_job(self.stage, conn, order)
+            answer = await submit_job(self.stage, conn, order)
         except BadMessage as bad:
             return Reply(bad.status, f"{bad}\n".encode())
         except InvalidOrder as why:
@@ -74,26 +74,26 @@
 
     async def news(self, body: bytes) -> Reply:
         """Handles a worker's callback, which may belong to a job of this process's predecessor or successor."""
-        if read_news(body, self.report, self.take, last=self.elsewhere is None) or self.elsewhere is None:
+        if process_callback(body, self.report, self.take, last=self.elsewhere is None) or self.elsewhere is None:
             return Reply(200)
         found = await self.elsewhere(body)
         if found is None:  # no answer in time: the worker has to retry
             return Reply(503, b"its owner cannot be reached\n")
         if not found:  # the job may have been handed over to this process in the meantime
-            read_news(body, self.report, self.take)
+            process_callback(body, self.report, self.take)
         return Reply(200)
 
     async def resume(self, conn: Connection, number: int, future: asyncio.Future[Answer | None]) -> Reply | None:
         """Returns the reply to a request that the predecessor had read."""
-        return self._reply(conn, await answer_of(self.stage, conn, number, future))
+        return self._reply(conn, await wait_for_answer(self.stage, conn, number, future))
 
     def _reply(self, conn: Connection, answer: Answer | None) -> Reply | None:
         if answer is None:
-            self.left += not conn.handed
+            self.left += not conn.handed_over
             return None
         return reply_for(answer)
 
-    def figures(self) -> list[More]:
+    def figures(self) -> list[ExtraMetric]:
         """The metrics of this front end."""
         return [("left_total", "counter", "Jobs whose client left before their answer.", [("", "", self.left)])]
 
--- a/millethead/logs.py
+++ b/millethead/logs.py
@@ -1,4 +1,4 @@
-"""Log lines: structlog, one logfmt line an event, to standard output."""
+"""Logging with structlog: one logfmt line per event, to standard output."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
-def set_up(level: str, name: str = "") -> None:
+def configure_logging(level: str, name: str = "") -> None:
+    """Configures structlog and the standard library's logging. `name`: logged with each event as `node`."""
     processors: list[structlog.typing.Processor] = [
         structlog.contextvars.merge_contextvars,
         structlog.processors.add_log_level,
@@ -27,30 +28,33 @@
     )
     if name:
         structlog.contextvars.bind_contextvars(node=name)
-    # what Tornado and asyncio say goes the same way
-    logging.basicConfig(handlers=[_Relay()], level=logging.WARNING, force=True)
+    # forward log records of Tornado and asyncio
+    logging.basicConfig(handlers=[_StructlogHandler()], level=logging.WARNING, force=True)
 
 
-class Sparing:
-    """Warnings that bad clients can cause at any rate: so many a second; a later one counts the rest."""
+class RateLimitedLog:
+    """Logs a limited number of warnings per second, for events that faulty clients can cause at any rate. The next
+    warning reports how many were suppressed."""
 
-    def __init__(self, most: int = 20) -> None:
-        self.most, self.second, self.said, self.more = most, 0, 0, 0
+    def __init__(self, max_per_second: int = 20) -> None:
+        self.max_per_second, self.second, self.written, self.suppressed = max_per_second, 0, 0, 0
 
     def warning(self, event: str, **values: object) -> None:
         second = int(time.monotonic())
         if second != self.second:
-            self.second, self.said = second, 0
-        if self.said >= self.most:
-            self.more += 1
+            self.second, self.written = second, 0
+        if self.written >= self.max_per_second:
+            self.suppressed += 1
             return
-        if self.more:
-            values["left_out"] = self.more  # lines like this one, since the last that was written
-        self.said, self.more = self.said + 1, 0
+        if self.suppressed:
+            values["left_out"] = self.suppressed  # warnings of this logger since the last one that was written
+        self.written, self.suppressed = self.written + 1, 0
         structlog.get_logger().warning(event, **values)
 
 
-class _Relay(logging.Handler):
+class _StructlogHandler(logging.Handler):
+    """Forwards records of the standard library's logging to structlog."""
+
     def emit(self, record: logging.LogRecord) -> None:
         structlog.get_logger().log(
             record.levelno, "library_says", logger=record.name, text=record.getMessage(), exc_info=record.exc_info
--- a/millethead/members/calls.py
+++ b/millethead/members/calls.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from millethead.console.calls import Part, json_reply
+from millethead.console.calls import CallHandler, json_reply
 from millethead.members.shell import Members
 from millethead.net.accept import Reply
 from millethead.net.parse import Request
 
 
-def members_call(members: Members) -> Part:
+def members_call(members: Members) -> CallHandler:
     async def page(request: Request) -> Reply:
         return json_reply(200, members.page())
 
--- a/millethead/members/setup.py
+++ b/millethead/members/setup.py
@@ -8,7 +8,7 @@
 from msgspec import Meta
 
 from millethead.config import ConfigError
-from millethead.tables import Local, Table, read_table
+from millethead.tables import LoopbackAddress, Table, read_table
 
 LEAST_KEY = 16  # bytes
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[\x21-\x7e]+$")]
@@ -22,10 +22,10 @@
     that each own an equal part of every fleet-wide limit; without them shares are not used. Times in ms: `period`
     between probes, `timeout` of a direct probe, `window` before a smaller fleet is believed, `lease` of a share."""
 
-    listen: Local
+    listen: LoopbackAddress
     key_file: str
-    advertise: Local | None = None
-    seeds: Annotated[list[Local], Meta(max_length=64)] = []
+    advertise: LoopbackAddress | None = None
+    seeds: Annotated[list[LoopbackAddress], Meta(max_length=64)] = []
     fleet: Name = "millethead"
     serves: Annotated[str, Meta(max_length=64)] = ""
     version: Annotated[str, Meta(max_length=64)] = ""
--- a/millethead/members/shell.py
+++ b/millethead/members/shell.py
@@ -14,8 +14,8 @@
 
 from millethead import __version__
 from millethead.config import ConfigError
-from millethead.console.figures import More
-from millethead.logs import Sparing
+from millethead.console.figures import ExtraMetric
+from millethead.logs import RateLimitedLog
 from millethead.members.messages import Record, State
 from millethead.members.offices import Office
 from millethead.members.peers import Settings
@@ -25,7 +25,7 @@
 from millethead.members.wire import CAUSES, Dropped, Wire
 
 log = structlog.get_logger("members")
-sparing_log = Sparing(2)
+rate_limited_log = RateLimitedLog(2)
 TICK = 0.05  # s between looks at the time, at most
 
 
@@ -123,7 +123,7 @@
             message = self.wire.open(data)
         except Dropped as cause:
             self.dropped[str(cause)] += 1
-            sparing_log.warning("member_message_dropped", cause=str(cause), peer=f"{addr[0]}:{addr[1]}")
+            rate_limited_log.warning("member_message_dropped", cause=str(cause), peer=f"{addr[0]}:{addr[1]}")
             return
         self._send(self.swim.receive(time.monotonic(), message))
         self._report()
@@ -242,7 +242,7 @@
             ],
         }
 
-    def figures(self) -> list[More]:
+    def figures(self) -> list[ExtraMetric]:
         """(name, type, help, [(label, value of it, count)]) of each figure, for the staff's page."""
         now, swim = time.monotonic(), self.swim
         states = Counter(State(p.state).name.lower() for p in swim.peers.values())
--- a/millethead/net/__init__.py
+++ b/millethead/net/__init__.py
@@ -1,1 +1,2 @@
-"""HTTP/1.1 over Tornado's IOStream, in modules by stage of a request."""
+"""HTTP/1.1 over Tornado's IOStream: listeners, connections, message parsing, the worker connection pool, and clients
+of the workers and of the discovery service."""
--- a/millethead/net/accept.py
+++ b/millethead/net/accept.py
@@ -1,4 +1,4 @@
-"""Client side: connections in, requests read one at a time, each given to the front and answered."""
+"""HTTP server: accepts client connections, reads one request at a time, and sends the reply of the request handler."""
 
 from __future__ import annotations
 
@@ -14,40 +14,43 @@
 from tornado.iostream import IOStream
 from tornado.tcpserver import TCPServer
 
-from millethead.logs import Sparing
+from millethead.logs import RateLimitedLog
 from millethead.net.answer import format_answer, send_answer
 from millethead.net.connection import (
-    LINGER,
     LINGER_BYTES,
-    WRITE_BUFFER,
+    LINGER_S,
+    WRITE_BUFFER_BYTES,
     Closed,
     Connection,
-    Interrupted,
-    Late,
-    within,
+    PeerTimeout,
+    ReadInterrupted,
+    with_timeout,
 )
 from millethead.net.listener import drop_connection_requests
 from millethead.net.parse import BadMessage, Request, parse_request, read_body, read_head
-from millethead.net.pool import READ_BUFFER
+from millethead.net.pool import READ_BUFFER_BYTES
 
 log = structlog.get_logger()
-sparing_log = Sparing()
-FIRST_TIME = 2.5  # s from connecting to the end of the first request: usual clients connect to send one
-READ_TIME = 2.5  # s for a later request from its first byte to its last
-IDLE_TIME = 120.0  # s between requests, on a connection that has brought a job
-ASKED_TIME = 10.0  # s on one that has asked for something else only
-FAULTS = 16  # answers of 4xx or 5xx in a row after which a connection ends: a bad client asks again at once
-BACKLOG = 512  # connections in a listener's queue
-BEYOND = 8  # connections taken in one turn of the loop: over the limit until room is made or they are turned away
-ACCEPT_PAUSE = 0.1  # s without accepting once the system has no descriptor left
-EXHAUSTED = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
-POLL = 0.01  # s
-HANDSHAKE_TIME = 0.01  # s for a connection to be established whose request was taken before a listener closes
-LEAVING, FRESH, ASKED, USUAL = range(4)  # who makes room first: the lower, and among equals the longest there
+rate_limited_log = RateLimitedLog()
+FIRST_REQUEST_TIMEOUT_S = 2.5  # from connecting to the end of the first request; clients connect to send one
+REQUEST_TIMEOUT_S = 2.5  # from the first to the last byte of a later request
+REGULAR_IDLE_TIMEOUT_S = 120.0  # between requests, on a connection that has submitted a job
+NO_JOB_IDLE_TIMEOUT_S = 10.0  # between requests, on a connection that has sent other requests only
+# 4xx or 5xx replies in a row after which a connection is closed: a faulty client repeats its request at once
+MAX_CONSECUTIVE_ERRORS = 16
+BACKLOG = 512  # connections in a listener's accept queue
+# Accepted connections that are not handled yet. They exceed the connection limit until one is evicted or rejected.
+MAX_PENDING_ACCEPTS = 8
+ACCEPT_PAUSE_S = 0.1  # without accepting after the system ran out of descriptors
+EXHAUSTION_ERRORS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
+POLL_INTERVAL_S = 0.01
+HANDSHAKE_WAIT_S = 0.01  # for handshakes that began before the listener stopped accepting connection requests
+# Ranks of connections that may be evicted. The lowest rank goes first, within a rank the one that is idle longest.
+RANK_CLOSING, RANK_NEW, RANK_NO_JOB, RANK_REGULAR = range(4)
 
 
 class Reply:
-    """What the front answers."""
+    """The reply to a request. `job`: the request submitted a job."""
 
     __slots__ = ("body", "fields", "job", "status")
 
@@ -55,105 +58,110 @@
         self.status, self.body, self.fields, self.job = status, body, fields or {}, job
 
 
-Front = Callable[[Connection, Request], Awaitable[Reply | None]]
-Owed = Callable[[Connection], Awaitable[Reply | None]]
+RequestHandler = Callable[[Connection, Request], Awaitable[Reply | None]]
+PendingReply = Callable[[Connection], Awaitable[Reply | None]]
 
 
 class Server(TCPServer):
-    """Takes connections up to a limit, and ends each when `talk` returns.
+    """Accepts connections up to a limit, and closes each one when `handle_connection` returns.
 
-    A connection is FRESH, ASKED or USUAL while it may be closed to make room, none of them while somebody waits for an
-    answer on it, and LEAVING once its talk is over and only its peer's close is waited for."""
+    At the limit an idle connection is closed in favour of a new one. `idle` holds the connections that may be closed
+    for this: as RANK_NEW, RANK_NO_JOB or RANK_REGULAR while no reply is pending, and as RANK_CLOSING while the server
+    waits only for the peer to close. A connection with a pending reply is not in `idle`."""
 
     def __init__(self, limit: int) -> None:
-        super().__init__(max_buffer_size=READ_BUFFER)
+        super().__init__(max_buffer_size=READ_BUFFER_BYTES)
         self.limit, self.paused = limit, False
-        self.shared = False  # another process has a listener of this one, and may take connections from it
-        self._coming = 0  # accepted, and not looked at yet
-        self._resting = set[int]()  # listeners that wait for a descriptor
+        self.shared = False  # another process holds the same listening socket and may accept connections from it
+        self._pending_accepts = 0  # connections that are accepted and not handled yet
+        self._paused_listeners = set[int]()  # descriptors of listeners that pause after descriptors ran out
         self.open: set[Connection] = set()
-        self.idle: dict[Connection, tuple[int, float]] = {}  # those that may be closed to make room
+        # connections that may be evicted: (rank, time at which they became idle)
+        self.idle: dict[Connection, tuple[int, float]] = {}
 
     def add_sockets(self, sockets: Iterable[socket.socket]) -> None:
-        """As Tornado's, but with an accept of our own: Tornado's takes up to 128 connections before the limit is
-        looked at, which takes the descriptors of all else, and tries again in each turn of the loop when none is
-        left."""
+        """Replaces Tornado's method, which accepts up to 128 connections before the limit is checked, and thereby uses
+        the descriptors of other parts. When no descriptor is left, Tornado retries in each iteration of the loop."""
         for listener in sockets:
             fd = listener.fileno()
             self._sockets[fd] = listener
-            self._resting.discard(fd)
+            self._paused_listeners.discard(fd)
             self._handlers[fd] = partial(IOLoop.current().remove_handler, fd)
             IOLoop.current().add_handler(fd, lambda fd, _: self._accept_some(fd), IOLoop.READ)
 
     def _accept_some(self, fd: int) -> None:
-        while self._coming < BEYOND:
+        while self._pending_accepts < MAX_PENDING_ACCEPTS:
             try:
                 if not self._accept(self._sockets[fd]):
                     return
             except OSError as error:
-                if error.errno in EXHAUSTED:
+                if error.errno in EXHAUSTION_ERRORS:
                     self._exhausted(fd)
                     return
 
     def _accept(self, listener: socket.socket) -> bool:
-        """Take one connection of the queue; False where none stands there. Raises OSError, also for one that has
-        gone."""
+        """Accepts one connection. Returns False if the accept queue is empty. Raises OSError, also if the connection
+        was aborted while queued."""
         try:
             sock, address = listener.accept()
         except BlockingIOError:
             return False
-        self._coming += 1
-        IOLoop.current().spawn_callback(self.handle_stream, IOStream(sock, max_buffer_size=READ_BUFFER), address)
+        self._pending_accepts += 1
+        IOLoop.current().spawn_callback(self.handle_stream, IOStream(sock, max_buffer_size=READ_BUFFER_BYTES), address)
         return True
 
     def _exhausted(self, fd: int) -> None:
-        """The queue would wake the loop at once, over and over, and nothing else would have its turn."""
-        sparing_log.warning("descriptors_exhausted", server=type(self).__name__, open=len(self.open))
+        """Pauses the listener after descriptors ran out: its queue would wake the loop again at once, and starve all
+        other work."""
+        rate_limited_log.warning("descriptors_exhausted", server=type(self).__name__, open=len(self.open))
         self.make_room()
         loop = IOLoop.current()
         loop.remove_handler(fd)
-        self._resting.add(fd)
-        loop.call_later(ACCEPT_PAUSE, lambda: self.add_sockets([self._sockets[fd]]) if fd in self._resting else None)
+        self._paused_listeners.add(fd)
+        loop.call_later(
+            ACCEPT_PAUSE_S, lambda: self.add_sockets([self._sockets[fd]]) if fd in self._paused_listeners else None
+        )
 
     async def handle_stream(self, stream: IOStream, address: object) -> None:
-        self._coming -= 1
-        stream.max_write_buffer_size = WRITE_BUFFER
+        self._pending_accepts -= 1
+        stream.max_write_buffer_size = WRITE_BUFFER_BYTES
         try:
             conn = Connection(stream)
-        except OSError:  # the peer is gone already
+        except OSError:  # the peer has disconnected already
             stream.close()
             return
         if len(self.open) >= self.limit and not self.make_room():
-            sparing_log.warning("connection_turned_away", server=type(self).__name__, open=len(self.open))
-            conn.end_now()
+            rate_limited_log.warning("connection_turned_away", server=type(self).__name__, open=len(self.open))
+            conn.close_now()
             return
-        self.rest(conn, FRESH)
-        await self.keep(conn, self.talk(conn))
+        self.mark_idle(conn, RANK_NEW)
+        await self.run_connection(conn, self.handle_connection(conn))
 
-    async def keep(self, conn: Connection, talk: Awaitable[None]) -> None:
-        """Hold `conn` until its talk ends."""
+    async def run_connection(self, conn: Connection, handling: Awaitable[None]) -> None:
+        """Counts `conn` as open until `handling` has finished, and closes it then."""
         self.open.add(conn)
         try:
-            await talk
+            await handling
             if not conn.stream.closed():
-                self.rest(conn, LEAVING)
-                await conn.end()
-        except (Closed, Late, Interrupted, OSError):
+                self.mark_idle(conn, RANK_CLOSING)
+                await conn.close_gracefully()
+        except (Closed, PeerTimeout, ReadInterrupted, OSError):
             pass
         except Exception:
             log.exception("connection_broke", server=type(self).__name__)
         finally:
             self.open.discard(conn)
             self.idle.pop(conn, None)
-            conn.end_now()
+            conn.close_now()
 
-    async def talk(self, conn: Connection) -> None:
+    async def handle_connection(self, conn: Connection) -> None:
+        """Serves `conn` until it is to be closed."""
         raise NotImplementedError
 
     def pause(self) -> None:
-        """Leave new connections to others that listen on the same socket."""
+        """Stops accepting, and leaves new connections to other processes that listen on the same socket."""
         self.paused = True
-        self._resting.clear()
+        self._paused_listeners.clear()
         for fd in self._sockets:
             IOLoop.current().remove_handler(fd)
 
@@ -161,41 +169,44 @@
         self.paused = False
         self.add_sockets(list(self._sockets.values()))
 
-    def rest(self, conn: Connection, rank: int) -> None:
-        """From now on `conn` may be closed to make room."""
+    def mark_idle(self, conn: Connection, rank: int) -> None:
+        """Allows closing `conn` in favour of a new connection."""
         self.idle[conn] = rank, time.monotonic()
 
-    def work(self, conn: Connection) -> None:
-        """Somebody waits for an answer on `conn`."""
+    def mark_busy(self, conn: Connection) -> None:
+        """Protects `conn` from eviction while a reply is pending."""
         self.idle.pop(conn, None)
 
     def make_room(self) -> bool:
-        """Close the connection that is missed least; False if there is none. Those that never brought a whole
-        request go first: many that only connect must not push out usual clients (who keep theirs idle), nor
-        one whose request waits to be read. Of usual ones, those that are in the middle of a request come last."""
+        """Closes the idle connection of the lowest rank. Returns False if there is none.
 
-        def rank(conn: Connection) -> tuple[int, bool, float]:
-            who, since = self.idle[conn]
-            return who, conn.midway or bool(len(conn.buffer)), since
+        Connections that have never sent a complete request go first: a crowd of clients that only connect must not
+        evict regular clients, which keep idle connections, nor a client whose request is still unread. Within a rank,
+        connections in the middle of a request go last."""
 
-        for conn in sorted(self.idle, key=rank):
-            # a read that has ended, but whose reader has not run yet, leaves the socket empty as well
-            if self.idle[conn][0] == LEAVING or conn.wants_more():
+        def eviction_order(conn: Connection) -> tuple[int, bool, float]:
+            rank, since = self.idle[conn]
+            return rank, conn.partially_read or bool(len(conn.buffer)), since
+
+        for conn in sorted(self.idle, key=eviction_order):
+            # an empty socket alone is no proof: a read may have completed whose reader has not run yet
+            if self.idle[conn][0] == RANK_CLOSING or conn.reader_blocked():
                 del self.idle[conn]
                 self.open.discard(conn)
-                conn.end_now()
+                conn.close_now()
                 return True
         return False
 
     async def close_listeners(self) -> None:
-        """Stop listening without resetting anybody: no further connection is established, those being established
-        are waited for, and whoever stands in a queue is taken. Others may be listened on afterwards."""
+        """Stops listening without resetting clients: refuses further connection requests, waits for handshakes in
+        progress, and accepts the connections in the queues. Other sockets may be added afterwards."""
         listeners = dict(self._sockets)
-        self._resting.clear()
-        self._sockets.clear()  # a successor that dies now must not have them listened on again, nor another get them
+        self._paused_listeners.clear()
+        # cleared first: if a successor fails now, its listeners must not be resumed here or handed over again
+        self._sockets.clear()
         for fd in listeners:
             self._handlers.pop(fd)()
-        if not self.paused:  # else the queue is another process's to take
+        if not self.paused:  # while paused, another process accepts from the queue
             await self._empty_queues(list(listeners.values()))
         for listener in listeners.values():
             listener.close()
@@ -204,114 +215,125 @@
         if not self.shared:
             for listener in listeners:
                 drop_connection_requests(listener)
-            await asyncio.sleep(HANDSHAKE_TIME)
+            await asyncio.sleep(HANDSHAKE_WAIT_S)
         for listener in listeners:
-            await self._take_queue(listener)
+            await self._accept_queue(listener)
 
-    async def _take_queue(self, listener: socket.socket) -> None:
+    async def _accept_queue(self, listener: socket.socket) -> None:
         for _ in range(BACKLOG):
             try:
                 if not self._accept(listener):
                     return
             except OSError as error:
-                if error.errno in EXHAUSTED and not self.make_room():
+                if error.errno in EXHAUSTION_ERRORS and not self.make_room():
                     return
-            while self._coming >= BEYOND:  # those beyond the limit give their descriptors back
+            while self._pending_accepts >= MAX_PENDING_ACCEPTS:  # until rejected connections have freed descriptors
                 await asyncio.sleep(0)
 
     async def finish(self, seconds: float) -> None:
-        """Close the listeners, and answer whoever came before that, for so long at most."""
+        """Closes the listeners, serves the connections accepted until then for up to `seconds`, and closes all."""
         await self.close_listeners()
-        until = time.monotonic() + seconds
-        await asyncio.sleep(POLL)
-        while self.open and time.monotonic() < until:
-            await asyncio.sleep(POLL)
+        deadline = time.monotonic() + seconds
+        await asyncio.sleep(POLL_INTERVAL_S)
+        while self.open and time.monotonic() < deadline:
+            await asyncio.sleep(POLL_INTERVAL_S)
         self.close_all()
 
     def close_all(self) -> None:
         for conn in list(self.open):
-            conn.end_now()
+            conn.close_now()
 
 
 class Acceptor(Server):
-    def __init__(self, front: Front, limit: int) -> None:
+    """HTTP/1.1 server that passes each request to `handler`. While `closing`, each connection ends after its reply."""
+
+    def __init__(self, handler: RequestHandler, limit: int) -> None:
         super().__init__(limit)
-        self.front, self.closing = front, False
+        self.handler, self.closing = handler, False
 
     @property
-    def first_time(self) -> float:
-        """Seconds from connecting to the end of the first request."""
-        return FIRST_TIME
+    def first_request_timeout_s(self) -> float:
+        """Time limit from connecting to the end of the first request."""
+        return FIRST_REQUEST_TIMEOUT_S
 
     def adopt(
-        self, sock: socket.socket, rank: int, data: bytes = b"", keeps: bool = True, owed: Owed | None = None
+        self,
+        sock: socket.socket,
+        rank: int,
+        data: bytes = b"",
+        keep_alive: bool = True,
+        pending_reply: PendingReply | None = None,
     ) -> None:
-        """Go on with a connection that the process before this one had: `data` was read and not used; `owed` gives
-        the reply to a request that was."""
-        stream = IOStream(sock, max_buffer_size=READ_BUFFER, max_write_buffer_size=WRITE_BUFFER)
+        """Continues a connection of the predecessor process. `data`: bytes that it read and did not process.
+        `pending_reply`: waits for the reply to a request that it processed."""
+        stream = IOStream(sock, max_buffer_size=READ_BUFFER_BYTES, max_write_buffer_size=WRITE_BUFFER_BYTES)
         conn = Connection(stream)
         conn.buffer.put(data)
-        conn.keeps = keeps
-        if owed is None:
-            self.rest(conn, rank)
-        IOLoop.current().spawn_callback(self.keep, conn, self.talk(conn, rank, owed))
+        conn.keep_alive = keep_alive
+        if pending_reply is None:
+            self.mark_idle(conn, rank)
+        IOLoop.current().spawn_callback(self.run_connection, conn, self.handle_connection(conn, rank, pending_reply))
 
-    async def talk(self, conn: Connection, rank: int = FRESH, owed: Owed | None = None) -> None:
-        faults, since = 0, time.monotonic()
+    async def handle_connection(
+        self, conn: Connection, rank: int = RANK_NEW, pending_reply: PendingReply | None = None
+    ) -> None:
+        consecutive_errors, since = 0, time.monotonic()
         while True:
-            if owed is not None:
-                method, reply, owed = "POST", await owed(conn), None
+            if pending_reply is not None:
+                method, reply, pending_reply = "POST", await pending_reply(conn), None
             else:
-                request = await self._request(conn, rank, since)
+                request = await self._next_request(conn, rank, since)
                 if request is None:
                     return
-                self.work(conn)
-                conn.keeps, method = request.keep, request.method
-                reply = await self.front(conn, request)
+                self.mark_busy(conn)
+                conn.keep_alive, method = request.keep_alive, request.method
+                reply = await self.handler(conn, request)
             if reply is None:
                 return
-            faults = faults + 1 if reply.status >= 400 and not reply.job else 0
-            keep = conn.keeps and not self.closing and faults < FAULTS
+            consecutive_errors = consecutive_errors + 1 if reply.status >= 400 and not reply.job else 0
+            keep = conn.keep_alive and not self.closing and consecutive_errors < MAX_CONSECUTIVE_ERRORS
             message = format_answer(reply.status, reply.body, reply.fields, keep)
-            if method == "HEAD":  # its answer has no body, whatever length it tells
+            if method == "HEAD":  # a response to HEAD has a Content-Length but no body
                 message = message[: len(message) - len(reply.body)]
             await send_answer(conn, message)
             if not keep:
                 return
-            rank, conn.midway = USUAL if reply.job else max(rank, ASKED), False
-            self.rest(conn, rank)
+            rank, conn.partially_read = RANK_REGULAR if reply.job else max(rank, RANK_NO_JOB), False
+            self.mark_idle(conn, rank)
 
-    async def _request(self, conn: Connection, rank: int, since: float) -> Request | None:
-        """The next request; None when the connection is done with. One that says nothing, or never ends what
-        it says, is let go in time, so that it takes no descriptor from others."""
-        limit = self.first_time
+    async def _next_request(self, conn: Connection, rank: int, since: float) -> Request | None:
+        """Returns the next request, or None if the connection is to be closed. A client that sends nothing, or only a
+        part of a request, is disconnected after a time limit, since it occupies a descriptor."""
+        limit = self.first_request_timeout_s
         try:
-            if rank != FRESH:
+            if rank != RANK_NEW:
                 if not len(conn.buffer):
-                    if self.closing and conn.quiet():  # since its last answer went out
+                    if self.closing and conn.has_no_input():  # nothing arrived since the last reply
                         return None
                     try:
-                        await within(IDLE_TIME if rank == USUAL else ASKED_TIME, conn.fill())
-                    except (Late, Interrupted):
-                        if conn.unheard():  # else a request came in that very turn of the loop
+                        await with_timeout(
+                            REGULAR_IDLE_TIMEOUT_S if rank == RANK_REGULAR else NO_JOB_IDLE_TIMEOUT_S, conn.fill()
+                        )
+                    except (PeerTimeout, ReadInterrupted):
+                        if conn.awaits_input():  # otherwise a request arrived in the same iteration of the loop
                             return None
-                since, limit = time.monotonic(), READ_TIME
-            return await within(since + limit - time.monotonic(), self._read(conn))
-        except Interrupted:
+                since, limit = time.monotonic(), REQUEST_TIMEOUT_S
+            return await with_timeout(since + limit - time.monotonic(), self._read(conn))
+        except ReadInterrupted:
             pass
         except BadMessage as bad:
-            await self._turn_away(conn, bad.status, str(bad))
+            await self._reject(conn, bad.status, str(bad))
         except OverflowError:
-            await self._turn_away(conn, 431, "the head is too large")
-        except Late:
-            # a loop that was busy elsewhere finds its time over with the bytes still at the socket
-            if conn.swallow(LINGER_BYTES) or len(conn.buffer):
-                await self._turn_away(conn, 408, "the request came too slowly", linger=0.0)
+            await self._reject(conn, 431, "the head is too large")
+        except PeerTimeout:
+            # after a long iteration of the loop the timeout can fire while the request is still unread in the socket
+            if conn.drain_socket(LINGER_BYTES) or len(conn.buffer):
+                await self._reject(conn, 408, "the request came too slowly", linger=0.0)
         return None
 
     async def _read(self, conn: Connection) -> Request:
         head = await read_head(conn)
-        conn.midway = True
+        conn.partially_read = True
         request = parse_request(head)
         expect = request.fields.get("expect")
         if expect is not None:
@@ -321,16 +343,17 @@
         request.body = await read_body(conn, request.fields)
         return request
 
-    async def _turn_away(self, conn: Connection, status: int, why: str, linger: float = LINGER) -> None:
-        sparing_log.warning("request_turned_away", status=status, why=why)
-        self.rest(conn, LEAVING)
-        await within(LINGER, conn.write(format_answer(status, why.encode() + b"\n", keep=False)))
-        await conn.end(linger)
+    async def _reject(self, conn: Connection, status: int, why: str, linger: float = LINGER_S) -> None:
+        rate_limited_log.warning("request_turned_away", status=status, why=why)
+        self.mark_idle(conn, RANK_CLOSING)
+        await with_timeout(LINGER_S, conn.write(format_answer(status, why.encode() + b"\n", keep_alive=False)))
+        await conn.close_gracefully(linger)
 
     def drain(self) -> None:
-        """From now on connections end with their answer, and those that stand idle at once; but who has only just come
-        is about to ask."""
+        """Closes each connection after its next reply, and idle ones at once. New connections are not idle: their
+        first request is expected."""
         self.closing = True
         for conn, (rank, _) in list(self.idle.items()):
-            if rank in (ASKED, USUAL) and not conn.midway and conn.unheard():  # else a request of it waits to be read
-                conn.interrupt()  # its reader looks once more, and ends it
+            # otherwise the connection has a request that is not read yet
+            if rank in (RANK_NO_JOB, RANK_REGULAR) and not conn.partially_read and conn.awaits_input():
+                conn.interrupt_read()  # the reader checks for input once more and closes the connection
--- a/millethead/net/answer.py
+++ b/millethead/net/answer.py
@@ -1,25 +1,28 @@
-"""Answers: to bytes, and out to the peer within a time limit."""
+"""Formats HTTP responses and sends them within a time limit."""
 
 from __future__ import annotations
 
 from http import HTTPStatus
 
-from millethead.net.connection import Connection, within
+from millethead.net.connection import Connection, with_timeout
 
-WRITE_TIME = 10.0  # s for a peer to take an answer
+WRITE_TIMEOUT_S = 10.0  # for a peer to receive a response
 
 
-def format_answer(status: int, body: bytes = b"", fields: dict[str, str] | None = None, keep: bool = True) -> bytes:
+def format_answer(
+    status: int, body: bytes = b"", fields: dict[str, str] | None = None, keep_alive: bool = True
+) -> bytes:
     lines = [f"HTTP/1.1 {status} {HTTPStatus(status).phrase}"]
     if status != 204:
         lines.append(f"Content-Length: {len(body)}")
     if body and "Content-Type" not in (fields or {}):
         lines.append("Content-Type: text/plain; charset=utf-8")
     lines += [f"{name}: {value}" for name, value in (fields or {}).items()]
-    if not keep:
+    if not keep_alive:
         lines.append("Connection: close")
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
 
 async def send_answer(conn: Connection, message: bytes) -> None:
-    await within(WRITE_TIME, conn.write(message))
+    """Writes a formatted response. Raises PeerTimeout if the peer does not receive it within the time limit."""
+    await with_timeout(WRITE_TIMEOUT_S, conn.write(message))
--- a/millethead/net/buffer.py
+++ b/millethead/net/buffer.py
@@ -1,39 +1,40 @@
-"""One buffer for a connection: grown as needed, compacted in place."""
+"""The receive buffer of a connection: it grows as needed and is compacted in place."""
 
 from __future__ import annotations
 
-FIRST = 2048
-MOST = 96 << 10  # a whole head and a whole body fit; what would need more is refused before
+INITIAL_BUFFER_BYTES = 2048
+MAX_BUFFER_BYTES = 96 << 10  # fits a head and a body of the largest size; larger messages are rejected earlier
 
 
 class Buffer:
-    """Bytes read but not yet taken lie in data[start:end]."""
+    """The bytes that are received and not consumed yet are _data[_start:_end]."""
 
     __slots__ = ("_data", "_end", "_start")
 
     def __init__(self) -> None:
-        self._data = bytearray(FIRST)
+        self._data = bytearray(INITIAL_BUFFER_BYTES)
         self._start = self._end = 0
 
     def __len__(self) -> int:
         return self._end - self._start
 
     def room(self) -> memoryview:
-        """Free space to read into; the caller says with `filled` how much of it was used."""
+        """Returns free space to read into. The caller reports with `filled` how many bytes it has written there. Raises
+        OverflowError if the buffer is full."""
         if self._start:
             self._data[: len(self)] = self._data[self._start : self._end]
             self._start, self._end = 0, len(self)
         if self._end == len(self._data):
-            if self._end >= MOST:
+            if self._end >= MAX_BUFFER_BYTES:
                 raise OverflowError("the buffer of a connection is full")
-            # a new block: the old one may still be lent out as a view, and such a block cannot be resized
-            grown = bytearray(min(MOST, 2 * len(self._data)))
+            # not resized in place: a bytearray with an exported memoryview cannot be resized
+            grown = bytearray(min(MAX_BUFFER_BYTES, 2 * len(self._data)))
             grown[: self._end] = self._data
             self._data = grown
         return memoryview(self._data)[self._end :]
 
     def put(self, data: bytes) -> None:
-        """Bytes that came another way."""
+        """Appends bytes that were not read through `room`."""
         while data:
             room = self.room()[: len(data)]
             room[:] = data[: len(room)]
@@ -43,10 +44,10 @@
     def filled(self, count: int) -> None:
         self._end += count
 
-    def find(self, what: bytes, start: int = 0) -> int:
-        """Where `what` lies from the first untaken byte on, or -1."""
-        at = self._data.find(what, self._start + start, self._end)
-        return at if at < 0 else at - self._start
+    def find(self, pattern: bytes, start: int = 0) -> int:
+        """Returns the position of `pattern`, counted from the first unconsumed byte, or -1."""
+        position = self._data.find(pattern, self._start + start, self._end)
+        return position if position < 0 else position - self._start
 
     def peek(self, count: int) -> bytes:
         return bytes(self._data[self._start : min(self._end, self._start + count)])
@@ -56,6 +57,6 @@
         self._start += len(out)
         if self._start == self._end:
             self._start = self._end = 0
-            if len(self._data) > 4 * FIRST:  # one large message must not hold its space for ever
-                self._data = bytearray(FIRST)
+            if len(self._data) > 4 * INITIAL_BUFFER_BYTES:  # release the memory after a large message
+                self._data = bytearray(INITIAL_BUFFER_BYTES)
         return out
--- a/millethead/net/connection.py
+++ b/millethead/net/connection.py
@@ -1,4 +1,4 @@
-"""A TCP connection: Tornado's IOStream with the connection's one buffer."""
+"""A TCP connection: Tornado's IOStream with one receive buffer per connection."""
 
 from __future__ import annotations
 
@@ -11,61 +11,70 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import IOStream, StreamClosedError
 
-from millethead.net.buffer import MOST, Buffer
+from millethead.net.buffer import MAX_BUFFER_BYTES, Buffer
 
 T = TypeVar("T")
-WRITE_BUFFER = 256 << 10
-AHEAD = 64 << 10  # bytes that are kept of what a peer sends before it has its answer
-AHEAD_PAUSE = 0.025  # s from one read to the next of a peer that sends more than that: its end is still to be seen
-LINGER, LINGER_BYTES = 1.0, 256 << 10  # s and bytes for a peer to close its side once this one is closed
+WRITE_BUFFER_BYTES = 256 << 10
+MAX_READ_AHEAD_BYTES = 64 << 10  # input kept while a response is pending; what exceeds it is dropped
+READ_AHEAD_PAUSE_S = 0.025  # between further reads, which are needed to notice that the peer closes
+LINGER_S, LINGER_BYTES = 1.0, 256 << 10  # limits on the input that is dropped after this side has closed
 Closed = StreamClosedError
 
 
-class Late(Exception):
-    """The peer took too long."""
+class PeerTimeout(Exception):
+    """The peer did not send or receive in time."""
 
 
-class Interrupted(Exception):
-    """The reader was asked to look up: its connection is to end if nothing has come."""
+class ReadInterrupted(Exception):
+    """The wait of a reader was interrupted: it closes its connection unless input has arrived."""
 
 
-async def within(seconds: float, what: Awaitable[T]) -> T:
-    """Wait so long at most; raises Late. The connection is to be closed after that: its read goes on."""
+async def with_timeout(seconds: float, operation: Awaitable[T]) -> T:
+    """Awaits `operation`. Raises PeerTimeout after `seconds`. The caller closes the connection then, since a read that
+    timed out is still in progress."""
     try:
-        async with asyncio.timeout(max(0.0, seconds)):  # wait_for would make a task of each read and write
-            return await what
+        async with asyncio.timeout(max(0.0, seconds)):  # wait_for would create a task for each read and write
+            return await operation
     except TimeoutError:
-        raise Late from None
+        raise PeerTimeout from None
 
 
 class Connection:
-    """`job`: the number of the job whose answer it waits for, 0 for none; `midway`: what came of a message is no longer
-    all in the buffer; `keeps`: its request lets it live on; `ending`: this side is closed, and what still comes is
-    dropped unread; `handed`: another process has it now.
+    """A connection with its receive buffer. At most one read is in progress, with or without a waiting reader.
 
-    One read at most is under way, whether somebody waits for it or not."""
+    `job`: number of the job whose answer the peer waits for, 0 for none.
+    `partially_read`: a part of the current message is already consumed from the buffer.
+    `keep_alive`: the connection may stay open after the response.
+    `half_closed`: the sending side is closed, and further input is dropped.
+    `handed_over`: another process serves the connection now."""
 
     __slots__ = (
-        "_ahead",
+        "_reads_ahead",
         "_reading",
         "_waiter",
         "buffer",
-        "ending",
-        "handed",
+        "half_closed",
+        "handed_over",
         "idle_since",
         "job",
-        "keeps",
-        "midway",
+        "keep_alive",
+        "partially_read",
         "stream",
     )
 
     def __init__(self, stream: IOStream) -> None:
         self.stream, self.buffer = stream, Buffer()
-        self.job, self.midway, self.keeps, self.ending, self.handed = 0, False, True, False, False
+        self.job, self.partially_read, self.keep_alive, self.half_closed, self.handed_over = (
+            0,
+            False,
+            True,
+            False,
+            False,
+        )
         self.idle_since = 0.0
         self._reading: asyncio.Future[int] | asyncio.Future[bytes] | None = None
         self._waiter: asyncio.Future[None] | None = None
-        self._ahead = False
+        self._reads_ahead = False
         stream.set_nodelay(True)
 
     @property
@@ -79,8 +88,9 @@
     # ---- reading -------------------------------------------------------------------------------------
 
     async def fill(self) -> None:
-        """Read at least one byte; raises Closed at the end of the stream, Interrupted if somebody wants it to end. A
-        reader that gives up waiting leaves the read under way, and the buffer alone until it reads again."""
+        """Reads at least one byte into the buffer. Raises Closed at the end of the stream, and ReadInterrupted after
+        `interrupt_read`. If the wait is cancelled, the read stays in progress, and the caller must not use the buffer
+        until it calls `fill` again."""
         if self._reading is None:
             self._await(
                 cast("asyncio.Future[int]", self.stream.read_into(cast(bytearray, self.buffer.room()), partial=True))
@@ -92,97 +102,103 @@
             self._waiter = None
 
     def read_ahead(self, on: bool) -> None:
-        """Read on while nobody waits, from now on or no longer; the close callback is then called as soon as the
-        peer has closed, however much it sent before. Readers may take from the buffer meanwhile: the bytes lie beside
-        it until they have come."""
-        self._ahead = on
+        """Turns reading without a waiting reader on or off. While it is on, the close callback runs as soon as the peer
+        closes, whatever it has sent before. The buffer may be consumed meanwhile, since these reads do not write into
+        it directly."""
+        self._reads_ahead = on
         if on and self._reading is None and not self.stream.closed():
-            self._await(cast("asyncio.Future[bytes]", self.stream.read_bytes(MOST - AHEAD, partial=True)))
+            self._await(
+                cast(
+                    "asyncio.Future[bytes]",
+                    self.stream.read_bytes(MAX_BUFFER_BYTES - MAX_READ_AHEAD_BYTES, partial=True),
+                )
+            )
 
     def _await(self, reading: asyncio.Future[int] | asyncio.Future[bytes]) -> None:
         self._reading = reading
-        reading.add_done_callback(self._came)
+        reading.add_done_callback(self._on_read)
 
-    def _came(self, reading: asyncio.Future[int] | asyncio.Future[bytes]) -> None:
+    def _on_read(self, reading: asyncio.Future[int] | asyncio.Future[bytes]) -> None:
         self._reading, waiter, pause = None, self._waiter, 0.0
         failed = reading.exception()
         if failed is None:
             came = reading.result()
             if isinstance(came, int):
                 self.buffer.filled(came)
-            elif len(self.buffer) < AHEAD:
+            elif len(self.buffer) < MAX_READ_AHEAD_BYTES:
                 self.buffer.put(came)
-            else:  # who sends so much before its answer gets this one, and no other
-                self.keeps, pause = False, AHEAD_PAUSE
+            else:  # the peer sent too much before its response: the connection closes after this one
+                self.keep_alive, pause = False, READ_AHEAD_PAUSE_S
         if waiter is None or waiter.done():
             if pause:
-                IOLoop.current().call_later(pause, lambda: self.read_ahead(self._ahead))
+                IOLoop.current().call_later(pause, lambda: self.read_ahead(self._reads_ahead))
             else:
-                self.read_ahead(self._ahead)
+                self.read_ahead(self._reads_ahead)
         elif failed is None:
             waiter.set_result(None)
         else:
             waiter.set_exception(failed)
 
-    def interrupt(self) -> None:
-        """Have its reader look up."""
+    def interrupt_read(self) -> None:
+        """Raises ReadInterrupted in the waiting reader, if there is one."""
         if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_exception(Interrupted())
+            self._waiter.set_exception(ReadInterrupted())
 
-    async def some(self, most: int) -> bytes:
-        """At least one byte, and `most` at the most."""
+    async def read_some(self, most: int) -> bytes:
+        """Returns from 1 to `most` bytes."""
         if not len(self.buffer):
             await self.fill()
         return self.buffer.take(most)
 
     async def take(self, count: int) -> bytes:
-        """Exactly `count` bytes, in pieces, so that the buffer need not hold them all."""
+        """Returns exactly `count` bytes. Reads them in parts, so that they may exceed the buffer."""
         parts = []
         while count:
-            parts.append(await self.some(count))
+            parts.append(await self.read_some(count))
             count -= len(parts[-1])
         return b"".join(parts)
 
     async def line(self, limit: int) -> bytes | None:
-        """A line without its CR LF; None if it is longer than `limit` or ends otherwise."""
-        seen = 0
-        while (at := self.buffer.find(b"\n", seen)) < 0:
-            seen = len(self.buffer)
-            if seen > limit:
+        """Returns a line without its CR LF, or None if it exceeds `limit` bytes or does not end with CR LF."""
+        searched = 0
+        while (position := self.buffer.find(b"\n", searched)) < 0:
+            searched = len(self.buffer)
+            if searched > limit:
                 return None
             await self.fill()
-        line = self.buffer.take(at + 1)
-        return line[:-2] if at <= limit and line[-2:] == b"\r\n" else None
+        line = self.buffer.take(position + 1)
+        return line[:-2] if position <= limit and line[-2:] == b"\r\n" else None
 
     async def write(self, data: bytes) -> None:
-        """Write all; raises Closed if the connection breaks before the last byte is written."""
-        await self.begin(data)
+        """Writes all of `data`. Raises Closed if the connection breaks before the last byte is written."""
+        await self.start_write(data)
 
-    def begin(self, data: bytes) -> Awaitable[None]:
-        """Like `write`, but the bytes have their place in the order of writes at once."""
+    def start_write(self, data: bytes) -> Awaitable[None]:
+        """Queues `data` at once, and returns an awaitable that completes when it is written."""
         return self.stream.write(data)
 
     def on_close(self, call: Callable[[], None] | None) -> None:
         self.stream.set_close_callback(call)
 
-    def unheard(self) -> bool:
-        """Whether a read is under way and nothing has come for it, neither into the buffer nor to the socket."""
-        return self.stream.reading() and self.quiet()
+    def awaits_input(self) -> bool:
+        """Returns whether a read is in progress and no input has arrived, neither in the buffer nor at the socket."""
+        return self.stream.reading() and self.has_no_input()
 
-    def wants_more(self) -> bool:
-        """Whether its reader has looked at all that came and waits: what lies in the buffer is a part of a message."""
+    def reader_blocked(self) -> bool:
+        """Returns whether the reader has processed all input and waits for more. The buffer then holds at most a part
+        of a message."""
         return self._waiter is not None and not self._waiter.done() and self.stream.reading() and self._socket_empty()
 
-    def gone(self) -> bool:
-        """Whether the peer has closed its side with nothing unread before that."""
-        return self.stream.closed() or (not len(self.buffer) and self.broken())
+    def peer_closed(self) -> bool:
+        """Returns whether the peer has closed its side and all input before that is consumed."""
+        return self.stream.closed() or (not len(self.buffer) and self.socket_closed())
 
-    def quiet(self) -> bool:
-        """Whether nothing has come, not even the peer's close, since the last message was read."""
+    def has_no_input(self) -> bool:
+        """Returns whether nothing has arrived since the last message was read, not even the peer's close."""
         return not len(self.buffer) and self._socket_empty()
 
     def _socket_empty(self) -> bool:
-        """Whether nothing stands at the socket, neither bytes nor the peer's close."""
+        """Returns whether the socket has neither unread bytes nor the peer's close."""
         if self.stream.closed():
             return False
         try:
@@ -193,19 +209,20 @@
             return False
         return False
 
-    def swallow(self, most: int) -> bytes:
-        """What stands unread at the socket, up to `most` bytes, past a read that is still under way: the connection is
-        to be closed next, and one closed with bytes unread is reset before the peer has read its last answer."""
-        said = b""
+    def drain_socket(self, most: int) -> bytes:
+        """Returns the unread bytes of the socket, up to `most`, past a read that is still in progress. Called before
+        the connection is closed: closing with unread bytes sends a reset, and the peer may then lose the last
+        response."""
+        received = b""
         try:
-            while len(said) < most and (part := self.stream.socket.recv(most - len(said))):
-                said += part
-        except (OSError, AttributeError):  # nothing more stands there, or it is closed
+            while len(received) < most and (part := self.stream.socket.recv(most - len(received))):
+                received += part
+        except (OSError, AttributeError):  # nothing left to read, or the stream is closed
             pass
-        return said
+        return received
 
-    def broken(self) -> bool:
-        """Whether the peer has closed or reset the connection; bytes that came are no sign of that."""
+    def socket_closed(self) -> bool:
+        """Returns whether the peer has closed or reset the connection with no unread bytes before that."""
         try:
             return self.stream.closed() or not self.stream.socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -213,41 +230,41 @@
         except OSError:
             return True
 
-    # ---- the end -------------------------------------------------------------------------------------
+    # ---- closing -------------------------------------------------------------------------------------
 
-    async def end(self, seconds: float = LINGER, most: int = LINGER_BYTES) -> None:
-        """Close this side, drop what still comes until the peer has closed its own, and close: at once, over bytes not
-        read, the system would reset the connection, and what was last written might go with it. A peer that goes on
-        gets so many seconds and bytes. All that was written must have gone."""
-        until = time.monotonic() + seconds
+    async def close_gracefully(self, seconds: float = LINGER_S, most: int = LINGER_BYTES) -> None:
+        """Closes the sending side, drops input until the peer closes its side, and closes the connection. An immediate
+        close with unread input would reset the connection, and the peer might lose the last response. `seconds` and
+        `most` (bytes) limit a peer that goes on sending. All writes must be complete."""
+        deadline = time.monotonic() + seconds
         try:
             if self._half_close():
-                while most > 0 and (left := until - time.monotonic()) > 0:
+                while most > 0 and (left := deadline - time.monotonic()) > 0:
                     most -= len(self.buffer.take(len(self.buffer)))
-                    await within(left, self.fill())
-        except (Closed, Late, OSError, Interrupted):
+                    await with_timeout(left, self.fill())
+        except (Closed, PeerTimeout, OSError, ReadInterrupted):
             pass
         finally:
-            self.end_now()
+            self.close_now()
 
-    def end_now(self) -> None:
-        """The same without waiting for the peer: only what stands at the socket is dropped."""
+    def close_now(self) -> None:
+        """Like `close_gracefully`, but drops only the input that has arrived, and does not wait for the peer."""
         try:
             if self._half_close():
-                self.swallow(LINGER_BYTES)
+                self.drain_socket(LINGER_BYTES)
         except OSError:
             pass
         self.close()
 
     def _half_close(self) -> bool:
-        """From here on nothing is written, nor read to be used; False if the connection is closed already."""
+        """Closes the sending side. Returns False if the connection is closed already."""
         if self.stream.closed():
             return False
-        if not self.ending:
-            self.ending = True
+        if not self.half_closed:
+            self.half_closed = True
             self.stream.socket.shutdown(socket.SHUT_WR)
         return True
 
     def close(self) -> None:
-        """Give the descriptor up; `end` is for a peer that may still read or write."""
+        """Closes the descriptor at once. `close_gracefully` is for a peer that may still read or write."""
         self.stream.close()
--- a/millethead/net/exchange.py
+++ b/millethead/net/exchange.py
@@ -1,4 +1,4 @@
-"""Where a request meets the core: the loop's clock, and the wait for a job's one answer."""
+"""Connects request handlers to the exchange: its clock on the event loop, and the wait for the answer of a job."""
 
 from __future__ import annotations
 
@@ -25,16 +25,18 @@
 
 
 class LoopClock:
-    """Unix time at the start, carried on by the steady clock: the list's start times are Unix times too."""
+    """Unix time as of the start, advanced by the monotonic clock. Comparable with the start times in worker lists,
+    which are Unix times."""
 
     def __init__(self) -> None:
-        self.offset = time.time() - time.monotonic()  # s; a successor goes on with it
+        self.offset = time.time() - time.monotonic()  # s; a successor process takes it over
 
     def now(self) -> float:
+        """Returns the time in ms."""
         return (time.monotonic() + self.offset) * 1000
 
     def wall(self) -> float:
-        """Unix time in ms as the machine says it now; it may be stepped either way."""
+        """Returns the current Unix time in ms. It can jump in either direction."""
         return time.time() * 1000
 
     def later(self, delay: float, call: Callable[[], None]) -> _Timer:
@@ -46,32 +48,33 @@
         future.set_result(answer)
 
 
-def awaited() -> tuple[asyncio.Future[Answer | None], Reply]:
-    """A job's answer to be, and the call that gives it."""
+def answer_future() -> tuple[asyncio.Future[Answer | None], Reply]:
+    """Returns a future of a job's answer, and the function that resolves it."""
     future: asyncio.Future[Answer | None] = asyncio.get_running_loop().create_future()
     return future, partial(_settle, future)
 
 
-async def exchange_job(stage: Stage, conn: Connection, order: Order) -> Answer | None:
-    """Hand the job in and wait for its answer; None if the client left first. Raises InvalidOrder."""
-    if conn.gone():  # its end came with the request, and no close callback would be called any more
+async def submit_job(stage: Stage, conn: Connection, order: Order) -> Answer | None:
+    """Submits a job and waits for its answer. Returns None if the client disconnects first. Raises InvalidOrder."""
+    if conn.peer_closed():  # the client closed right after the request: the close callback would never be called
         return None
-    future, settle = awaited()
-    return await answer_of(stage, conn, stage.arrive(order, settle), future)
+    future, settle = answer_future()
+    return await wait_for_answer(stage, conn, stage.arrive(order, settle), future)
 
 
-async def answer_of(
+async def wait_for_answer(
     stage: Stage, conn: Connection, number: int, future: asyncio.Future[Answer | None]
 ) -> Answer | None:
-    """Wait for the answer of a job that was handed in (0: it has it already)."""
+    """Waits for the answer of job `number` (0: the future is resolved already). Returns None if the client
+    disconnects first."""
     conn.job = number
 
-    def left() -> None:
+    def withdraw() -> None:
         if number:
             stage.withdraw(number)
         _settle(future, None)
 
-    conn.on_close(left)
+    conn.on_close(withdraw)
     conn.read_ahead(True)
     try:
         return await future
--- a/millethead/net/news.py
+++ b/millethead/net/news.py
@@ -1,4 +1,4 @@
-"""Call-backs: workers tell at the clients' address what became of a job."""
+"""Worker call-backs: requests in which workers report the state of a job. They arrive at the clients' address."""
 
 from __future__ import annotations
 
@@ -13,25 +13,29 @@
 
 log = structlog.get_logger()
 STATES = ("started", "running", "done", "failed", "returned", "lost")
-Take = Callable[[str, str, str, bytes, Report | None], bool]
+CallbackHandler = Callable[[str, str, str, bytes, Report | None], bool]
 
 
-def read_news(body: bytes, report: Callable[[str], Report | None], take: Take, last: bool = True) -> bool:
-    """Hand one call-back on; whether an attempt waited for it. It may precede the 202, repeat, or come late: only
-    a bad body is an error. `last`: nobody else will be asked."""
+def process_callback(
+    body: bytes, parse: Callable[[str], Report | None], handle: CallbackHandler, last: bool = True
+) -> bool:
+    """Parses one call-back and passes it to `handle`. Returns whether an attempt waited for it.
+
+    A call-back may precede the 202, repeat, or come late. Only an invalid body is an error: it raises BadMessage.
+    `last`: no other process is asked afterwards, so a call-back that no attempt waits for is logged."""
     try:
-        news: Any = json.loads(body)
+        callback: Any = json.loads(body)
     except (ValueError, RecursionError):
         raise BadMessage(400, "news that is no JSON") from None
-    if not isinstance(news, dict):
+    if not isinstance(callback, dict):
         raise BadMessage(400, "news that is no object")
-    job_id, worker, state = news.get("id"), news.get("from"), news.get("state")
-    result, load = news.get("result", ""), news.get("load")
+    job_id, worker, state = callback.get("id"), callback.get("from"), callback.get("state")
+    result, load = callback.get("result", ""), callback.get("load")
     if not isinstance(job_id, str) or not isinstance(worker, str) or state not in STATES:
         raise BadMessage(400, "news without id, from or state")
     if not isinstance(result, str) or not (load is None or isinstance(load, dict)):
         raise BadMessage(400, "news with a result or load of the wrong kind")
-    found = take(job_id, worker, state, result.encode("utf-8", "replace"), report(json.dumps(load)) if load else None)
+    found = handle(job_id, worker, state, result.encode("utf-8", "replace"), parse(json.dumps(load)) if load else None)
     if not found and last:
         log.info("news_of_no_attempt", job=job_id, worker=worker, state=state)
     return found
--- a/millethead/net/parse.py
+++ b/millethead/net/parse.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages: strict on framing, since what two parsers read differently can be used for smuggling."""
+"""Parses HTTP/1.1 messages. Strict on framing: a message that two parsers read differently allows request smuggling."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class BadMessage(Exception):
-    """A message that cannot be served; `status` is the answer that it gets before the connection closes."""
+    """An invalid message. `status` is the status of the response that is sent before the connection closes."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -27,11 +27,13 @@
 
 @dataclass(slots=True)
 class Request:
+    """A request. `fields` are the header fields by lower-case name. `keep_alive`: the connection may be reused."""
+
     method: str
     target: str
     fields: dict[str, str]
     body: bytes = b""
-    keep: bool = True
+    keep_alive: bool = True
 
     @property
     def path(self) -> str:
@@ -40,31 +42,34 @@
 
 @dataclass(slots=True)
 class Response:
+    """A response. `fields` are the header fields by lower-case name. `keep_alive`: the connection may be reused."""
+
     status: int
     fields: dict[str, str]
     body: bytes = b""
-    keep: bool = True
+    keep_alive: bool = True
 
 
 async def read_head(conn: Connection) -> bytes:
-    """The start line and the fields, up to and with the empty line."""
-    seen = 0
-    while (at := conn.buffer.find(b"\r\n\r\n", max(0, seen - 3))) < 0:
-        seen = len(conn.buffer)
+    """Reads the start line and the header fields, including the empty line after them."""
+    searched = 0
+    while (position := conn.buffer.find(b"\r\n\r\n", max(0, searched - 3))) < 0:
+        searched = len(conn.buffer)
         if conn.buffer.peek(2) == b"\r\n":  # an empty line before a message is allowed
             conn.buffer.take(2)
-            seen = 0
+            searched = 0
             continue
-        if seen > HEAD:
+        if searched > HEAD:
             raise BadMessage(431, "the head is too large")
         await conn.fill()
-    if at > HEAD:
+    if position > HEAD:
         raise BadMessage(431, "the head is too large")
-    return conn.buffer.take(at + 4)
+    return conn.buffer.take(position + 4)
 
 
 def parse_fields(lines: list[bytes]) -> dict[str, str]:
-    """Fields by lower-case name. A repeated one is joined by commas, but not one that frames the message."""
+    """Returns the fields by lower-case name. Repeated fields are joined by commas, but fields that determine the
+    framing must not repeat."""
     if len(lines) > FIELDS:
         raise BadMessage(431, "too many fields")
     fields: dict[str, str] = {}
@@ -72,7 +77,7 @@
         name, colon, value = line.partition(b":")
         value = value.strip(b" \t")
         if not colon or not _TOKEN.fullmatch(name) or not _VALUE.fullmatch(value):
-            raise BadMessage(400, "a malformed field")  # folded lines and bare CR or LF among them
+            raise BadMessage(400, "a malformed field")  # including folded lines, bare CR and bare LF
         key, text = name.decode("ascii").lower(), value.decode("latin-1")
         if key in fields:
             if key in ("content-length", "transfer-encoding", "host"):
@@ -95,7 +100,7 @@
         raise BadMessage(400, "HTTP/1.0 has no transfer-encoding")
     if not old and "host" not in fields:
         raise BadMessage(400, "no host")
-    return Request(parts[0].decode(), parts[1].decode(), fields, keep=_keeps(fields, old))
+    return Request(parts[0].decode(), parts[1].decode(), fields, keep_alive=_keep_alive(fields, old))
 
 
 def parse_response(head: bytes) -> Response:
@@ -104,16 +109,16 @@
     if match is None:
         raise BadMessage(502, "a malformed status line")
     fields = parse_fields(lines[1:])
-    return Response(int(match[2]), fields, keep=_keeps(fields, match[1] == b"0"))
+    return Response(int(match[2]), fields, keep_alive=_keep_alive(fields, match[1] == b"0"))
 
 
-def _keeps(fields: dict[str, str], old: bool) -> bool:
+def _keep_alive(fields: dict[str, str], old: bool) -> bool:
     options = {x.strip() for x in fields.get("connection", "").lower().split(",")}
     return "close" not in options and (not old or "keep-alive" in options)
 
 
 def body_length(fields: dict[str, str]) -> int | None:
-    """The length that the fields tell (0: none); None where the body comes in chunks."""
+    """Returns the length of the body according to the header fields, or None if it has the chunked coding."""
     length, coding = fields.get("content-length"), fields.get("transfer-encoding")
     if coding is not None:
         if length is not None:
@@ -154,7 +159,7 @@
             raise BadMessage(413, "the body is too large")
         parts.append(await conn.take(size))
         await chunk_end(conn)
-    for _ in range(FIELDS):  # trailers are read and dropped
+    for _ in range(FIELDS):  # trailers are read and ignored
         line = await conn.line(1024)
         if line is None:
             raise BadMessage(400, "a malformed trailer")
@@ -165,14 +170,14 @@
 
 
 async def read_response(conn: Connection) -> Response:
-    """A whole response to a request that was no HEAD."""
+    """Reads a complete response, skipping 1xx ones. The request must not be HEAD."""
     while True:
         response = parse_response(await read_head(conn))
         if response.status >= 200:
             break
     if response.status not in (204, 304):
         if "content-length" not in response.fields and "transfer-encoding" not in response.fields:
-            response.keep = False  # such a body ends with the connection, and nothing here needs one
+            response.keep_alive = False  # the body extends to the end of the connection; no caller needs it
         else:
             response.body = await read_body(conn, response.fields)
     return response
--- a/millethead/net/probes.py
+++ b/millethead/net/probes.py
@@ -1,4 +1,4 @@
-"""Probes: a worker's load report, asked for over the pool."""
+"""Probes: requests for the load report of a worker, over the connection pool."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from millethead.decide.interface import Outcome, Report
 from millethead.exchange.core import Exchange
 from millethead.exchange.model import Worker
-from millethead.net.connection import Closed, Connection, Late, within
+from millethead.net.connection import Closed, Connection, PeerTimeout, with_timeout
 from millethead.net.parse import BadMessage, Response, read_response
 from millethead.net.pool import Address, ConnectFailed, Pool
 
 log = structlog.get_logger()
-PROBE_TIME = 0.5  # s: a worker that answers nothing should be noticed before many jobs are sent to it
-Reading = Callable[[str], Report | None]
+PROBE_TIMEOUT_S = 0.5  # short, to detect an unresponsive worker before many jobs are sent to it
+ReportParser = Callable[[str], Report | None]
 
 
-def report_reader(fields: dict[str, str]) -> Reading:
-    """Reads `inflight=7,x0=1.5` into a Report; `fields` gives the Report's field for a name."""
+def report_parser(fields: dict[str, str]) -> ReportParser:
+    """Returns a parser of load reports such as `inflight=7,x0=1.5`. `fields` maps names to fields of Report."""
 
     def read(text: str) -> Report | None:
         values: dict[str, Any] = {}
@@ -40,21 +40,23 @@
 
 
 class Probes:
-    def __init__(self, exchange: Exchange, pool: Pool, report: Reading, path: str = "/metrics/load") -> None:
-        self.exchange, self.pool, self.report, self.path = exchange, pool, report, path
+    """Requests load reports from workers and passes the results to the exchange."""
+
+    def __init__(self, exchange: Exchange, pool: Pool, parse_report: ReportParser, path: str = "/metrics/load") -> None:
+        self.exchange, self.pool, self.parse_report, self.path = exchange, pool, parse_report, path
 
     async def probe(self, worker: Worker) -> None:
         clock, began = self.exchange.clock, self.exchange.clock.now()
         outcome, report = Outcome.CONNECT_FAILED, None
         try:
-            response = await within(PROBE_TIME, self._ask(worker))
+            response = await with_timeout(PROBE_TIMEOUT_S, self._request(worker))
             if response.status == 200:
-                outcome, report = Outcome.OK, self.report(response.body.decode("latin-1"))
+                outcome, report = Outcome.OK, self.parse_report(response.body.decode("latin-1"))
             else:
                 outcome = Outcome.FULL if response.status == 503 else Outcome.ERROR
         except ConnectFailed:
             pass
-        except Late:
+        except PeerTimeout:
             outcome = Outcome.TIMEOUT
         except (Closed, BadMessage, OverflowError):
             outcome = Outcome.RESET
@@ -62,16 +64,16 @@
             log.info("probe_failed", worker=worker.name, outcome=outcome.name.lower())
         self.exchange.probed(worker, outcome, clock.now() - began, report)
 
-    async def _ask(self, worker: Worker) -> Response:
+    async def _request(self, worker: Worker) -> Response:
         if worker.address is None:
             raise ConnectFailed
         try:
-            return await self._ask_on(await self.pool.take(worker.address), worker.address)
+            return await self._request_on(await self.pool.acquire(worker.address), worker.address)
         except Closed:
-            # the worker may have closed a kept connection at that moment: that says nothing of its health
-            return await self._ask_on(await self.pool.take(worker.address, fresh=True), worker.address)
+            # the worker may have closed the idle connection at the same moment, which is no sign of a fault
+            return await self._request_on(await self.pool.acquire(worker.address, fresh=True), worker.address)
 
-    async def _ask_on(self, conn: Connection, address: Address) -> Response:
+    async def _request_on(self, conn: Connection, address: Address) -> Response:
         response = None
         try:
             host, port = address
@@ -80,6 +82,6 @@
             return response
         finally:
             if response is None:
-                conn.close()  # also when the time is up
+                conn.close()  # also on a timeout, which cancels this coroutine
             else:
-                self.pool.give_back(address, conn, response.keep)
+                self.pool.release(address, conn, response.keep_alive)
--- a/millethead/net/send.py
+++ b/millethead/net/send.py
@@ -1,4 +1,4 @@
-"""Server side over HTTP/1.1: attempts out to workers, and what their answers say of them."""
+"""Sends attempts to workers over HTTP/1.1, and maps their responses and call-backs to outcomes."""
 
 from __future__ import annotations
 
@@ -11,49 +11,53 @@
 from millethead.decide.interface import Outcome, Report
 from millethead.exchange.core import Exchange
 from millethead.exchange.model import Attempt, Worker
-from millethead.net.connection import Closed, Connection, Late, within
+from millethead.net.connection import Closed, Connection, PeerTimeout, with_timeout
 from millethead.net.parse import BadMessage, Response, read_response
 from millethead.net.pool import ConnectFailed, Pool, PoolFull
 from millethead.net.probes import Probes
 
 log = structlog.get_logger()
-LAST_BYTE_PAUSE = 0.004  # s that the last byte of a job waits
-CANCEL_TIME = 2.0  # s
-CANCELS = 64  # at once; more are dropped, since the worker's own limit ends the job as well
-ANSWER_LATE = 1.0  # s for the rest of an answer that no attempt waits for any more
+LAST_BYTE_DELAY_S = 0.004  # before the last byte of a request, to detect a reset of the connection first
+CANCEL_TIMEOUT_S = 2.0
+MAX_CONCURRENT_CANCELS = 64  # further cancels are dropped; the worker's own time limit ends those jobs
+LATE_RESPONSE_TIMEOUT_S = 1.0  # for the rest of a response that no attempt waits for any more
 
 
 class HttpWorkers:
-    """Reaches the workers that discovery lists, and tells the exchange how attempts end. Decides nothing."""
+    """The worker transport for workers listed by discovery. Sends the attempts that the exchange starts, and reports
+    their outcomes to it."""
 
-    def __init__(self, exchange: Exchange, pool: Pool, probes: Probes, report: Callable[[str], Report | None]) -> None:
-        self.exchange, self.pool, self.probes, self.report = exchange, pool, probes, report
+    def __init__(
+        self, exchange: Exchange, pool: Pool, probes: Probes, parse_report: Callable[[str], Report | None]
+    ) -> None:
+        self.exchange, self.pool, self.probes, self.parse_report = exchange, pool, probes, parse_report
         self._running: dict[tuple[str, str], Attempt] = {}
-        self._cancels: dict[tuple[str, str], asyncio.Future[None]] = {}  # under way, by job's id and worker
+        self._cancels: dict[tuple[str, str], asyncio.Future[None]] = {}  # in progress, by job id and worker name
 
-    # ---- what the exchange asks ----------------------------------------------------------------------
+    # ---- called by the exchange ----------------------------------------------------------------------
 
     def start(self, attempt: Attempt) -> None:
-        name = attempt.order.id, attempt.worker.name
-        if name in self._running:
-            # the two fronts' ids can be alike, and a worker's news could not be told apart
+        key = attempt.order.id, attempt.worker.name
+        if key in self._running:
+            # Jobs of the two front ends can have the same id. The worker's call-backs would then be ambiguous.
             self.exchange.ended(attempt, Outcome.NEVER_SENT)
             return
-        self._running[name] = attempt
-        IOLoop.current().spawn_callback(self._attempt, attempt)
+        self._running[key] = attempt
+        IOLoop.current().spawn_callback(self._run_attempt, attempt)
 
     def give_up(self, attempt: Attempt) -> None:
-        self._done(attempt)
-        conn, said = attempt.channel, False
-        if isinstance(conn, Connection):  # before the 202, closing says it
-            said = conn.quiet()
+        self._forget(attempt)
+        conn, cancelled = attempt.channel, False
+        if isinstance(conn, Connection):  # before the 202, closing the connection cancels the job
+            cancelled = conn.has_no_input()
             conn.close()
-        # a 202 that crossed the close may lie unread: the worker goes on, unless it is told
-        if attempt.fully_written and not said and attempt.worker.address is not None:
+        # if a 202 has arrived unread, the worker goes on until it receives a cancel
+        if attempt.fully_written and not cancelled and attempt.worker.address is not None:
             IOLoop.current().spawn_callback(self._cancel, attempt)
 
     def movable(self, attempt: Attempt) -> bool:
-        """Whether only news can end it, wherever that comes in: the worker has said 202."""
+        """Returns whether only a call-back can end the attempt, since the worker has responded with 202. Another
+        process can then wait for it."""
         return (
             attempt.fully_written
             and attempt.channel is None
@@ -61,34 +65,34 @@
         )
 
     def let_go(self, attempt: Attempt) -> None:
-        """Another process waits for it from now on."""
-        self._done(attempt)
+        """Stops waiting for an attempt that another process has taken over."""
+        self._forget(attempt)
 
     def take_over(self, attempt: Attempt) -> None:
-        """Wait for an attempt that the predecessor sent."""
+        """Waits for an attempt that the predecessor process has sent."""
         self._running[attempt.order.id, attempt.worker.name] = attempt
 
     def probe(self, worker: Worker) -> None:
         IOLoop.current().spawn_callback(self.probes.probe, worker)
 
-    # ---- an attempt ----------------------------------------------------------------------------------
+    # ---- sending -------------------------------------------------------------------------------------
 
-    async def _attempt(self, attempt: Attempt) -> None:
+    async def _run_attempt(self, attempt: Attempt) -> None:
         try:
-            await self._try(attempt)
+            await self._send(attempt)
         except Exception:
             log.exception("attempt_broke", job=attempt.order.id, worker=attempt.worker.name)
             self._end(attempt, Outcome.RESET if attempt.fully_written else Outcome.CONNECT_FAILED)
 
-    async def _try(self, attempt: Attempt) -> None:
+    async def _send(self, attempt: Attempt) -> None:
         address = attempt.worker.address
         if address is None:
             self._end(attempt, Outcome.NEVER_SENT)
             return
         try:
-            # a kept connection that a worker closes or resets as a job is written says it may have run;
-            # a handshake costs a worker about 2 ms, a job a second: each job gets a new connection
-            conn = await self.pool.take(address, fresh=True)
+            # Each job gets a new connection. If a worker closes or resets a reused connection while a job is written,
+            # the job may have run. A handshake costs a worker about 2 ms, a job about 1 s.
+            conn = await self.pool.acquire(address, fresh=True)
         except PoolFull:
             log.error("pool_full", worker=attempt.worker.name)
             self._end(attempt, Outcome.NEVER_SENT)
@@ -98,60 +102,61 @@
             return
         attempt.channel = conn
         try:
-            # the cancel of an earlier attempt names the same id, and must not come after this one
+            # a cancel of an earlier attempt has the same job id, and must not arrive after this attempt
             cancel = self._cancels.get((attempt.order.id, attempt.worker.name))
             if cancel is not None:
-                await within(self._left(attempt), asyncio.shield(cancel))
-            if not self._may_go(attempt):
+                await with_timeout(self._seconds_left(attempt), asyncio.shield(cancel))
+            if not self._may_send(attempt):
                 attempt.channel = None
-                self.pool.give_back(address, conn)
+                self.pool.release(address, conn)
                 self._end(attempt, Outcome.NEVER_SENT)
                 return
-            message = format_attempt(attempt, self._left(attempt))
-            # a worker begins with the last byte: held back for a moment, it shows a connection that is reset
-            # as the job comes, which so never ran, and may go elsewhere even if it must not run twice
-            await within(self._left(attempt), conn.write(message[:-1]))
-            await asyncio.sleep(LAST_BYTE_PAUSE)
-            if not self._may_go(attempt):  # it never had the last byte
+            message = format_attempt(attempt, self._seconds_left(attempt))
+            # A worker starts the job at the last byte. The delay before it reveals a connection that is reset while the
+            # request is written: the job has not run then, and may be sent elsewhere even if it must not run twice.
+            await with_timeout(self._seconds_left(attempt), conn.write(message[:-1]))
+            await asyncio.sleep(LAST_BYTE_DELAY_S)
+            if not self._may_send(attempt):  # the last byte is not sent
                 conn.close()
                 self._end(attempt, Outcome.NEVER_SENT)
                 return
-            if conn.broken():
+            if conn.socket_closed():
                 raise Closed
-            last = conn.begin(message[-1:])  # from here to `written` nothing else has its turn
-        except (Closed, Late):
+            last = conn.start_write(message[-1:])  # no await from here to `written`
+        except (Closed, PeerTimeout):
             conn.close()
-            self._end(attempt, Outcome.CONNECT_FAILED)  # broke before its last byte: never ran
+            self._end(attempt, Outcome.CONNECT_FAILED)  # failed before the last byte: the job has not run
             return
         self.exchange.written(attempt)
         try:
-            await within(self._left(attempt), last)  # where the system does not take it at once, it may go at any time
-            response = await within(self._left(attempt) + ANSWER_LATE, read_response(conn))
-        except (Closed, Late, BadMessage, OverflowError):
+            # the system may send the last byte at any time, also if it does not accept it at once
+            await with_timeout(self._seconds_left(attempt), last)
+            response = await with_timeout(self._seconds_left(attempt) + LATE_RESPONSE_TIMEOUT_S, read_response(conn))
+        except (Closed, PeerTimeout, BadMessage, OverflowError):
             conn.close()
             attempt.channel = None
             self._end(attempt, Outcome.RESET)
             return
         attempt.channel = None
-        self.pool.give_back(address, conn, response.keep)
-        self._answered(attempt, response)
+        self.pool.release(address, conn, response.keep_alive)
+        self._handle_response(attempt, response)
 
-    def _left(self, attempt: Attempt) -> float:
-        """s until nobody waits for the attempt any more."""
+    def _seconds_left(self, attempt: Attempt) -> float:
+        """Returns the seconds until the end of the attempt."""
         return (attempt.end - self.exchange.clock.now()) / 1000
 
-    def _may_go(self, attempt: Attempt) -> bool:
-        """Whether the job may still be sent on: nobody has given the attempt up, nor has earlier news ended it, its
-        worker takes new work, and a repeat is still dropped there if an earlier attempt has run."""
+    def _may_send(self, attempt: Attempt) -> bool:
+        """Returns whether the job may still be sent: the attempt is neither given up nor ended by a call-back, its
+        worker takes new work, and the worker would still detect a duplicate of an earlier attempt."""
         return (
             attempt.outcome is None
             and attempt.worker.wanted
             and self.exchange.clock.now() < min(attempt.end, attempt.write_deadline)
         )
 
-    def _answered(self, attempt: Attempt, response: Response) -> None:
+    def _handle_response(self, attempt: Attempt, response: Response) -> None:
         if response.status == 202:
-            self.exchange.taken(attempt)  # the rest comes as news
+            self.exchange.taken(attempt)  # the outcome arrives as a call-back
             return
         text = response.fields.get("x-server-load")
         outcome, unusable = Outcome.ERROR, 400 <= response.status < 500 and response.status not in (408, 429)
@@ -159,12 +164,12 @@
             outcome = Outcome.FULL
         elif response.status not in (500, 503, 504):
             log.warning("worker_answer_odd", worker=attempt.worker.name, status=response.status, job=attempt.order.id)
-        self._end(attempt, outcome, report=self.report(text) if text else None, unusable=unusable)
+        self._end(attempt, outcome, report=self.parse_report(text) if text else None, unusable=unusable)
 
-    def _done(self, attempt: Attempt) -> None:
-        name = attempt.order.id, attempt.worker.name
-        if self._running.get(name) is attempt:
-            del self._running[name]
+    def _forget(self, attempt: Attempt) -> None:
+        key = attempt.order.id, attempt.worker.name
+        if self._running.get(key) is attempt:
+            del self._running[key]
 
     def _end(
         self,
@@ -174,19 +179,21 @@
         report: Report | None = None,
         unusable: bool = False,
     ) -> None:
-        self._done(attempt)
+        self._forget(attempt)
         self.exchange.ended(attempt, outcome, result, report, unusable)
 
-    # ---- news ----------------------------------------------------------------------------------------
+    # ---- call-backs and cancels ----------------------------------------------------------------------
 
-    def news(self, job_id: str, worker: str, state: str, result: bytes, report: Report | None) -> bool:
-        """What a worker tells of a job; False if no attempt waits for it (any more)."""
+    def apply_callback(self, job_id: str, worker: str, state: str, result: bytes, report: Report | None) -> bool:
+        """Applies a worker's call-back about a job. Returns False if no attempt waits for it."""
         attempt = self._running.get((job_id, worker))
         if attempt is None or (not attempt.fully_written and state != "done"):
-            return False  # of an earlier attempt there: this one has not begun
+            return False  # belongs to an earlier attempt at this worker: this one has not been sent completely
         if state not in ("started", "running") and isinstance(conn := attempt.channel, Connection):
-            # it may never end its answer, and holds one of few connections as long as it is waited for
-            IOLoop.current().call_later(ANSWER_LATE, lambda: conn.close() if attempt.channel is conn else None)
+            # the worker may never complete its response, which would occupy one of few connections
+            IOLoop.current().call_later(
+                LATE_RESPONSE_TIMEOUT_S, lambda: conn.close() if attempt.channel is conn else None
+            )
         if state == "done":
             self._end(attempt, Outcome.OK, result, report)
         elif state == "failed":
@@ -194,46 +201,47 @@
         elif state == "lost":
             self._end(attempt, Outcome.RESET, report=report)
         elif state == "returned":
-            # where the job was here before, this may be the news of that earlier time once more, and proves
-            # nothing of this one
+            # After an earlier attempt at the same worker this may be a repeated call-back of that attempt. It does not
+            # prove that the job has not run in this one.
             self._end(attempt, Outcome.RESET if attempt.same_worker_earlier else Outcome.FULL, report=report)
         return True
 
     async def _cancel(self, attempt: Attempt) -> None:
-        address, name = attempt.worker.address, (attempt.order.id, attempt.worker.name)
-        if address is None or len(self._cancels) >= CANCELS or name in self._cancels:
+        """Asks the worker to cancel a job. Until this has finished, `_send` holds back a further attempt of the job at
+        the worker: the cancel would apply to it as well, since it has the same id."""
+        address, key = attempt.worker.address, (attempt.order.id, attempt.worker.name)
+        if address is None or len(self._cancels) >= MAX_CONCURRENT_CANCELS or key in self._cancels:
             return
-        told = self._cancels[name] = asyncio.get_running_loop().create_future()
+        finished = self._cancels[key] = asyncio.get_running_loop().create_future()
         try:
-            # one that is sent there anew meanwhile waits for this: the id would name that one too
-            conn = await self.pool.take(address)
+            conn = await self.pool.acquire(address)
             try:
-                await within(
-                    CANCEL_TIME,
+                await with_timeout(
+                    CANCEL_TIMEOUT_S,
                     conn.write(
                         f"DELETE /jobs/{attempt.order.id} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\n"
                         "Content-Length: 0\r\n\r\n".encode("latin-1")
                     ),
                 )
-                response = await within(CANCEL_TIME, read_response(conn))
-                self.pool.give_back(address, conn, response.keep)
-            except (Closed, Late, BadMessage, OverflowError):
+                response = await with_timeout(CANCEL_TIMEOUT_S, read_response(conn))
+                self.pool.release(address, conn, response.keep_alive)
+            except (Closed, PeerTimeout, BadMessage, OverflowError):
                 conn.close()
         except ConnectFailed:
             log.info("cancel_not_told", job=attempt.order.id, worker=attempt.worker.name)
         finally:
-            del self._cancels[name]
-            told.set_result(None)
+            del self._cancels[key]
+            finished.set_result(None)
 
 
-def format_attempt(attempt: Attempt, left: float) -> bytes:
-    """The request; `left`: s that its worker has."""
+def format_attempt(attempt: Attempt, seconds_left: float) -> bytes:
+    """Returns the HTTP request of an attempt. `seconds_left`: time limit of the worker."""
     order, address = attempt.order, attempt.worker.address or ("", 0)
     lines = [
         f"POST {order.target} HTTP/1.1",
         f"Host: {address[0]}:{address[1]}",
         f"X-Request-ID: {order.id}",
-        f"X-Timeout: {max(0.001, left):.3f}",
+        f"X-Timeout: {max(0.001, seconds_left):.3f}",
         f"Content-Length: {len(order.body)}",
     ]
     if order.once_key:
--- a/millethead/net/terms.py
+++ b/millethead/net/terms.py
@@ -1,7 +1,7 @@
-"""Time limits that follow from the platform's protocol: its figures and the settings in, limits in seconds out.
+"""Timeouts of requests to the discovery service, computed from the platform's protocol and the settings.
 
-Others take them from here and count them as deadlines on the steady clock, from the moment that the protocol counts
-from; a time limit for each read of its own would start anew with each byte.
+They are used as deadlines on the monotonic clock, counted from the event that the protocol counts from. A timeout per
+read would start again with each byte received.
 """
 
 from __future__ import annotations
@@ -10,32 +10,40 @@
 
 from millethead.decide.interface import Settings
 
-EMPTY_LINE = 2.0  # s: so often a watch on which nothing changes brings an empty line
-TOLD = 6.0  # s after which what discovery has to tell counts as told, whether it arrived or not
-MOVED = 4.0  # s after SIGHUP after which the news of the new address count as told
-ACT = 0.3  # s that reading a list and acting on it may take on a slow share of a core
-CONNECT = 1.0  # s for a connection to discovery to come up, where another call can come in time
+EMPTY_LINE_INTERVAL_S = 2.0  # an unchanged watch sends an empty line this often
+ANNOUNCED_AFTER_S = 6.0  # a change counts as announced this long after it, whether the announcement arrived or not
+MOVE_ANNOUNCED_AFTER_S = 4.0  # after SIGHUP: the list at the new address counts as announced
+PROCESSING_S = 0.3  # to parse a list and act on it with a slow share of a core
+CONNECT_TIMEOUT_S = 1.0  # for a connection to discovery; short enough for another call in time
 
 
 @dataclass(frozen=True, slots=True)
-class ListTerms:
-    """From the last sign of discovery (a whole line, the start of a call, the end of a watch) on, in s: `silence` until
-    a watch or call is given up that has brought no whole line, `again` until the next call has begun at the latest;
-    `connect`: for its connection to come up. `pushed`: lists count as told without being asked for."""
-
-    silence: float
-    connect: float
-    again: float
+class ListTimeouts:
+    """Timeouts in s. `silence_s` and `next_call_s` count from the last contact with discovery: a complete line, the
+    start of a call or the end of a watch.
+
+    `silence_s`: a watch or call without a complete line is abandoned. `connect_s`: time limit of establishing a
+    connection. `next_call_s`: the next call has begun at the latest. `pushed`: changes count as announced without a
+    request for the list."""
+
+    silence_s: float
+    connect_s: float
+    next_call_s: float
     pushed: bool
 
 
-def list_terms(settings: Settings) -> ListTerms:
-    """A change that a broken watch or a failed call has kept back counts as told after TOLD, and nothing new may go to
-    a worker that drains after the grace on top of it. Half an empty line's time more than its own has passed before a
-    watch counts as silent; two fifths of the rest let many dispatchers call one after another, and three fifths are
-    the next call's own. An agent that pushes lists has told a change as soon as it has it: there a quarter of the
-    grace goes by at most, from one try to the next and for a connection."""
-    grace, silence = settings.drain_grace / 1000, 1.5 * EMPTY_LINE
+def list_timeouts(settings: Settings) -> ListTimeouts:
+    """Returns the timeouts for the drain grace of `settings`.
+
+    A change that a broken watch or a failed call has delayed counts as announced after ANNOUNCED_AFTER_S. A worker that
+    drains must not get new jobs once the drain grace has passed after that. A watch counts as silent after 1.5
+    intervals of the empty line. Of the time that remains, two fifths let many dispatchers call one after another, and
+    three fifths are left to the next call.
+
+    With pushed lists a change counts as announced at once. There at most a quarter of the grace passes between calls,
+    and at most a quarter while connecting."""
+    grace_s, silence_s = settings.drain_grace / 1000, 1.5 * EMPTY_LINE_INTERVAL_S
     if settings.lists_pushed:
-        return ListTerms(silence, max(0.05, grace / 4), max(0.02, grace / 4), True)
-    return ListTerms(silence, CONNECT, silence + 0.4 * (TOLD + grace - ACT - silence), False)
+        return ListTimeouts(silence_s, max(0.05, grace_s / 4), max(0.02, grace_s / 4), True)
+    next_call_s = silence_s + 0.4 * (ANNOUNCED_AFTER_S + grace_s - PROCESSING_S - silence_s)
+    return ListTimeouts(silence_s, CONNECT_TIMEOUT_S, next_call_s, False)
--- a/millethead/operators.py
+++ b/millethead/operators.py
@@ -1,4 +1,4 @@
-"""The operator's file: what is off unless an operator sets it up. Each part owns its table; here they meet."""
+"""The operator's file, which enables optional parts. Each table is parsed by the part that owns it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from millethead.config import ConfigError
 
-if TYPE_CHECKING:  # what is not set up is not imported
+if TYPE_CHECKING:  # optional parts are imported only if they are enabled
     from millethead.admission.setup import AdmissionSetup
     from millethead.flows.setup import FlowSetup
     from millethead.frontends.faktory.setup import FaktorySetup
@@ -19,11 +19,13 @@
     from millethead.waiting.setup import WaitingSetup
 
 
-KEYS = ("faktory", "ipfix", "waiting", "door", "members", "rollout")
+TABLES = ("faktory", "ipfix", "waiting", "door", "members", "rollout")
 
 
 @dataclass(slots=True, frozen=True)
-class Operator:
+class OperatorSetup:
+    """The tables of the operator's file. None: the part is disabled."""
+
     faktory: FaktorySetup | None = None
     flows: FlowSetup | None = None
     waiting: WaitingSetup | None = None
@@ -32,9 +34,8 @@
     rollout: RolloutSetup | None = None
 
 
-def load_operator(path: str, classes: list[str], zones: list[str]) -> Operator:
-    """Read the file strictly, and each table by its owner's record; raises ConfigError, which names the file,
-    the key and what is wanted."""
+def load_operator(path: str, classes: list[str], zones: list[str]) -> OperatorSetup:
+    """Reads the operator's file. Raises ConfigError, which names the file, the key and the expected value."""
     from millethead.admission.setup import AdmissionSetup
     from millethead.flows.setup import FlowSetup
     from millethead.frontends.faktory.setup import faktory_setup
@@ -49,11 +50,11 @@
         if "door" in raw and find_spec("xxhash") is None:
             raise ConfigError("door: the package xxhash is wanted for it: install millethead[door]")
         for key in raw:
-            if key not in KEYS:
-                raise ConfigError(f"unknown key {key!r}; {', '.join(KEYS[:-1])} or {KEYS[-1]} are wanted")
+            if key not in TABLES:
+                raise ConfigError(f"unknown key {key!r}; {', '.join(TABLES[:-1])} or {TABLES[-1]} are wanted")
         if "rollout" in raw and "members" not in raw:
             raise ConfigError("rollout: it needs the table members")
-        return Operator(
+        return OperatorSetup(
             faktory_setup(raw["faktory"], Path(path).parent, classes, zones) if "faktory" in raw else None,
             read_table(raw["ipfix"], FlowSetup, "ipfix") if "ipfix" in raw else None,
             waiting_setup(raw["waiting"], classes) if "waiting" in raw else None,
--- a/millethead/program.py
+++ b/millethead/program.py
@@ -1,4 +1,4 @@
-"""The dispatcher put together, from its start to its end."""
+"""The dispatcher process: creates its parts, runs them, reloads the configuration and shuts down."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from tornado.netutil import bind_sockets
 from tornado.tcpserver import TCPServer
 
-from millethead.config import NAMED, Config, ConfigError, load_config
+from millethead.config import INDEXED_SETTINGS, Config, ConfigError, load_config
 from millethead.decide.interface import Tenant
 from millethead.decide.settings import report_field, report_fields
 from millethead.exchange.core import Exchange
 from millethead.exchange.stage import Stage
 from millethead.frontends.http import HttpFrontend
 from millethead.net.accept import BACKLOG, Acceptor
-from millethead.net.discovery import Discovery, Names
+from millethead.net.discovery import Discovery, WorkerListParser
 from millethead.net.exchange import LoopClock
-from millethead.net.news import read_news
+from millethead.net.news import process_callback
 from millethead.net.pool import Pool
-from millethead.net.probes import Probes, report_reader
+from millethead.net.probes import Probes, report_parser
 from millethead.net.send import HttpWorkers
-from millethead.net.terms import list_terms
-from millethead.operators import Operator
+from millethead.net.terms import list_timeouts
+from millethead.operators import OperatorSetup
 
-if TYPE_CHECKING:  # what is not set up is not imported
-    from millethead.console.desk import FrontDesk
+if TYPE_CHECKING:  # optional parts are imported only if they are enabled
+    from millethead.console.desk import DispatcherActions
     from millethead.console.server import Console
     from millethead.flows.ipfix import Exporter
     from millethead.frontends.faktory.session import FaktoryServer
@@ -44,31 +44,35 @@
     from millethead.succession.succession import Inherited, Succession
 
 log = structlog.get_logger()
-HANDING = 1.0  # s after SIGTERM in which jobs go to a successor before any is cut short
-GOES_ON = 0.6  # s after SIGTERM in which new connections are taken as before
-# ms after SIGTERM in which no SIGKILL comes: the longest deadline, or so much where it is longer, and more
-LONGEST, KILL_MARGIN = 3000.0, 700.0
-# s that clients who have just come have for their request when all else is answered, and for what follows that
-LAST, CLOSING = 0.25, 0.05
-CALLERS = 16  # connections of the staff at once: descriptors are kept back for them
-CALL_BACKS = 4  # connections, or a sixteenth of all, that jobs leave to call-backs and checks
-ANSWERED, TAKEN = 100.0, 800.0  # ms before that by which all is answered, and nothing is taken any more
+HANDOVER_PERIOD_S = 1.0  # after SIGTERM: jobs are handed over to a successor before any deadline is shortened
+ACCEPT_GRACE_S = 0.6  # after SIGTERM: new connections are accepted as before
+# SIGKILL follows SIGTERM no sooner than the longest deadline (counted as MAX_DRAIN_MS at most) plus KILL_MARGIN_MS.
+MAX_DRAIN_MS, KILL_MARGIN_MS = 3000.0, 700.0
+# When all else is answered, clients that have just connected have LAST_REQUESTS_S for their request. SHUTDOWN_S is
+# reserved for the steps after that.
+LAST_REQUESTS_S, SHUTDOWN_S = 0.25, 0.05
+CONSOLE_CONNECTIONS = 16  # descriptors reserved for the operator console
+MIN_CALLBACK_CONNECTIONS = 4  # reserved for call-backs and health checks, or a sixteenth of all if that is more
+# Before SIGKILL: all jobs are answered by ANSWER_MARGIN_MS, and no job is accepted after ACCEPT_MARGIN_MS.
+ANSWER_MARGIN_MS, ACCEPT_MARGIN_MS = 100.0, 800.0
 REPORT_NAMES = ("rif", "inflight", "q", "queue", "busy", "util", "x0", "x1")
 
 
 class Program:
+    """A dispatcher process. `load` reads the configuration again on a reload."""
+
     def __init__(
         self,
         config: Config,
-        operator: Operator | None = None,
+        operator: OperatorSetup | None = None,
         load: Callable[[], Config] = load_config,
         clock: LoopClock | None = None,
     ) -> None:
-        self.config, self.operator, self.load = config, operator or Operator(), load
+        self.config, self.operator, self.load = config, operator or OperatorSetup(), load
         clock = clock or LoopClock()
-        family = config.info.get("family_info") or {}
-        fields = {name: field for name in REPORT_NAMES if (field := report_field(name, family))}
-        report = report_reader(fields)
+        family_info = config.info.get("family_info") or {}
+        fields = {name: field for name in REPORT_NAMES if (field := report_field(name, family_info))}
+        parse_report = report_parser(fields)
         waiting = self.operator.waiting
         flows: tuple[Tenant, ...] = ()
         if waiting is not None:
@@ -76,7 +80,7 @@
 
             flows = (aged_flow(waiting),)
         self.exchange = Exchange(config.settings, config.seed, clock, flows)
-        # the stages that a job passes, from the last to the first
+        # the stages that a job passes, created from the last to the first
         self.stage: Stage = self.exchange
         admission_setup = self.operator.door
         if admission_setup is not None:
@@ -89,91 +93,104 @@
             from millethead.waiting.stage import WaitingStage
 
             self.stage = WaitingStage(self.stage, waiting, config.names("classes"), clock)
-        self.pool = Pool(0, *_times(config))
-        self.workers = HttpWorkers(self.exchange, self.pool, Probes(self.exchange, self.pool, report), report)
-        names = Names(config.names("azs"), config.names("kinds"))
-        self.discovery = Discovery(self.exchange, self.workers, config.discovery, names, list_terms(config.settings))
+        self.pool = Pool(0, *_pool_timeouts(config))
+        self.workers = HttpWorkers(
+            self.exchange, self.pool, Probes(self.exchange, self.pool, parse_report), parse_report
+        )
+        list_parser = WorkerListParser(config.names("azs"), config.names("kinds"))
+        self.discovery = Discovery(
+            self.exchange, self.workers, config.discovery, list_parser, list_timeouts(config.settings)
+        )
         self.exchange.discovery = self.discovery
-        front = self.front = HttpFrontend(
+        frontend = self.frontend = HttpFrontend(
             self.stage,
             config.names("classes"),
             config.names("tenants"),
-            self.workers.news,
-            report,
+            self.workers.apply_callback,
+            parse_report,
             admission_setup.header if admission_setup is not None else "",
         )
-        setup = self.operator.faktory
+        faktory_setup = self.operator.faktory
         self.faktory: FaktoryServer | None = None
-        room = self._share_sockets(config.sockets)
-        if setup is not None:
+        client_limit = self._share_sockets(config.sockets)
+        if faktory_setup is not None:
             from millethead.frontends.faktory.jobs import Jobs
             from millethead.frontends.faktory.session import FaktoryServer
             from millethead.frontends.faktory.workers import FaktoryWorkers
 
             jobs = Jobs(
-                setup, config.names("classes"), config.names("tenants"), [c.deadline for c in config.settings.classes]
+                faktory_setup,
+                config.names("classes"),
+                config.names("tenants"),
+                [c.deadline for c in config.settings.classes],
             )
-            fetchers = FaktoryWorkers(
-                self.exchange, jobs, names.zones.get(setup.zone, 0), names.kinds.get(setup.kind, len(names.kinds))
+            faktory_workers = FaktoryWorkers(
+                self.exchange,
+                jobs,
+                list_parser.zones.get(faktory_setup.zone, 0),
+                list_parser.kinds.get(faktory_setup.kind, len(list_parser.kinds)),
             )
-            self.faktory = FaktoryServer(self.stage, jobs, fetchers, config.sockets * 6 // 10 - room)
-        self.acceptor = Acceptor(front.serve, room)
+            self.faktory = FaktoryServer(self.stage, jobs, faktory_workers, config.sockets * 6 // 10 - client_limit)
+        self.acceptor = Acceptor(frontend.serve, client_limit)
         self.flows: Exporter | None = None
         if self.operator.flows is not None:
             from millethead.flows.ipfix import Exporter
 
             self.flows = Exporter(
-                self.operator.flows, config.listen, setup.listen if setup else None, config.names("classes")
+                self.operator.flows,
+                config.listen,
+                faktory_setup.listen if faktory_setup else None,
+                config.names("classes"),
             )
             self.stage.finished = self.flows.finished
         self.console: Console | None = None
         self.members: Members | None = None
         self.rollout: Rollout | None = None
-        self.desk: FrontDesk | None = None
+        self.console_actions: DispatcherActions | None = None
         self.succession: Succession | None = None
         if config.console is not None:
             from millethead.console.calls import Calls
-            from millethead.console.desk import FrontDesk
+            from millethead.console.desk import DispatcherActions
             from millethead.console.server import Console
-            from millethead.console.store import OutFile
+            from millethead.console.store import ExcludedWorkersFile
             from millethead.succession.succession import Succession
 
-            folder, whose = Path(gettempdir()), config.whose
+            folder, owner = Path(gettempdir()), config.state_owner
             self.succession = Succession(
                 folder,
                 config.name,
-                whose,
+                owner,
                 clock,
                 self.exchange,
                 self.workers,
                 self.discovery,
                 self.acceptor,
-                front.resume,
-                lambda body: read_news(body, report, self.workers.news, last=False),
-                self._share_with,
+                frontend.resume,
+                lambda body: process_callback(body, parse_report, self.workers.apply_callback, last=False),
+                self._share_with_predecessor,
                 self.stage is self.exchange,
             )
-            front.elsewhere = self.succession.elsewhere
-            self.desk = FrontDesk(
+            frontend.elsewhere = self.succession.elsewhere
+            self.console_actions = DispatcherActions(
                 self.exchange,
                 self.stage,
                 config.names("classes"),
-                OutFile(folder, config.name, whose),
-                self.takes,
+                ExcludedWorkersFile(folder, config.name, owner),
+                self.not_ready_reason,
                 self.succession.tell_out,
             )
-            self.console = Console(Calls(self.desk), CALLERS)
-            self.desk.more.append(front.figures)
+            self.console = Console(Calls(self.console_actions), CONSOLE_CONNECTIONS)
+            self.console_actions.extra_metrics.append(frontend.figures)
             if admission_setup is not None:
-                self.desk.more.append(admission.figures)
-        self.goes_on = GOES_ON
-        self._leaving: asyncio.Task[None] | None = None
-        self._until = math.inf  # steady clock, s: when it has to end, once it was told to
+                self.console_actions.extra_metrics.append(admission.figures)
+        self.accept_grace_s = ACCEPT_GRACE_S
+        self._drain_task: asyncio.Task[None] | None = None
+        self._end_deadline_s = math.inf  # monotonic time by which the process has to end; set on SIGTERM
         self.serving = asyncio.Event()
-        self._ended = asyncio.Event()
+        self._stop_event = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then until all that is held has its answer."""
+        """Serves until SIGTERM or SIGINT, and then until all held jobs are answered."""
         if threading.current_thread() is threading.main_thread():
             for number in (signal.SIGTERM, signal.SIGINT):
                 asyncio.get_running_loop().add_signal_handler(number, self.stop)
@@ -187,12 +204,12 @@
         if self.flows is not None:
             self.flows.start()
         if inherited is None:
-            self.discovery.known(self.config.known)
+            self.discovery.load_cached(self.config.known)
         elif self.succession is not None and inherited.listener is not None:
-            self.discovery.inherited(inherited.index, inherited.lines)
+            self.discovery.load_inherited(inherited.index, inherited.lines)
             self.succession.restore()
             while not self.exchange.ready and self.succession.before is not None:
-                await asyncio.sleep(0.02)  # the process before this one serves meanwhile
+                await asyncio.sleep(0.02)  # the predecessor still serves
             self.acceptor.add_sockets([inherited.listener])
         if self.succession is not None:
             self.succession.ready()
@@ -205,15 +222,15 @@
                 self.config.name,
                 f"{console[0]}:{console[1]}" if console else "",
                 self.config.seed,
-                self._in_fleet,
-                self.takes,
+                self._set_fleet_share,
+                self.not_ready_reason,
                 self.operator.rollout.office / 1000 if self.operator.rollout else math.inf,
             )
-            if self.desk is not None and self.console is not None:
+            if self.console_actions is not None and self.console is not None:
                 from millethead.members.calls import members_call
 
-                self.desk.more.append(self.members.figures)
-                self.console.calls.parts["/members"] = ("GET", members_call(self.members))
+                self.console_actions.extra_metrics.append(self.members.figures)
+                self.console.calls.handlers["/members"] = ("GET", members_call(self.members))
             if self.operator.rollout is not None:
                 self.rollout = self._rollout(self.operator.rollout, self.members)
             await self.members.start(replaces=inherited is not None)
@@ -221,10 +238,10 @@
                 self.rollout.start()
         log.info("serving")
         self.serving.set()
-        await self._ended.wait()
-        if self._leaving is not None:
-            self._leaving.cancel()
-        await self.acceptor.finish(max(0.05, min(LAST, self._until - time.monotonic())))
+        await self._stop_event.wait()
+        if self._drain_task is not None:
+            self._drain_task.cancel()
+        await self.acceptor.finish(max(0.05, min(LAST_REQUESTS_S, self._end_deadline_s - time.monotonic())))
         if self.faktory is not None:
             self.faktory.stop()
             self.faktory.close_all()
@@ -242,31 +259,37 @@
         self.discovery.stop()
         self.pool.stop()
         if threading.current_thread() is threading.main_thread():
-            # one more SIGHUP while the interpreter winds up must not turn an orderly end into a crash
+            # a SIGHUP during interpreter shutdown must not end the process with an error
             asyncio.get_running_loop().remove_signal_handler(signal.SIGHUP)
             signal.signal(signal.SIGHUP, signal.SIG_IGN)
         log.info("ended")
 
     async def _open_console(self) -> Inherited | None:
-        """Listen for the staff, and ask the process before this one, if there is one, for what it has."""
-        if self.console is None or self.desk is None or self.succession is None or self.config.console is None:
+        """Opens the operator console, and takes over the listener and the workers of the predecessor process. Returns
+        None if there is no predecessor or its state cannot be used."""
+        if (
+            self.console is None
+            or self.console_actions is None
+            or self.succession is None
+            or self.config.console is None
+        ):
             return None
         _listen(self.console, self.config.console)
         inherited = await self.succession.meet()
-        self.desk.restore()
+        self.console_actions.restore()
         if inherited is None:
             return None
         self.exchange.take_out(inherited.out)
         listener = inherited.listener
         if listener is None or listener.getsockname()[:2] != self.config.listen:
-            log.warning("predecessor_unusable", why="its listener is not ours")
+            log.warning("predecessor_unusable", why="it has no listener on this dispatcher's address")
             return None
         return inherited
 
-    def _share_with(self, clients: int, workers: int) -> None:
-        """The process before this one still has so many connections, which count as this one's."""
-        room = self._share_sockets(self.config.sockets)
-        self.acceptor.limit = max(8, room - clients)
+    def _share_with_predecessor(self, clients: int, workers: int) -> None:
+        """Lowers the limits by the connections that the predecessor process still holds."""
+        client_limit = self._share_sockets(self.config.sockets)
+        self.acceptor.limit = max(8, client_limit - clients)
         self.pool.limit = max(8, self.pool.limit - workers)
 
     def _rollout(self, setup: RolloutSetup, members: Members) -> Rollout:
@@ -278,37 +301,37 @@
         host = ProgramHost(self.exchange, self.stage, kinds, self.stop)
         rollout = Rollout(setup, members, host, kinds, self.config.names("classes"))
         if self.console is not None:
-            self.console.calls.parts.update(fleet_calls(rollout))
+            self.console.calls.handlers.update(fleet_calls(rollout))
         return rollout
 
-    def _in_fleet(self, share: float, until: float, nodes: int, node: int) -> None:
+    def _set_fleet_share(self, share: float, until: float, nodes: int, node: int) -> None:
         clock = self.exchange.clock
         self.exchange.in_fleet(share, clock.now() + (until - time.monotonic()) * 1000, nodes, node)
 
-    def takes(self) -> str:
-        """Why no clients are taken; empty when they are."""
+    def not_ready_reason(self) -> str:
+        """Returns why no clients are accepted, or an empty text if they are."""
         return (
             ""
             if self.serving.is_set() and self.stage.ready
-            else ("it leaves" if self._leaving is not None else "no booking worker is known yet")
+            else ("it leaves" if self._drain_task is not None else "no booking worker is known yet")
         )
 
     def reload(self) -> None:
-        """SIGHUP: read the configuration anew. What cannot change in service waits for a restart; a file
-        that cannot be used changes nothing."""
+        """Reads the configuration again, on SIGHUP. If a setting has changed that needs a restart, only the address of
+        discovery and the connection limit take effect. An invalid file changes nothing."""
         old = self.config
         try:
             new = self.load()
         except ConfigError as error:
             log.error("reload_failed", why=str(error))
             return
-        fixed = [
-            what
-            for what, differs in (
+        needs_restart = [
+            setting
+            for setting, differs in (
                 ("name", new.name != old.name),
                 ("listen", new.listen != old.listen),
                 ("console", new.console != old.console),
-                *((key, new.names(key) != old.names(key)) for key in NAMED),
+                *((key, new.names(key) != old.names(key)) for key in INDEXED_SETTINGS),
                 *(
                     (key, new.info.get(key) != old.info.get(key))
                     for key in ("zone", "self_index", "balancers", "membership_mode", "report")
@@ -318,77 +341,85 @@
             if differs
         ]
         log.info(
-            "reloaded", discovery=f"{new.discovery[0]}:{new.discovery[1]}", needs_restart=",".join(fixed) or "nothing"
+            "reloaded",
+            discovery=f"{new.discovery[0]}:{new.discovery[1]}",
+            needs_restart=",".join(needs_restart) or "nothing",
         )
-        if fixed:  # what comes next is held against what is in force, and not against this one
+        if needs_restart:  # the next reload is compared with the settings in force, not with these
             new = replace(old, discovery=new.discovery, sockets=new.sockets)
         elif new.settings != old.settings:
             self.stage.reconfigure(new.settings)
-            self.pool.set_times(*_times(new))
-            self.discovery.terms = list_terms(new.settings)
-        room = self._share_sockets(new.sockets)
-        self.acceptor.limit = room
+            self.pool.set_timeouts(*_pool_timeouts(new))
+            self.discovery.timeouts = list_timeouts(new.settings)
+        client_limit = self._share_sockets(new.sockets)
+        self.acceptor.limit = client_limit
         self.config = new
         self.discovery.move(new.discovery)
 
     def _share_sockets(self, sockets: int) -> int:
-        """Bounds the pool; returns what is left for clients. A few descriptors stay for loop, listeners
-        and discovery."""
+        """Sets the limit of the pool and returns that of client connections. A part of `sockets` stays reserved for the
+        event loop, the listeners and discovery."""
         self.pool.limit = sockets * 3 // 10
-        room = sockets * 6 // 10 - (CALLERS if self.config.console is not None else 0)
-        setup = self.operator.faktory
-        if setup is None:  # each job holds its client's connection: some stay for workers that tell of them
-            self.exchange.max_unanswered = max(1, room - max(CALL_BACKS, room // 16))
-        return room - (min(setup.connections, room // 2) if setup is not None else 0)
+        client_limit = sockets * 6 // 10 - (CONSOLE_CONNECTIONS if self.config.console is not None else 0)
+        faktory_setup = self.operator.faktory
+        if (
+            faktory_setup is None
+        ):  # each job occupies its client's connection: some are reserved for call-backs of workers
+            self.exchange.max_unanswered = max(1, client_limit - max(MIN_CALLBACK_CONNECTIONS, client_limit // 16))
+        return client_limit - (min(faktory_setup.connections, client_limit // 2) if faktory_setup is not None else 0)
 
     def stop(self) -> None:
+        """Starts the shutdown, on SIGTERM or SIGINT."""
         loop = asyncio.get_running_loop()
         if threading.current_thread() is threading.main_thread():
             for number in (signal.SIGTERM, signal.SIGINT):
                 loop.remove_signal_handler(number)
                 signal.signal(number, signal.SIG_IGN)
         log.info("stopping", held=self.stage.held)
-        if self._leaving is not None:
+        if self._drain_task is not None:
             return
         if self.members is not None:
             self.members.drain()
-        alive = min(LONGEST, max(c.deadline for c in self.config.settings.classes)) + KILL_MARGIN
-        self._until = time.monotonic() + alive / 1000 - CLOSING
-        self._leaving = loop.create_task(self._leave(alive))
-
-    async def _leave(self, alive: float) -> None:
-        """Whatever can go to a successor goes there. Without one new clients go elsewhere, but usual ones use the
-        connections they have while these stay open, and have nobody else until this node is back: they are served
-        while there is time."""
-        began = time.monotonic()
-        until = began + (alive - TAKEN) / 1000
+        kill_after_ms = min(MAX_DRAIN_MS, max(c.deadline for c in self.config.settings.classes)) + KILL_MARGIN_MS
+        self._end_deadline_s = time.monotonic() + kill_after_ms / 1000 - SHUTDOWN_S
+        self._drain_task = loop.create_task(self._drain_and_stop(kill_after_ms))
+
+    async def _drain_and_stop(self, kill_after_ms: float) -> None:
+        """Hands over jobs and connections to a successor process, if there is one, and shuts down.
+
+        Without a successor new clients go to other dispatchers. Regular clients, however, use their open connections,
+        and have no other dispatcher until this node is back. They are served as long as time permits."""
+        began_s = time.monotonic()
+        accept_until_s = began_s + (kill_after_ms - ACCEPT_MARGIN_MS) / 1000
         taken_over = self.succession is not None and self.succession.took_over
         if self.succession is not None and taken_over:
-            await self.succession.hand_over(began + HANDING)
-        # Faktory's clients wait for nobody: what they pushed ends by its own deadline
-        self.stage.leave(alive - ANSWERED - (time.monotonic() - began) * 1000 if self.faktory is None else None)
+            await self.succession.hand_over(began_s + HANDOVER_PERIOD_S)
+        # Faktory clients do not wait for an answer: their jobs keep their own deadlines
+        self.stage.leave(
+            kill_after_ms - ANSWER_MARGIN_MS - (time.monotonic() - began_s) * 1000 if self.faktory is None else None
+        )
         if self.succession is not None and taken_over:
-            await self.succession.hand_over(until)
+            await self.succession.hand_over(accept_until_s)
         else:
-            await asyncio.sleep(self.goes_on)
-        while time.monotonic() < until and (self.acceptor.open or self.stage.held):
+            await asyncio.sleep(self.accept_grace_s)
+        while time.monotonic() < accept_until_s and (self.acceptor.open or self.stage.held):
             await asyncio.sleep(0.05)
         self.drain()
 
     def finish(self) -> None:
-        """End at once, whatever is held."""
-        self._ended.set()
+        """Ends at once, with jobs unanswered."""
+        self._stop_event.set()
 
     def drain(self) -> None:
-        """Take nothing more; end when all that is held has its answer."""
+        """Accepts no more jobs, and ends when all held jobs are answered."""
         self.acceptor.drain()
-        self.stage.close(self._ended.set)
+        self.stage.close(self._stop_event.set)
 
 
-def _times(config: Config) -> tuple[float, float]:
-    """(ms that a connection to a worker may take to come up, ms that a worker keeps an idle one)."""
-    permit = config.info.get("permissions") or {}
-    return config.settings.connect_timeout, float(permit.get("keepalive") or 60_000.0)
+def _pool_timeouts(config: Config) -> tuple[float, float]:
+    """Returns (timeout of connecting to a worker, idle timeout of connections at the workers), in ms."""
+    permissions = config.info.get("permissions") or {}
+    return config.settings.connect_timeout, float(permissions.get("keepalive") or 60_000.0)
 
 
 def _listen(server: TCPServer, address: tuple[str, int], reuse_port: bool = False) -> None:
--- a/millethead/programs/serving.py
+++ b/millethead/programs/serving.py
@@ -35,9 +35,9 @@
 
 def serve(program: str, settings: ProcessSettings, level: str) -> None:
     """Serve until a signal."""
-    from millethead.logs import set_up
+    from millethead.logs import configure_logging
 
-    set_up(level, settings.node)
+    configure_logging(level, settings.node)
 
     async def run() -> None:
         if program == "control":
--- a/millethead/rollout/calls.py
+++ b/millethead/rollout/calls.py
@@ -10,7 +10,7 @@
 from msgspec import Meta
 
 from millethead.config import ConfigError
-from millethead.console.calls import Part, json_reply
+from millethead.console.calls import CallHandler, json_reply
 from millethead.members.setup import Name
 from millethead.net.accept import Reply
 from millethead.net.parse import Request
@@ -80,7 +80,7 @@
     """A call without a body, or with {}."""
 
 
-def fleet_calls(rollout: Rollout) -> dict[str, tuple[str, Part]]:
+def fleet_calls(rollout: Rollout) -> dict[str, tuple[str, CallHandler]]:
     """path -> (method, what answers it)"""
     desk = FleetDesk(rollout)
     posts: dict[str, Callable[[Any], Awaitable[State]]] = {
--- a/millethead/rollout/store.py
+++ b/millethead/rollout/store.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from millethead.errors import ConfigError
-from millethead.files import plain_name, write_whole
+from millethead.files import safe_file_name, write_atomically
 from millethead.rollout.register import Kept
 
 MAGIC = b"MHR1"
@@ -19,7 +19,7 @@
 
 def write_lasting(path: Path, data: bytes) -> None:
     """Write a file whole, its name on disk too; raises OSError."""
-    write_whole(path, data)
+    write_atomically(path, data)
     folder = os.open(path.parent, os.O_RDONLY)
     try:
         os.fsync(folder)  # else the new name may be lost with the power
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, folder: Path, name: str) -> None:
-        self.path = folder / f"{plain_name(name)}.agreed"
+        self.path = folder / f"{safe_file_name(name)}.agreed"
         self._number = 0
 
     def load(self) -> Kept:
--- a/millethead/succession/succession.py
+++ b/millethead/succession/succession.py
@@ -18,10 +18,10 @@
 from millethead.exchange.core import Exchange
 from millethead.exchange.handover import adopt, release
 from millethead.exchange.model import Answer, WorkerListing
-from millethead.net.accept import LEAVING, Acceptor, Reply
+from millethead.net.accept import RANK_CLOSING, Acceptor, Reply
 from millethead.net.connection import Connection
 from millethead.net.discovery import Discovery
-from millethead.net.exchange import LoopClock, awaited
+from millethead.net.exchange import LoopClock, answer_future
 from millethead.net.send import HttpWorkers
 from millethead.succession.link import Link, Meeting
 
@@ -81,7 +81,7 @@
         self._asked: dict[int, asyncio.Future[bool]] = {}
         self._asks = 0
         self._tasks: set[asyncio.Task[None]] = set()
-        discovery.heard = self._heard
+        discovery.on_list = self._heard
 
     # ---- taking over -------------------------------------------------------------------------------
 
@@ -206,10 +206,10 @@
             if found is None:
                 return
             said, body = found
-            what, fields = "job", {"job": said, "keeps": conn.keeps}
-        elif conn in self.acceptor.idle and not conn.midway and conn.stream.reading():
+            what, fields = "job", {"job": said, "keeps": conn.keep_alive}
+        elif conn in self.acceptor.idle and not conn.partially_read and conn.stream.reading():
             rank = self.acceptor.idle[conn][0]
-            if rank == LEAVING:
+            if rank == RANK_CLOSING:
                 return
             what, fields, body = "conn", {"rank": rank}, conn.buffer.peek(len(conn.buffer))
         else:
@@ -220,7 +220,7 @@
             conn.close()
             return
         link.send(what, fields, body, handed)
-        conn.handed = True
+        conn.handed_over = True
         conn.close()  # the successor's descriptor keeps it up
 
     # ---- what comes over the link ------------------------------------------------------------------
@@ -282,7 +282,7 @@
 
     def _adopt(self, said: dict[str, Any], body: bytes, sock: socket.socket) -> None:
         """At once, and not when the connection's own task runs: news of the job may be looked up before that."""
-        future, settle = awaited()
+        future, settle = answer_future()
         try:
             peer = sock.getpeername()[:2]
         except OSError:  # its client has just left, which its connection will find
--- a/millethead/tables.py
+++ b/millethead/tables.py
@@ -1,4 +1,4 @@
-"""Tables of the operator's file as msgspec records, with errors that name key, wanted value and found one."""
+"""Parses tables of the operator's file into msgspec records. Errors name the key, the expected and the found value."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from millethead.config import ConfigError, parse_address
 
 T = TypeVar("T")
-_WORDS = {
+_TYPE_NAMES = {
     "`int`": "a whole number",
     "`float`": "a number",
     "`str`": "a text",
@@ -19,50 +19,51 @@
     "`array`": "a list",
     "`object`": "a table",
 }
-_AT = re.compile(r"(.*?)(?: - at `\$([^`]*)`)?", re.DOTALL)
+_MESSAGE = re.compile(r"(.*?)(?: - at `\$([^`]*)`)?", re.DOTALL)
 
 
-class Local(tuple[str, int]):
-    """A loopback address, as (host, port); nothing else may be set up."""
+class LoopbackAddress(tuple[str, int]):
+    """A loopback address as (host, port). Other addresses are rejected."""
 
     __slots__ = ()
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table: a key that is not known is a mistake somebody should hear of."""
+    """Base class of tables. Unknown keys are errors."""
 
 
-def read_table(raw: Any, kind: type[T], where: str) -> T:
-    """`raw` as a record; raises ConfigError with one line that starts with the key."""
+def read_table(raw: Any, record: type[T], table: str) -> T:
+    """Converts `raw` to a record. Raises ConfigError with one line that starts with the key."""
     try:
-        return msgspec.convert(raw, kind, dec_hook=_read)
+        return msgspec.convert(raw, record, dec_hook=_decode)
     except msgspec.ValidationError as error:
-        raise ConfigError(_explain(str(error), raw, where)) from None
+        raise ConfigError(_explain(str(error), raw, table)) from None
 
 
-def _read(kind: type, raw: Any) -> Any:
-    if kind is not Local:
+def _decode(kind: type, raw: Any) -> Any:
+    if kind is not LoopbackAddress:
         raise NotImplementedError(kind)
     if not isinstance(raw, str):
         raise ValueError(f"a loopback address is wanted (host:port), not {raw!r}")
     try:
         host, port = parse_address(raw, "")
-        local = ip_address(host).is_loopback
+        is_loopback = ip_address(host).is_loopback
     except (ConfigError, ValueError):
-        local = False
-    if not local:
+        is_loopback = False
+    if not is_loopback:
         raise ValueError(f"a loopback address is wanted (host:port), not {raw!r}")
-    return Local((host, port))
+    return LoopbackAddress((host, port))
 
 
-def _explain(text: str, raw: Any, where: str) -> str:
-    match = _AT.fullmatch(text)
-    said, path = (match[1], match[2] or "") if match else (text, "")
+def _explain(text: str, raw: Any, table: str) -> str:
+    """Rewrites an error message of msgspec for operators."""
+    match = _MESSAGE.fullmatch(text)
+    message, path = (match[1], match[2] or "") if match else (text, "")
     found: Any = raw
-    key = where
+    key = table
     for part in re.findall(r"\.([^.\[]+)|\[(\d+|\.\.\.)\]", path):
         name, index = part
-        if name == "..." or index == "...":  # msgspec does not say which of a table's entries it means
+        if name == "..." or index == "...":  # msgspec does not name the entry
             found = None
             continue
         try:
@@ -70,14 +71,14 @@
         except (KeyError, IndexError, TypeError):
             found = None
         key = f"{key}.{name}" if name and key else f"{key}[{index}]" if index else name
-    if unknown := re.fullmatch(r"Object contains unknown field `(.*)`", said):
+    if unknown := re.fullmatch(r"Object contains unknown field `(.*)`", message):
         return f"{key or 'the file'}: unknown key {unknown[1]!r}"
-    if missing := re.fullmatch(r"Object missing required field `(.*)`", said):
+    if missing := re.fullmatch(r"Object missing required field `(.*)`", message):
         return f"{key}.{missing[1]}: it is missing".lstrip(".")
-    if wanted := re.fullmatch(r"Expected (.*?)(?:, got `.*`)?", said):
+    if wanted := re.fullmatch(r"Expected (.*?)(?:, got `.*`)?", message):
         words = wanted[1]
-        for name, plain in _WORDS.items():
+        for name, plain in _TYPE_NAMES.items():
             words = words.replace(name, plain)
         words = words.replace(" of length >= 1", " that is not empty")
         return f"{key}: {words} is wanted" + (f", not {found!r}" if found is not None else "")
-    return f"{key}: {said}"
+    return f"{key}: {message}"
--- a/millethead/waiting/stage.py
+++ b/millethead/waiting/stage.py
@@ -20,7 +20,7 @@
 from millethead.exchange.model import Answer, Cancellable, Final, Order
 from millethead.exchange.records import Record, Records, ended_unsent
 from millethead.exchange.stage import Amendment, Finished, InvalidOrder, Reply, Stage, reject_repeated
-from millethead.logs import Sparing
+from millethead.logs import RateLimitedLog
 from millethead.waiting.batch import sort_by_dependency
 from millethead.waiting.delayed_jobs import DelayedJobs
 from millethead.waiting.entry import EndReason, Entry, Finish, JobState, LimitReached, Offer
@@ -34,7 +34,7 @@
 _DELAYED_STATES = (JobState.SCHEDULED, JobState.WAITING, JobState.AGED)
 
 log = structlog.get_logger()
-sparing_log = Sparing()
+rate_limited_log = RateLimitedLog()
 
 
 class WaitingClock(Protocol):
@@ -114,7 +114,7 @@
         try:
             entry = self.delayed_jobs.arrive(order, reply, self._ended_record, self.clock.now(), self.clock.wall())
         except LimitReached as limit:
-            sparing_log.warning("waiting_full", job=order.id, cap=str(limit))
+            rate_limited_log.warning("waiting_full", job=order.id, cap=str(limit))
             reply(Answer(Final.REFUSED))
             return 0
         if entry.counts_toward_limits:
--- a/millethead/web/request_reader.py
+++ b/millethead/web/request_reader.py
@@ -5,7 +5,7 @@
 import re
 import time
 
-from millethead.net.connection import Connection, Late, within
+from millethead.net.connection import Connection, PeerTimeout, with_timeout
 from millethead.net.parse import (
     FIELDS,
     BadMessage,
@@ -32,10 +32,10 @@
     """Reads the next request with its body. Raises BadMessage, which has the status to respond with, for an invalid
     request, and Closed if the client disconnects before the last byte."""
     head = await _read_head(conn, limits)
-    conn.midway = True
+    conn.partially_read = True
     request = parse_request(head)
     if _HTTP_1_0.match(head):
-        request.keep = False
+        request.keep_alive = False
     length = _body_length(request.fields, limits.max_body_bytes)
     if "expect" in request.fields:
         await _handle_expectation(conn, request, length)
@@ -80,8 +80,8 @@
     """Waits for more bytes of the head and returns the deadline that applies from now on. The deadline is extended if
     this process was delayed past it, because bytes that arrived meanwhile have not been read."""
     try:
-        await within(deadline - time.monotonic(), conn.fill())
-    except Late:
+        await with_timeout(deadline - time.monotonic(), conn.fill())
+    except PeerTimeout:
         now = time.monotonic()
         if now < deadline + LATE_TIMEOUT_S:
             raise BadMessage(REQUEST_TIMEOUT, "the head of the request came too slowly") from None
@@ -127,8 +127,8 @@
         return conn.buffer.take(length)
     read = _read_chunks(conn, limits.max_body_bytes) if length is None else conn.take(length)
     try:
-        return await within(limits.body_timeout_s, read)
-    except Late:
+        return await with_timeout(limits.body_timeout_s, read)
+    except PeerTimeout:
         raise BadMessage(REQUEST_TIMEOUT, "the body of the request came too slowly") from None
 
 
--- a/millethead/web/server.py
+++ b/millethead/web/server.py
@@ -12,10 +12,10 @@
 import structlog
 from tornado.iostream import IOStream
 
-from millethead.logs import Sparing
-from millethead.net.accept import BACKLOG, FRESH, LEAVING, USUAL, Server
-from millethead.net.answer import WRITE_TIME
-from millethead.net.connection import Connection, Interrupted, Late, within
+from millethead.logs import RateLimitedLog
+from millethead.net.accept import BACKLOG, RANK_CLOSING, RANK_NEW, RANK_REGULAR, Server
+from millethead.net.answer import WRITE_TIMEOUT_S
+from millethead.net.connection import Connection, PeerTimeout, ReadInterrupted, with_timeout
 from millethead.net.parse import BadMessage, Request
 from millethead.web.dispatch import dispatch, internal_error, request_body
 from millethead.web.limits import HttpLimits
@@ -33,7 +33,7 @@
 ]
 
 log = structlog.get_logger()
-sparing_log = Sparing()
+rate_limited_log = RateLimitedLog()
 BIND_RETRY_S = 0.1  # pause between two attempts to bind a port that is in use
 BIND_TIMEOUT_S = 10.0  # how long to wait for a previous process to release the port
 FIRST_REQUEST_GRACE_S = 1.0  # during a drain, for connections that have not sent a request yet
@@ -120,14 +120,18 @@
         """Closes the connections that have received nothing since their last response. `fresh`: also those that have
         not sent a request yet."""
         for conn, (rank, _) in list(self.idle.items()):
-            if (rank == USUAL or (fresh and rank == FRESH)) and not conn.midway and conn.unheard():
-                conn.interrupt()
+            if (
+                (rank == RANK_REGULAR or (fresh and rank == RANK_NEW))
+                and not conn.partially_read
+                and conn.awaits_input()
+            ):
+                conn.interrupt_read()
 
     async def _wait_until_empty(self, seconds: float) -> None:
         """Waits until no connection is left, but no longer than `seconds`."""
         try:
             async with asyncio.timeout(max(0.0, seconds)):
-                while self.open or self._coming:
+                while self.open or self._pending_accepts:
                     self._no_connections.clear()
                     await self._no_connections.wait()
         except TimeoutError:
@@ -142,11 +146,11 @@
             if not self.open:
                 self._no_connections.set()
 
-    async def talk(self, conn: Connection) -> None:
+    async def handle_connection(self, conn: Connection) -> None:
         fresh = True
         while (request := await self._next_request(conn, fresh)) is not None:
-            self.work(conn)
-            conn.keeps = request.keep
+            self.mark_busy(conn)
+            conn.keep_alive = request.keep_alive
             try:
                 result = dispatch(self.app, request)
             except BadMessage as bad:
@@ -157,8 +161,8 @@
                 return
             if not await self._send(conn, request, response):
                 return
-            conn.midway, fresh = False, False
-            self.rest(conn, USUAL)
+            conn.partially_read, fresh = False, False
+            self.mark_idle(conn, RANK_REGULAR)
 
     async def _next_request(self, conn: Connection, fresh: bool) -> Request | None:
         """Reads the next request; returns None if the connection is to be closed."""
@@ -168,24 +172,24 @@
             return await read_request(conn, self.limits)
         except BadMessage as bad:
             await self._reject(conn, bad)
-        except Interrupted:
+        except ReadInterrupted:
             pass
         return None
 
     async def _first_byte(self, conn: Connection, fresh: bool) -> bool:
         """Whether a request starts before the idle time-out of the connection."""
-        if self.closing and not fresh and conn.quiet():
+        if self.closing and not fresh and conn.has_no_input():
             return False
         try:
-            await within(self.limits.idle_timeout_s, conn.fill())
-        except (Late, Interrupted):
-            return not conn.unheard()  # bytes in the socket arrived in time, the loop was only late to read them
+            await with_timeout(self.limits.idle_timeout_s, conn.fill())
+        except (PeerTimeout, ReadInterrupted):
+            return not conn.awaits_input()  # bytes in the socket arrived in time, the loop was only late to read them
         return True
 
     async def _reject(self, conn: Connection, bad: BadMessage) -> None:
         """Responds to an invalid request with an error, after which the connection is closed."""
-        sparing_log.warning("request_turned_away", status=bad.status, why=str(bad))
-        self.rest(conn, LEAVING)
+        rate_limited_log.warning("request_turned_away", status=bad.status, why=str(bad))
+        self.mark_idle(conn, RANK_CLOSING)
         await _write(conn, serialize_response(error_response(bad.status, str(bad)), keep_alive=False, head_only=False))
 
     async def _wait_for_deferred(self, conn: Connection, deferred: DeferredResponse) -> Response | None:
@@ -205,7 +209,7 @@
     async def _send(self, conn: Connection, request: Request, response: Response) -> bool:
         """Sends the response. Returns whether the connection stays open; during a drain, only if more requests are
         buffered."""
-        keep_alive = conn.keeps and not (self.closing and conn.quiet())
+        keep_alive = conn.keep_alive and not (self.closing and conn.has_no_input())
         head_only = request.method == "HEAD"
         try:
             message = serialize_response(response, keep_alive, head_only)
@@ -216,15 +220,16 @@
 
 
 async def _write(conn: Connection, message: bytes) -> None:
-    """Writes the whole message. Raises Late if the client does not read it, Closed if the client has disconnected."""
+    """Writes the whole message. Raises PeerTimeout if the client does not read it, and Closed if the client has
+    disconnected."""
     if len(message) > WRITE_CHUNK_BYTES:
-        await within(WRITE_TIME, _write_chunks(conn, message))
+        await with_timeout(WRITE_TIMEOUT_S, _write_chunks(conn, message))
         return
-    written = conn.begin(message)
+    written = conn.start_write(message)
     if isinstance(written, asyncio.Future) and written.done():  # the usual case: no timer is needed
         written.result()
     else:
-        await within(WRITE_TIME, written)
+        await with_timeout(WRITE_TIMEOUT_S, written)
 
 
 async def _write_chunks(conn: Connection, message: bytes) -> None:
--- a/tests/dispatcher_fixture.py
+++ b/tests/dispatcher_fixture.py
@@ -35,15 +35,15 @@
 # Timeouts of the dispatcher that no test checks are raised to TIMEOUT_S, so that a slow machine does not change a
 # result. For the same reason goal_time, after which a waiting job counts as late, is long in CLASSES.
 RAISED_TIMEOUTS = (
-    "millethead.net.accept.FIRST_TIME",
-    "millethead.net.accept.READ_TIME",
-    "millethead.net.accept.ASKED_TIME",
-    "millethead.frontends.faktory.session.FIRST_TIME",
-    "millethead.frontends.faktory.session.READ_TIME",
-    "millethead.net.probes.PROBE_TIME",
-    "millethead.net.send.CANCEL_TIME",
+    "millethead.net.accept.FIRST_REQUEST_TIMEOUT_S",
+    "millethead.net.accept.REQUEST_TIMEOUT_S",
+    "millethead.net.accept.NO_JOB_IDLE_TIMEOUT_S",
+    "millethead.frontends.faktory.session.FIRST_REQUEST_TIMEOUT_S",
+    "millethead.frontends.faktory.session.REQUEST_TIMEOUT_S",
+    "millethead.net.probes.PROBE_TIMEOUT_S",
+    "millethead.net.send.CANCEL_TIMEOUT_S",
     "millethead.frontends.faktory.session.FETCH_WAIT_S",
-    "millethead.console.server.CALL_TIME",
+    "millethead.console.server.CALL_TIMEOUT_S",
 )
 CLASSES: list[dict[str, Any]] = [
     {"name": "desk-search", "deadline": 7500.0, "goal_time": 30000.0, "effect": "retryable", "worth": 2.0},
--- a/tests/jump.py
+++ b/tests/jump.py
@@ -1,6 +1,7 @@
-"""A loop in which time passes only where nothing happens: real sockets, limits of minutes, no waiting.
+"""An event loop with simulated time: time advances only while nothing else happens. Tests use real sockets and timeouts
+of minutes without waiting for them.
 
-Whoever waits for a socket of another process is not helped by it: all peers run in this loop."""
+All peers have to run in this loop: it does not wait for another process."""
 
 from __future__ import annotations
 
@@ -13,29 +14,29 @@
 
 from tornado.ioloop import IOLoop
 
-TURN = 0.003  # real s that bytes may take on their way through a busy system before time passes
-WORK = 1e-6  # s that each turn of the loop takes: what asks again at once until a moment has passed gets there
+TRANSFER_S = 0.003  # real time that bytes may take through a busy system before simulated time advances
+ITERATION_S = 1e-6  # simulated time of each iteration: code that polls until a deadline gets there
 
 
 class _Selector(selectors.DefaultSelector):  # type: ignore[misc, valid-type]
     now = 1000.0
 
     def select(self, timeout: float | None = None) -> Any:
-        self.now += WORK
+        self.now += ITERATION_S
         found = super().select(0)
         if not found and (timeout is None or timeout > 0):
-            found = super().select(TURN if timeout is not None else 1.0)
+            found = super().select(TRANSFER_S if timeout is not None else 1.0)
             if not found and timeout is not None:
                 self.now += timeout
         return found
 
 
 def run(main: Callable[[], Awaitable[Any]]) -> Any:
-    """Run `main` in such a loop; `time.monotonic` is its clock."""
+    """Runs `main` in such a loop. `time.monotonic` returns its simulated time."""
     selector = _Selector()
     loop = asyncio.SelectorEventLoop(selector)
-    # tornado's loop works a delay out by two looks at the time of day: on a busy system real time passes between them,
-    # and a timer would fire that much too soon in this loop's time
+    # Tornado's loop computes a delay from two readings of the real clock. On a busy system time passes between them,
+    # and a timer would fire too early in simulated time.
     with (
         mock.patch.object(time, "monotonic", lambda: selector.now),
         mock.patch.object(IOLoop, "time", lambda loop: selector.now),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -21,7 +21,7 @@
 )
 from millethead.admission.setup import AdmissionSetup
 from millethead.admission.window import INTERVAL_MS, AdmissionWindow
-from millethead.console.figures import Figures, render
+from millethead.console.figures import MetricsSnapshot, render
 from millethead.decide.interface import Tenant
 from millethead.exchange import Final, Order
 from millethead.exchange.counters import JobCounters
@@ -244,7 +244,7 @@
         self.assertEqual(self.admission.held, 2)
 
     def metrics(self):
-        page = render(Figures([], JobCounters(0), 0, 0, 0, self.admission.figures())).decode()
+        page = render(MetricsSnapshot([], JobCounters(0), 0, 0, 0, self.admission.figures())).decode()
         return {
             (sample.name.removeprefix("dispatcher_door_"), *sample.labels.values()): sample.value
             for family in text_string_to_metric_families(page)
