--- a/tests/test_client_races.py
+++ b/tests/test_client_races.py
@@ -1,4 +1,4 @@
-"""Clients' connections with what crosses forced: the loop stands still until bytes, or an end, lie at the socket."""
+"""Races on client connections. A race is forced by blocking the event loop until bytes or a close reach the socket."""
 
 import asyncio
 import contextlib
@@ -15,8 +15,8 @@
 from tornado.iostream import IOStream
 
 from millethead.net import accept
-from millethead.net.buffer import MOST
-from millethead.net.connection import Closed, Connection, Interrupted, Late, within
+from millethead.net.buffer import MAX_BUFFER_BYTES
+from millethead.net.connection import Closed, Connection, PeerTimeout, ReadInterrupted, with_timeout
 
 UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 TAKEN = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
@@ -35,7 +35,7 @@
         self.sock.setblocking(False)
 
     def send(self, data):
-        """All of it, while the loop stands still."""
+        """Sends all of `data` while the event loop is blocked."""
         left = memoryview(data)
         while left:
             select.select([], [self.sock], [], TIMEOUT_S)
@@ -44,13 +44,13 @@
     async def recv(self):
         return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.sock, 1 << 16), TIMEOUT_S)
 
-    async def until(self, what):
-        got = b""
-        while what not in got:
+    async def until(self, expected):
+        received = b""
+        while expected not in received:
             part = await self.recv()
-            assert part, got
-            got += part
-        return got
+            assert part, received
+            received += part
+        return received
 
     def close(self):
         self.sock.close()
@@ -84,148 +84,150 @@
     return conn
 
 
-def there(conn):
-    """Hold the loop until something lies at the connection's socket."""
+def block_until_input(conn):
+    """Blocks the event loop until the connection's socket has unread input."""
     assert select.select([conn.stream.socket], [], [], TIMEOUT_S)[0]
 
 
-async def soon(true):
+async def soon(condition):
     async with asyncio.timeout(TIMEOUT_S):
-        while not true():
+        while not condition():
             await asyncio.sleep(0)
 
 
-async def resting(stage, client):
-    """A client whose connection has been used and stands idle, and the program's end of it."""
+async def idle_connection(stage, client):
+    """Returns a client with an idle connection that has sent a request, and the server's end of the connection."""
     one = client()
     one.send(UP)
     await one.until(b"ready\n")
     conn = server_end(stage)
-    await soon(lambda: conn.wants_more())
+    await soon(lambda: conn.reader_blocked())
     return one, conn
 
 
-# ---- a close at the wrong instant ----------------------------------------------------------------------
+# ---- closing in a race with input ----------------------------------------------------------------------
 
 
-async def hold(stage, client):
-    """Have a job held, so that the program cannot end yet."""
+async def hold_job(stage, client):
+    """Submits a job that is not answered, so that the program cannot end yet."""
     held = client()
     held.send(job(b"held"))
     await soon(lambda: stage.program.exchange.held)
 
 
-async def test_a_request_that_comes_as_its_connection_is_told_to_end_is_answered(stage, client):
-    """Closed in that turn it was reset: the look at the socket was before the close, the request between the two."""
-    one, conn = await resting(stage, client)
-    await hold(stage, client)
+async def test_request_that_arrives_as_an_idle_connection_is_drained_is_answered(stage, client):
+    """A request that arrived between the check of the socket and the close was lost, and the connection was reset."""
+    one, conn = await idle_connection(stage, client)
+    await hold_job(stage, client)
     stage.program.drain()
-    one.send(UP)  # after the look, before the connection's reader has its turn
-    there(conn)
+    one.send(UP)  # after the check, before the connection's reader continues
+    block_until_input(conn)
     answer = await one.until(b"\r\n\r\n")
     assert answer.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in answer
 
 
-async def test_what_comes_after_the_close_is_no_reset(stage, client):
-    """A reset would take along what was written before it, and the client could not tell what became of it."""
-    one, conn = await resting(stage, client)
-    await hold(stage, client)
+async def test_input_after_the_close_does_not_cause_a_reset(stage, client):
+    """A reset would discard the response written before it, and the client would not learn the result."""
+    one, conn = await idle_connection(stage, client)
+    await hold_job(stage, client)
     stage.program.drain()
-    assert await one.recv() == b""  # closed from that side
+    assert await one.recv() == b""  # the server has closed its side
     one.send(UP)
-    there(conn)
-    await soon(lambda: not conn.stream.closed() and conn.wants_more())  # taken from the socket
-    assert await one.recv() == b""  # and not answered, nor reset
+    block_until_input(conn)
+    await soon(lambda: not conn.stream.closed() and conn.reader_blocked())  # read from the socket
+    assert await one.recv() == b""  # neither answered nor reset
     one.close()
     await soon(lambda: conn.stream.closed())
 
 
-async def test_who_is_turned_away_for_want_of_room_is_not_reset(stage, client):
-    await hold(stage, client)
+async def test_connection_rejected_at_the_limit_is_not_reset(stage, client):
+    await hold_job(stage, client)
     stage.program.acceptor.limit = 1
     one = client()
-    one.send(job(b"x") * 9)  # all there before it is accepted
+    one.send(job(b"x") * 9)  # arrives before the connection is accepted
     assert await one.recv() == b""
 
 
-async def test_an_answer_that_went_out_while_the_program_began_to_end_is_the_last(stage, client, monkeypatch):
-    """It had said that the connection stays; idle, it stayed until the process ended."""
-    await hold(stage, client)
-    here, go = asyncio.Event(), asyncio.Event()
+async def test_connection_closes_after_a_response_sent_as_the_drain_begins(stage, client, monkeypatch):
+    """The response announced a persistent connection, which then stayed idle until the process ended."""
+    await hold_job(stage, client)
+    reached, resume = asyncio.Event(), asyncio.Event()
     send = accept.send_answer
 
-    async def parked(conn, message):
+    async def send_and_pause(conn, message):
         await send(conn, message)
-        here.set()
-        await go.wait()
+        reached.set()
+        await resume.wait()
 
-    monkeypatch.setattr(accept, "send_answer", parked)
+    monkeypatch.setattr(accept, "send_answer", send_and_pause)
     one = client()
     one.send(UP)
-    await asyncio.wait_for(here.wait(), TIMEOUT_S)
+    await asyncio.wait_for(reached.wait(), TIMEOUT_S)
     stage.program.drain()
-    go.set()
+    resume.set()
     assert b"ready\n" in await one.until(b"ready\n")
     assert await one.recv() == b""
     assert stage.program.exchange.held  # long before the process ends
 
 
-async def test_a_request_that_comes_as_its_time_is_over_is_answered(stage, client, monkeypatch):
-    monkeypatch.setattr(accept, "ASKED_TIME", 0.05)
+async def test_request_that_arrives_at_the_idle_timeout_is_answered(stage, client, monkeypatch):
+    monkeypatch.setattr(accept, "NO_JOB_IDLE_TIMEOUT_S", 0.05)
     one = client()
     one.send(UP)
     await one.until(b"ready\n")
     conn = server_end(stage)
-    await soon(lambda: conn.wants_more())
-    time.sleep(0.06)  # a loop that is busy elsewhere: it finds the time over and the request there
+    await soon(lambda: conn.reader_blocked())
+    time.sleep(0.06)  # blocks the loop, so that it finds both the timeout and the request
     one.send(UP)
-    there(conn)
+    block_until_input(conn)
     assert (await one.until(b"ready\n")).startswith(b"HTTP/1.1 200 ")
 
 
-async def test_room_is_not_made_over_a_request_that_its_reader_has_not_seen(stage, client, monkeypatch):
-    """Read by the loop, it lies in the buffer like half a request that may be closed over."""
-    armed, made, came = False, [], Connection._came
+async def test_connection_with_an_unprocessed_request_is_not_evicted(stage, client, monkeypatch):
+    """A complete request that is in the buffer before its reader continues looks like a partial request, which does not
+    protect the connection."""
+    armed, evictions, on_read = False, [], Connection._on_read
 
-    def look(self, reading):
-        came(self, reading)
+    def evict_after_read(self, reading):
+        on_read(self, reading)
         if armed:
-            made.append(stage.program.acceptor.make_room())
+            evictions.append(stage.program.acceptor.make_room())
 
-    monkeypatch.setattr(Connection, "_came", look)
-    one, _ = await resting(stage, client)
+    monkeypatch.setattr(Connection, "_on_read", evict_after_read)
+    one, _ = await idle_connection(stage, client)
     armed = True
     one.send(UP)
     assert (await one.until(b"ready\n")).startswith(b"HTTP/1.1 200 ")
-    assert made == [False]
+    assert evictions == [False]
 
 
-async def test_room_is_made_by_idle_ones_before_usual_ones_with_half_a_request(stage, client):
-    one, conn = await resting(stage, client)
+async def test_idle_connection_is_evicted_before_one_with_a_partial_request(stage, client):
+    one, conn = await idle_connection(stage, client)
     one.send(UP[:9])
-    await soon(lambda: len(conn.buffer) and conn.wants_more())
+    await soon(lambda: len(conn.buffer) and conn.reader_blocked())
     other = client()
     other.send(UP)
     await other.until(b"ready\n")
     await soon(lambda: len(stage.program.acceptor.idle) == 2)
-    await soon(lambda: all(each.wants_more() for each in stage.program.acceptor.open))
+    await soon(lambda: all(each.reader_blocked() for each in stage.program.acceptor.open))
     assert stage.program.acceptor.make_room()
     assert await other.recv() == b""
     one.send(UP[9:])
     assert (await one.until(b"ready\n")).startswith(b"HTTP/1.1 200 ")
 
 
-async def test_a_job_is_not_handed_over_over_bytes_that_the_loop_has_read(monkeypatch):
-    """Neither in the buffer nor at the socket, they went to nobody."""
+async def test_job_is_not_handed_over_while_read_bytes_are_not_in_the_buffer(monkeypatch):
+    """Bytes that the loop has read and not put into the buffer yet were lost in the handover."""
     async with DispatcherFixture(console=True) as stage:
-        succession, link, came, tried = stage.program.succession, mock.Mock(open=True, sent=True), Connection._came, []
+        succession, link = stage.program.succession, mock.Mock(open=True, sent=True)
+        on_read, tried = Connection._on_read, []
 
-        def look(conn, reading):
+        def hand_over_before_read(conn, reading):
             if conn.job:
                 tried.append(succession._give(link, conn))
-            came(conn, reading)
+            on_read(conn, reading)
 
-        monkeypatch.setattr(Connection, "_came", look)
+        monkeypatch.setattr(Connection, "_on_read", hand_over_before_read)
         worker = asyncio.create_task(serve(stage, done=False))
         one = Client(stage)
         one.send(job(b"a"))
@@ -237,13 +239,13 @@
         link.send.assert_not_called()
         (conn,) = stage.program.acceptor.open
         conn.buffer.take(1)
-        succession._give(link, conn)  # and as soon as there are none
+        succession._give(link, conn)  # succeeds once the buffer is empty
         assert link.send.call_args.args[0] == "job"
         one.close()
         worker.cancel()
 
 
-# ---- clients that leave --------------------------------------------------------------------------------
+# ---- clients that disconnect ---------------------------------------------------------------------------
 
 
 BEFORE = pytest.mark.parametrize(
@@ -253,44 +255,44 @@
 )
 
 
-async def leave(client, before):
+async def send_and_disconnect(client, before):
     await asyncio.wait_for(asyncio.get_running_loop().sock_sendall(client.sock, before), TIMEOUT_S)
     client.sock.shutdown(socket.SHUT_WR)
 
 
 @BEFORE
-async def test_the_end_behind_bytes_not_read_is_seen(stage, client, before):
-    """A look at the socket shows the bytes only, and the job went on for nobody."""
+async def test_disconnect_behind_unread_bytes_is_detected(stage, client, before):
+    """A peek at the socket shows only the bytes. The job went on although no client waited for it."""
     one = client()
     one.send(job(b"a"))
     await soon(lambda: stage.program.exchange.held)
     conn = server_end(stage)
-    await leave(one, before)
+    await send_and_disconnect(one, before)
     await soon(lambda: not stage.program.exchange.held)
-    assert len(conn.buffer) <= MOST
-    await soon(lambda: stage.program.front.left == 1)
+    assert len(conn.buffer) <= MAX_BUFFER_BYTES
+    await soon(lambda: stage.program.frontend.left == 1)
 
 
 @BEFORE
 @pytest.mark.parametrize("table", ["[waiting]\n", "[door]\n", "[door]\n[waiting]\n"])
-async def test_it_is_seen_wherever_the_job_stands(table, before):
-    """Held back by a stage, taken out of it and out of the exchange; no attempt begins."""
+async def test_disconnect_is_detected_in_every_stage(table, before):
+    """A job held by a stage is removed from it and from the exchange, and no attempt starts."""
     async with DispatcherFixture(table, workers=0) as stage:
         one = Client(stage)
         later = b"X-Run-At: %d\r\nX-Timeout" % (time.time() + 6) if "waiting" in table else b"X-Timeout"
         one.send(job(b"a").replace(b"X-Timeout", later))
         await soon(lambda: stage.program.stage.held)
-        await leave(one, before)
+        await send_and_disconnect(one, before)
         await soon(lambda: not stage.program.stage.held)
-        await soon(lambda: stage.program.front.left == 1)
+        await soon(lambda: stage.program.frontend.left == 1)
         assert not any(stage.program.exchange.counters.written)
         one.close()
 
 
 @BEFORE
-async def test_it_is_seen_after_a_hand_over(before, tmp_path, monkeypatch):
+async def test_disconnect_is_detected_after_a_handover(before, tmp_path, monkeypatch):
     async with DispatcherFixture(console=True) as old, AsyncExitStack() as more:
-        monkeypatch.setattr("millethead.program.gettempdir", lambda: str(tmp_path))  # else it would take over at once
+        monkeypatch.setattr("millethead.program.gettempdir", lambda: str(tmp_path))  # prevents an immediate takeover
         new = await more.enter_async_context(DispatcherFixture(console=True))
         link, worker = mock.Mock(open=True, sent=True), asyncio.create_task(serve(old, done=False))
         one = Client(old)
@@ -303,15 +305,15 @@
         assert what == "job" and not old.program.exchange.held
         new.program.succession._adopt(fields, body, socket.socket(fileno=handed))
         assert new.program.exchange.held
-        await leave(one, before)
+        await send_and_disconnect(one, before)
         await soon(lambda: not new.program.exchange.held)
-        await soon(lambda: new.program.front.left == 1)
-        assert old.program.front.left == 0  # it went on elsewhere
+        await soon(lambda: new.program.frontend.left == 1)
+        assert old.program.frontend.left == 0  # the job continued in the successor
         one.close()
         worker.cancel()
 
 
-async def test_a_reset_is_seen(stage, client):
+async def test_reset_is_detected(stage, client):
     one = client()
     one.send(job(b"a"))
     await soon(lambda: stage.program.exchange.held)
@@ -320,7 +322,7 @@
 
 
 @pytest.mark.parametrize("leave", [Client.close, Client.reset])
-async def test_who_has_gone_before_the_request_is_read_is_not_taken(stage, client, leave):
+async def test_request_of_a_disconnected_client_is_not_submitted(stage, client, leave):
     one = client()
     one.send(UP)
     await one.until(b"ready\n")
@@ -328,12 +330,12 @@
     with mock.patch.object(stage.program.exchange, "arrive") as arrive:
         one.send(job(b"a"))
         leave(one)
-        there(conn)
+        block_until_input(conn)
         await soon(lambda: not stage.program.acceptor.open)
     arrive.assert_not_called()
 
 
-async def test_what_came_ahead_is_the_next_request(stage, client):
+async def test_pipelined_requests_are_answered_in_order(stage, client):
     worker = asyncio.create_task(serve(stage))
     one, text = client(), job(b"a") + job(b"b") + UP + job(b"c") + UP
     one.send(text[:200])
@@ -348,13 +350,13 @@
     worker.cancel()
 
 
-async def test_who_sends_too_much_ahead_has_its_answer_and_no_other(stage, client):
+async def test_connection_closes_after_the_response_if_too_much_is_pipelined(stage, client):
     one = client()
     one.send(job(b"a"))
     await soon(lambda: stage.program.exchange.held)
     conn = server_end(stage)
     await asyncio.wait_for(asyncio.get_running_loop().sock_sendall(one.sock, UP * 10_000), TIMEOUT_S)
-    assert len(conn.buffer) <= MOST
+    assert len(conn.buffer) <= MAX_BUFFER_BYTES
     worker = asyncio.create_task(serve(stage))
     got = await one.until(b"did a")
     assert b"Connection: close" in got
@@ -365,13 +367,13 @@
 
 
 async def serve(stage, done=True):
-    """Worker 1 and 2 take each job, do it at once and tell so."""
+    """Runs workers 1 and 2, which accept each job and, if `done`, complete it at once."""
 
-    async def one(reader, writer, name):
+    async def serve_connection(reader, writer, name):
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
-            await talk(reader, writer, name)
+            await serve_requests(reader, writer, name)
 
-    async def talk(reader, writer, name):
+    async def serve_requests(reader, writer, name):
         while head := await reader.readuntil(b"\r\n\r\n"):
             if head.startswith(b"GET"):
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=2")
@@ -379,17 +381,17 @@
             writer.write(TAKEN)
             order = head.partition(b"X-Request-ID: ")[2].split(b"\r")[0].decode()
             if done:
-                stage.program.workers.news(order, name, "done", b"did " + order.encode(), None)
+                stage.program.workers.apply_callback(order, name, "done", b"did " + order.encode(), None)
 
     async def accept_all(peers, name):
         tasks = []
         while True:
-            tasks.append(asyncio.create_task(one(*await peers.accepted.get(), name)))
+            tasks.append(asyncio.create_task(serve_connection(*await peers.accepted.get(), name)))
 
     await asyncio.gather(*(accept_all(peers, f"s-{n:08x}") for n, peers in enumerate(stage.workers, 1)))
 
 
-# ---- one read at a time, whoever waits for it ----------------------------------------------------------
+# ---- reads with changing readers -----------------------------------------------------------------------
 
 STEPS = st.lists(
     st.one_of(
@@ -403,15 +405,15 @@
 
 @settings(deadline=None, max_examples=150, derandomize=True, phases=[Phase.generate])
 @given(STEPS)
-def test_no_byte_is_lost_or_moved_whoever_reads_or_gives_up(steps):
-    asyncio.run(follow(steps))
+def test_no_byte_is_lost_or_reordered_when_readers_change(steps):
+    asyncio.run(run_steps(steps))
 
 
-async def follow(steps):
+async def run_steps(steps):
     near, far = socket.socketpair()
     near.setblocking(False)
-    conn, sent, took = Connection(IOStream(near, max_buffer_size=accept.READ_BUFFER)), b"", b""
-    gave_up = False  # who gives up leaves the buffer alone until it reads again
+    conn, sent, took = Connection(IOStream(near, max_buffer_size=accept.READ_BUFFER_BYTES)), b"", b""
+    gave_up = False  # after a cancelled wait the buffer must not be used until the next read
     for what, how in steps:
         if what == "send":
             data = bytes((len(sent) + n) % 251 for n in range(how))
@@ -421,18 +423,18 @@
             conn.read_ahead(how)
         elif what == "late":
             gave_up = True
-            with pytest.raises(Late):
-                await within(0.0, conn.fill())
+            with pytest.raises(PeerTimeout):
+                await with_timeout(0.0, conn.fill())
         elif what == "fill" and len(sent) > len(took) + len(conn.buffer):
-            async with asyncio.timeout(TIMEOUT_S):  # a reader looks at the buffer in the turn in which it waits
+            async with asyncio.timeout(TIMEOUT_S):  # as a reader does, only if the buffer has no new bytes
                 await conn.fill()
             gave_up = False
         elif what == "interrupted":
             task = asyncio.create_task(conn.fill())
             await asyncio.sleep(0)
-            conn.interrupt()
+            conn.interrupt_read()
             gave_up = True
-            with contextlib.suppress(Interrupted):
+            with contextlib.suppress(ReadInterrupted):
                 await task
                 gave_up = False
         elif what == "turn":
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings of other deployments, and such as cannot be meant: refused with one line, or they work."""
+"""Unusual and invalid configurations: each is rejected with a one-line error, or works."""
 
 import asyncio
 import copy
@@ -9,11 +9,11 @@
 from dispatcher_fixture import SETTINGS, TIMEOUT_S, DispatcherFixture
 
 from millethead.config import ConfigError, load_config
-from millethead.console.store import OutFile
+from millethead.console.store import ExcludedWorkersFile
 from millethead.decide import interface as api
 from millethead.exchange import Exchange, Order, WorkerListing
 from millethead.lab.clock import VirtualClock
-from millethead.net.terms import list_terms
+from millethead.net.terms import list_timeouts
 
 CONFIG = {
     "name": "n1",
@@ -35,33 +35,33 @@
 
 
 def changed(at, odd):
-    """The configuration with an odd value in one place."""
-    said = copy.deepcopy(CONFIG)
-    where = said
+    """Returns the configuration with the value `odd` at the path `at`."""
+    document = copy.deepcopy(CONFIG)
+    parent = document
     for key in at[:-1]:
-        where = where[key]
-    where[at[-1]] = odd
-    return said
+        parent = parent[key]
+    parent[at[-1]] = odd
+    return document
 
 
-def config(tmp_path, said):
+def config(tmp_path, document):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(said))
+    path.write_text(json.dumps(document))
     return load_config({"BALANCER_CONFIG": str(path)})
 
 
-class Bounded(VirtualClock):
-    """A clock on which timers without end fail the test."""
+class BoundedClock(VirtualClock):
+    """A clock that fails the test if timers are set endlessly."""
 
-    set = 0
+    timers_set = 0
 
     def later(self, delay, call):
-        self.set += 1
-        assert self.set < 50_000, "it sets timers for ever"
+        self.timers_set += 1
+        assert self.timers_set < 50_000, "endless timers"
         return super().later(delay, call)
 
 
-class Side:
+class FailingTransport:
     def __init__(self, exchange):
         self.exchange = exchange
 
@@ -82,19 +82,21 @@
 
 @pytest.mark.parametrize("at", [at for at in places(CONFIG) if at], ids=lambda at: ".".join(map(str, at)))
 @pytest.mark.parametrize("odd", ODD, ids=repr)
-def test_an_odd_value_is_refused_in_one_line_or_can_be_worked_with(folder, at, odd):
-    """No classes, a tick of 0 or a list for a quota once ended the start with a traceback, or never ended it."""
+def test_odd_value_is_rejected_in_one_line_or_works(folder, at, odd):
+    """An empty list of classes, a tick of 0 or a list as a quota made the start fail with a traceback or hang."""
     try:
         made = config(folder, changed(at, odd))
     except ConfigError as error:
         assert "\n" not in str(error)
         return
-    clock, answers, names = Bounded(1000.0), [], made.names("classes")
+    clock, answers, names = BoundedClock(1000.0), [], made.names("classes")
     exchange = Exchange(made.settings, made.seed, clock)
-    assert list_terms(made.settings).again > 0 and made.whose
+    assert list_timeouts(made.settings).next_call_s > 0 and made.state_owner
     with mock.patch("millethead.exchange.module_queue.log.exception") as failed:
         exchange.listed(
-            Side(exchange), api.ListForm.FULL, [WorkerListing("w", started=1500.0, confirms=True), WorkerListing("x")]
+            FailingTransport(exchange),
+            api.ListForm.FULL,
+            [WorkerListing("w", started=1500.0, confirms=True), WorkerListing("x")],
         )
         for n in range(len(names)):
             exchange.arrive(Order(f"a{n}", n, min(5000.0, made.settings.classes[n].deadline)), answers.append)
@@ -117,7 +119,7 @@
         (("settings", "rules"), [1]),
     ],
 )
-def test_what_cannot_be_meant_is_refused(tmp_path, at, odd):
+def test_invalid_value_is_rejected(tmp_path, at, odd):
     with pytest.raises(ConfigError):
         config(tmp_path, changed(at, odd))
 
@@ -133,22 +135,23 @@
         ({"tenants": []}, False),
     ],
 )
-def test_what_another_deployment_left_under_the_same_name_is_not_used(tmp_path, change, same):
-    """Its numbers of classes, zones and tenants mean something else."""
+def test_state_of_another_deployment_of_the_same_name_is_ignored(tmp_path, change, same):
+    """Its indexes of classes, zones and tenants have other meanings."""
     ours = config(tmp_path, CONFIG)
     theirs = config(tmp_path, {**CONFIG, "settings": {**SETTINGS, **change}})
-    OutFile(tmp_path, theirs.name, theirs.whose).store(["w1"])
-    assert OutFile(tmp_path, ours.name, ours.whose).load() == (["w1"] if same else [])
+    ExcludedWorkersFile(tmp_path, theirs.name, theirs.state_owner).store(["w1"])
+    assert ExcludedWorkersFile(tmp_path, ours.name, ours.state_owner).load() == (["w1"] if same else [])
 
 
-async def test_a_name_twice_is_refused(tmp_path):
+async def test_duplicate_name_is_rejected(tmp_path):
     for key in ("azs", "kinds", "classes", "tenants"):
         with pytest.raises(ConfigError, match=f"{key}: a name stands there twice"):
             config(tmp_path, {**CONFIG, "settings": {**SETTINGS, key: SETTINGS[key][:1] * 2}})
 
 
-async def test_figures_of_other_classes_are_not_put_in_force_by_a_second_signal():
-    """The first says that it needs a restart; the second was held against it, and its figures went to other classes."""
+async def test_second_reload_does_not_apply_settings_that_need_a_restart():
+    """The second reload was compared with the settings of the first, which waited for a restart. Its values were then
+    applied to other classes."""
     async with DispatcherFixture() as stage:
 
         def reload(quota, classes):
@@ -171,30 +174,30 @@
         assert stage.program.exchange.settings.tenants[0].reservation == 4.0
 
 
-async def test_a_call_for_the_whole_list_does_not_outlive_a_move(monkeypatch):
-    """It went to the new address beside the new watch, and began that one's time limit anew."""
+async def test_pending_list_request_is_dropped_on_a_move(monkeypatch):
+    """The request was sent to the new address besides the new watch, whose timeout it restarted."""
     async with DispatcherFixture() as stage:
-        discovery, park, sleep = stage.program.discovery, asyncio.Event(), asyncio.sleep
-        here = asyncio.Event()
+        discovery, resume, sleep = stage.program.discovery, asyncio.Event(), asyncio.sleep
+        reached = asyncio.Event()
 
-        async def parked(seconds, *more):
+        async def sleep_or_pause(seconds, *more):
             if seconds == 0.625:
-                here.set()
-                await park.wait()
+                reached.set()
+                await resume.wait()
             else:
                 await sleep(seconds, *more)
 
         await asyncio.wait_for(stage.discovery.accepted.get(), TIMEOUT_S)
-        monkeypatch.setattr("millethead.net.discovery.PAUSE", 0.3125)
-        monkeypatch.setattr(asyncio, "sleep", parked)
-        discovery._unread = 2
+        monkeypatch.setattr("millethead.net.discovery.REQUEST_PAUSE_S", 0.3125)
+        monkeypatch.setattr(asyncio, "sleep", sleep_or_pause)
+        discovery._unusable_watches = 2
         discovery.watch(True)
-        await asyncio.wait_for(here.wait(), TIMEOUT_S)
-        with mock.patch.object(discovery, "_ask") as ask:
+        await asyncio.wait_for(reached.wait(), TIMEOUT_S)
+        with mock.patch.object(discovery, "_request_list") as request_list:
             discovery.move(("127.0.0.1", stage.workers[0].port))
-            park.set()
+            resume.set()
             await asyncio.wait_for(stage.workers[0].accepted.get(), TIMEOUT_S)
             for _ in range(20):
                 await sleep(0)
-        ask.assert_not_called()
+        request_list.assert_not_called()
         assert stage.workers[0].accepted.empty()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The second address: calls, figures, and workers out by hand."""
+"""The operator console: its calls, metrics, and the manual exclusion of workers."""
 
 import asyncio
 import json
@@ -16,13 +16,13 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from millethead.console.figures import escape
-from millethead.console.store import MOST, OutFile
+from millethead.console.store import MAX_WORKERS, ExcludedWorkersFile
 from millethead.decide import interface as api
 
 DOWN, UP = "/ops/booking-workers/down", "/ops/booking-workers/up"
 
 
-async def talk(port, data):
+async def exchange_bytes(port, data):
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     try:
@@ -34,8 +34,8 @@
 async def call(port, path, body=None, method=None):
     data = b"" if body is None else body if isinstance(body, bytes) else json.dumps(body).encode()
     head = f"{method or ('GET' if body is None else 'POST')} {path} HTTP/1.1\r\nHost: x\r\n"
-    said = await talk(port, f"{head}Content-Length: {len(data)}\r\n\r\n".encode() + data)
-    head, _, text = said.partition("\r\n\r\n")
+    response = await exchange_bytes(port, f"{head}Content-Length: {len(data)}\r\n\r\n".encode() + data)
+    head, _, text = response.partition("\r\n\r\n")
     return int(head.split(" ")[1]), text, head
 
 
@@ -47,11 +47,11 @@
         patch.start()
         self.addCleanup(patch.stop)
 
-    async def test_calls_and_what_is_said_of_bad_ones(self):
+    async def test_calls_and_error_replies(self):
         async with DispatcherFixture(console=True) as stage:
             port = stage.port("console")
             self.assertEqual((await call(port, "/ops/readiness"))[:2], (200, "yes\n"))
-            for path, body, method, status, says in (
+            for path, body, method, status, expected in (
                 ("/ops", None, None, 404, "/ops/stats"),
                 (DOWN, None, None, 405, "POST"),
                 ("/ops/stats", {}, None, 405, "GET"),
@@ -66,13 +66,13 @@
                 with self.subTest(path=path, body=body if body != b"x" * 70000 else "large"):
                     got, text, head = await call(port, path, body, method)
                     self.assertEqual((got, text.count("\n")), (status, 1))
-                    self.assertIn(says, text)
+                    self.assertIn(expected, text)
                     self.assertIn("Connection: close", head)
             self.assertEqual(stage.program.exchange.out, frozenset())
             stage.program.stage.leave(1000.0)
             self.assertEqual((await call(port, "/ops/readiness"))[0], 503)
 
-    async def test_who_says_nothing_or_half_a_call_keeps_no_true_one_out(self):
+    async def test_connections_without_a_complete_request_do_not_block_other_calls(self):
         async with DispatcherFixture(console=True) as stage:
             port, limit = stage.port("console"), stage.program.console.limit
             idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * limit)]
@@ -83,39 +83,41 @@
             for _, writer in idle:
                 writer.close()
         async with DispatcherFixture(console=True) as stage:
-            with mock.patch("millethead.console.server.CALL_TIME", 0.05):
-                self.assertIn(" 408 ", await talk(stage.port("console"), b"GET /ops/stats"))
-                self.assertEqual(await talk(stage.port("console"), b""), "")
+            with mock.patch("millethead.console.server.CALL_TIMEOUT_S", 0.05):
+                self.assertIn(" 408 ", await exchange_bytes(stage.port("console"), b"GET /ops/stats"))
+                self.assertEqual(await exchange_bytes(stage.port("console"), b""), "")
 
-    async def test_half_a_call_that_a_busy_loop_never_read_is_told_all_the_same(self):
-        """The time was over with the bytes still at the socket: the connection was reset, without a word."""
+    async def test_partial_request_unread_at_the_timeout_gets_408(self):
+        """If the loop is busy, the timeout fires with the bytes still unread in the socket. The connection was then
+        reset without a response."""
         async with DispatcherFixture(console=True) as stage:
             client = socket.create_connection(("127.0.0.1", stage.port("console")))
-            with mock.patch("millethead.console.server.CALL_TIME", 0.05), client:
+            with mock.patch("millethead.console.server.CALL_TIMEOUT_S", 0.05), client:
                 async with asyncio.timeout(TIMEOUT_S):
                     while not stage.program.console.open:
                         await asyncio.sleep(0)
                 client.sendall(b"GET /ops/stats")
-                time.sleep(0.1)  # the loop is busy for longer than a call may take
+                time.sleep(0.1)  # blocks the loop for longer than the timeout of a call
                 client.setblocking(False)
-                said = asyncio.get_running_loop().sock_recv(client, 4096)
-                self.assertIn(b" 408 ", await asyncio.wait_for(said, TIMEOUT_S))
+                response = asyncio.get_running_loop().sock_recv(client, 4096)
+                self.assertIn(b" 408 ", await asyncio.wait_for(response, TIMEOUT_S))
 
-    async def test_without_an_address_nothing_is_there_nor_imported(self):
+    async def test_console_is_disabled_without_an_address(self):
         async with DispatcherFixture() as stage:
             self.assertIsNone(stage.program.console)
 
-    async def test_out_holds_through_lists_and_a_new_process_and_one_call_ends_it(self):
+    async def test_exclusion_outlasts_lists_and_a_restart_and_one_call_ends_it(self):
         async with DispatcherFixture(console=True) as stage:
             port, program, name = stage.port("console"), stage.program, "s-00000001"
-            for _ in range(2):  # a set, not a count
+            for _ in range(2):  # a repeated call has no further effect
                 self.assertEqual((await call(port, DOWN, {"member": name}))[0], 200)
-            side, names = program.workers, program.discovery.names
-            for lines in ([], [names.entry(endpoint(1, 9, since_ms=5))]):  # it vanishes, and comes back anew
-                program.exchange.listed(side, api.ListForm.FULL, lines)
+            transport, parser = program.workers, program.discovery.parser
+            # the worker disappears from the list, and returns as a new process
+            for entries in ([], [parser.parse_entry(endpoint(1, 9, since_ms=5))]):
+                program.exchange.listed(transport, api.ListForm.FULL, entries)
                 self.assertFalse(any(w.wanted for w in program.exchange.workers))
             stats = (await call(port, "/ops/stats"))[1]
-            self.assertIn("dispatcher_hosts_listed 1\ndispatcher_hosts_down 1\n", re_gauges(stats))
+            self.assertIn("dispatcher_hosts_listed 1\ndispatcher_hosts_down 1\n", without_comments(stats))
         async with DispatcherFixture(console=True) as stage:
             port, program = stage.port("console"), stage.program
             self.assertEqual(program.exchange.out, {name})
@@ -124,14 +126,14 @@
         async with DispatcherFixture(console=True) as stage:
             self.assertEqual(stage.program.exchange.out, frozenset())
 
-    async def test_what_cannot_be_stored_is_answered_no_and_changes_nothing(self):
+    async def test_exclusion_that_cannot_be_stored_fails_without_effect(self):
         async with DispatcherFixture(console=True) as stage:
             port, name = stage.port("console"), "s-00000002"
-            with mock.patch.object(OutFile, "store", side_effect=OSError("full")):
+            with mock.patch.object(ExcludedWorkersFile, "store", side_effect=OSError("full")):
                 self.assertEqual((await call(port, DOWN, {"member": name}))[0], 503)
             self.assertTrue(stage.program.exchange.worker(name).wanted)
 
-    async def test_figures_count_what_peers_saw(self):
+    async def test_metrics_match_the_traffic(self):
         async with DispatcherFixture(console=True, workers=1) as stage:
             port = stage.port("console")
             text = (await call(port, "/ops/stats"))[1]
@@ -160,7 +162,7 @@
             ):
                 self.assertIn(f"dispatcher_{line}\n", text)
             writer.close()
-            # the figures as a Prometheus library reads them: every family typed, every class there
+            # parsed by a Prometheus library: every family has its type, every class a sample
             read = {family.name: family for family in text_string_to_metric_families(text)}
             self.assertEqual(read["dispatcher_failure"].type, "counter")
             self.assertEqual(read["dispatcher_inflight"].type, "gauge")
@@ -169,17 +171,17 @@
             self.assertEqual(set(tiers) - {"paid-booking"}, {t for t in tiers if tiers[t] == 0.0})
 
 
-def re_gauges(text):
+def without_comments(text):
     return "\n".join(line for line in text.split("\n") if line and not line.startswith("#")) + "\n"
 
 
-class Parts(unittest.TestCase):
+class UnitTest(unittest.TestCase):
     def test_labels_are_escaped(self):
         self.assertEqual(escape('a"b\\c\nd'), 'a\\"b\\\\c\\nd')
 
-    def test_a_file_that_is_torn_foreign_or_old_is_not_used(self):
+    def test_truncated_foreign_or_outdated_file_is_ignored(self):
         with tempfile.TemporaryDirectory() as folder:
-            file = OutFile(Path(folder), "n/1", "n/1 at x")
+            file = ExcludedWorkersFile(Path(folder), "n/1", "n/1 at x")
             self.assertEqual(file.load(), [])
             file.store({"b", "a"})
             self.assertEqual(file.load(), ["a", "b"])
@@ -195,15 +197,15 @@
                 b"",
             ):
                 file.path.write_bytes(bad)
-                with structlog.testing.capture_logs() as said:
+                with structlog.testing.capture_logs() as logged:
                     self.assertEqual(file.load(), [])
-                self.assertEqual([line["event"] for line in said], ["out_file_unusable"])
+                self.assertEqual([line["event"] for line in logged], ["out_file_unusable"])
             with self.assertRaises(OSError):
-                file.store(str(n) for n in range(MOST + 1))
+                file.store(str(n) for n in range(MAX_WORKERS + 1))
 
 
-class Module(unittest.TestCase):
-    """What the decision module makes of workers out by hand."""
+class DecisionModuleTest(unittest.TestCase):
+    """How the decision module treats workers that operators have excluded."""
 
     def setUp(self):
         job = api.JobClass(deadline=9000.0, aim=900.0, stretch=2.0, effect=api.Effect.UNSAFE)
@@ -219,7 +221,7 @@
         for number in numbers:
             self.node.handle(api.ProbeEnded(number, api.Outcome.OK, 1.0, api.Report(free_slots=4.0)))
 
-    def test_nothing_new_goes_there_and_a_call_back_forgives(self):
+    def test_excluded_worker_gets_no_jobs_and_its_return_clears_avoidance(self):
         node = self.node
         self.report(1, 2)
         self.out(1)
@@ -233,7 +235,7 @@
         self.report(1)
         self.assertIn([1], [node.workers_tried(job) for job in range(8)])
 
-    def test_with_all_out_jobs_are_refused_at_once(self):
+    def test_jobs_are_refused_at_once_if_all_workers_are_excluded(self):
         node = self.node
         self.report(1, 2)
         for job in range(12):
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the platform starts: the deploy file's commands, and what `run` asks of the system."""
+"""The commands of the deploy file that the platform starts, and the system calls that `run` makes."""
 
 import json
 import os
@@ -15,8 +15,8 @@
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-# the fleet's bench refuses further programs, and nobody comes to a Unix socket; there is no DNS
-WATCH = """
+# The platform's test bench refuses further processes, does not reach Unix sockets, and has no DNS.
+AUDITED_SERVE = """
 import socket, sys
 def watch(event, args):
     if event in ("os.fork", "os.forkpty", "os.posix_spawn", "os.exec", "os.system", "subprocess.Popen",
@@ -30,9 +30,9 @@
 """
 
 
-class Deploy(unittest.TestCase):
-    def test_build_brings_an_older_environment_up_to_date(self):
-        # `test -d .venv ||` left one without msgspec as it was, and `run` ended at its first import
+class DeployTest(unittest.TestCase):
+    def test_build_updates_an_older_environment(self):
+        # A build step guarded by `test -d .venv ||` kept an environment without msgspec, and `run` failed on import.
         with tempfile.TemporaryDirectory() as folder:
             old = Path(folder, ".venv", "bin", "python")
             old.parent.mkdir(parents=True)
@@ -42,7 +42,7 @@
             self.assertEqual(done.returncode, 0)
             self.assertIn("install -r requirements.txt", Path(folder, "calls").read_text())
 
-    def test_run_is_one_process_that_starts_no_other(self):
+    def test_run_is_one_process_without_children(self):
         self.assertTrue(DEPLOY["run"].startswith("exec "))
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, "config.json")
@@ -60,7 +60,7 @@
                 )
             )
             process = subprocess.Popen(
-                [sys.executable, "-c", WATCH],
+                [sys.executable, "-c", AUDITED_SERVE],
                 cwd=ROOT,
                 stderr=subprocess.PIPE,
                 stdout=subprocess.PIPE,
@@ -69,7 +69,7 @@
             lines = []
             for line in process.stdout:
                 lines.append(line)
-                if b"discovery_lost" in line:  # it has listened, asked discovery and been turned away
+                if b"discovery_lost" in line:  # it listens, and its connection to discovery was refused
                     break
             time.sleep(0.2)
             process.send_signal(signal.SIGTERM)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors run short: idle clients make room, nobody else loses theirs, and the listener goes on."""
+"""Shortage of descriptors: idle connections are closed, no others, and the listener recovers."""
 
 import asyncio
 import errno
@@ -19,11 +19,11 @@
 from millethead.net import accept
 
 ROOT = Path(__file__).parent.parent
-MOST = 96  # descriptors of the program
+MAX_DESCRIPTORS = 96  # descriptors of the program
 
 
 class Listener:
-    """A listener whose accept fails for want of a descriptor as long as `fails` says so."""
+    """A listener whose `accept` fails with a descriptor error while `fails` is set."""
 
     def __init__(self, sock, error):
         self.sock, self.error, self.calls, self.fails = sock, error, 0, True
@@ -39,21 +39,21 @@
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS])
-async def test_an_accept_that_fails_is_no_busy_loop_and_no_lost_listener(monkeypatch, error):
+async def test_listener_pauses_after_a_failed_accept_and_recovers(monkeypatch, error):
     pauses = []
     async with DispatcherFixture() as stage:
         server, loop = stage.program.acceptor, asyncio.get_running_loop()
         idle = Client(stage)
         idle.send(UP)
         await idle.until(b"ready\n")
-        await soon(lambda: all(conn.wants_more() for conn in server.open))
+        await soon(lambda: all(conn.reader_blocked() for conn in server.open))
         ((fd, sock),) = server._sockets.items()
         listener = server._sockets[fd] = Listener(sock, error)
         later = accept.IOLoop.current().call_later
         monkeypatch.setattr(
             accept.IOLoop.current(),
             "call_later",
-            lambda s, call: pauses.append(call) if (s == accept.ACCEPT_PAUSE) else later(s, call),
+            lambda s, call: pauses.append(call) if (s == accept.ACCEPT_PAUSE_S) else later(s, call),
         )
         one = Client(stage)
         one.send(UP)
@@ -61,7 +61,7 @@
         for _ in range(50):
             await asyncio.sleep(0)
         assert (listener.calls, len(pauses)) == (1, 1)
-        assert not server.open and await idle.recv() == b""  # it made room
+        assert not server.open and await idle.recv() == b""  # evicted
         listener.fails = False
         pauses.pop()()
         assert (await one.until(b"ready\n")).startswith(b"HTTP/1.1 200 ")
@@ -69,27 +69,27 @@
         assert loop.is_running()
 
 
-async def test_few_are_taken_before_the_limit_is_looked_at():
+async def test_few_connections_are_accepted_before_the_limit_is_checked():
     async with DispatcherFixture() as stage:
         server = stage.program.acceptor
-        server.limit, most, handle = 4, [], accept.Server.handle_stream
+        server.limit, counts, handle = 4, [], accept.Server.handle_stream
 
-        async def look(self, stream, address):
-            most.append(len(self.open) + self._coming)
+        async def count(self, stream, address):
+            counts.append(len(self.open) + self._pending_accepts)
             await handle(self, stream, address)
 
-        with mock.patch.object(accept.Server, "handle_stream", look):
+        with mock.patch.object(accept.Server, "handle_stream", count):
             crowd = [Client(stage) for _ in range(100)]
-            await soon(lambda: len(most) == 100)
+            await soon(lambda: len(counts) == 100)
             await asyncio.sleep(0)
-        assert max(most) <= 4 + accept.BEYOND
+        assert max(counts) <= 4 + accept.MAX_PENDING_ACCEPTS
         assert len(server.open) == 4
         for one in crowd:
             one.close()
 
 
-async def test_jobs_leave_room_for_those_who_tell_of_them():
-    """With a client on each connection no worker could say that a job was done, and all of them timed out."""
+async def test_connections_are_reserved_for_call_backs():
+    """With a waiting client on each connection no worker could send a call-back, and all jobs timed out."""
     async with DispatcherFixture() as stage:
         stage.path.write_text(json.dumps({**stage.config, "limits": {"sockets": 40}}))
         stage.program.reload()
@@ -102,16 +102,17 @@
         assert exchange.held == acceptor.limit - 4
         body = json.dumps({"id": "j0", "from": "s-00000001", "state": "done", "result": "ok"}).encode()
         for _ in range(9):
-            teller = Client(stage)
-            teller.send(b"POST /_jobs/news HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-            assert (await teller.until(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
-            crowd.append(teller)
+            worker = Client(stage)
+            worker.send(b"POST /_jobs/news HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+            assert (await worker.until(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
+            crowd.append(worker)
         for one in crowd:
             one.close()
 
 
-async def test_a_crowd_that_only_connects_takes_nothing_from_the_rest(tmp_path):
-    """The real program under a low limit of the system, with discovery down at first; 3,000 connect and say nothing."""
+async def test_clients_that_only_connect_do_not_disturb_others(tmp_path):
+    """Runs the dispatcher process with a low descriptor limit and discovery down at first, while 3,000 clients connect
+    without sending a request."""
     discovery, worker, port, console = free_port(), await PeerListener().open(), free_port(), free_port()
     path = tmp_path / "config.json"
     path.write_text(
@@ -122,7 +123,7 @@
                 "console": f"127.0.0.1:{console}",
                 "seed": "1",
                 "discovery": f"127.0.0.1:{discovery}",
-                "limits": {"sockets": MOST},
+                "limits": {"sockets": MAX_DESCRIPTORS},
                 "settings": SETTINGS,
                 "known": {
                     "index": 1,
@@ -140,7 +141,7 @@
         cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
         env={**os.environ, "BALANCER_CONFIG": str(path), "TMPDIR": str(tmp_path)},
-        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (MOST, MOST)),
+        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (MAX_DESCRIPTORS, MAX_DESCRIPTORS)),
     )
     crowd, lines, tasks = [], [], []
 
@@ -150,7 +151,7 @@
 
     async def ask(where, text, end):
         async with asyncio.timeout(TIMEOUT_S):
-            while True:  # as usual clients do: a close before the answer is one more try on a new connection
+            while True:  # a close before the answer is followed by a retry on a new connection
                 with suppress(ConnectionError, asyncio.IncompleteReadError):
                     reader, writer = await asyncio.open_connection("127.0.0.1", where)
                     writer.write(text)
@@ -221,8 +222,8 @@
         await reader.read()
 
 
-async def soon_real(true):
-    """Of another process: it needs time of its own."""
+async def soon_real(condition):
+    """Waits in real time until `condition` holds, for events of another process."""
     async with asyncio.timeout(TIMEOUT_S):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.01)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: deadlines that follow from the protocol, its bytes cut anywhere, moves, pushed lists."""
+"""The discovery client: timeouts, parsing of watches, changes of the address, pushed lists."""
 
 import asyncio
 import contextlib
@@ -13,8 +13,15 @@
 
 from millethead.config import load_config
 from millethead.decide import interface as api
-from millethead.net.discovery import BadList, Discovery, Lines, Names
-from millethead.net.terms import ACT, EMPTY_LINE, MOVED, TOLD, ListTerms, list_terms
+from millethead.net.discovery import Discovery, InvalidWorkerList, ListObjectSplitter, WorkerListParser
+from millethead.net.terms import (
+    ANNOUNCED_AFTER_S,
+    EMPTY_LINE_INTERVAL_S,
+    MOVE_ANNOUNCED_AFTER_S,
+    PROCESSING_S,
+    ListTimeouts,
+    list_timeouts,
+)
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 SET = api.Settings(classes=(api.JobClass(deadline=5000, aim=300),), ask_every=10_000.0)
@@ -29,59 +36,60 @@
     return text.encode() + b"\n"
 
 
-# ---- the deadlines -----------------------------------------------------------------------------------
+# ---- timeouts ----------------------------------------------------------------------------------------
 
 
 @given(grace=st.floats(100, 5000), pushed=st.booleans())
-def test_a_change_that_a_broken_watch_kept_back_is_known_before_the_grace_ends(grace, pushed):
-    terms = list_terms(replace(SET, drain_grace=grace, lists_pushed=pushed))
-    last = TOLD + grace / 1000 - ACT
-    assert terms.silence > EMPTY_LINE + 0.5  # a watch that stands is not taken for silent
-    if pushed:  # the next try, and its connection: the change counts as told as it comes about
-        assert terms.again + terms.connect <= grace / 1000 / 2 + 0.1
+def test_change_delayed_by_a_broken_watch_is_learned_within_the_grace(grace, pushed):
+    timeouts = list_timeouts(replace(SET, drain_grace=grace, lists_pushed=pushed))
+    last = ANNOUNCED_AFTER_S + grace / 1000 - PROCESSING_S
+    assert timeouts.silence_s > EMPTY_LINE_INTERVAL_S + 0.5  # an idle watch is not taken for silent
+    if pushed:  # the next call and its connect: the change counts as announced at once
+        assert timeouts.next_call_s + timeouts.connect_s <= grace / 1000 / 2 + 0.1
     else:
-        assert terms.silence < terms.again  # many need not call in one moment
-        assert last - terms.again >= 0.4 * (last - terms.silence)  # and the call has time to wait its turn
-        assert terms.connect < last - terms.again
-    assert terms.silence < last
+        assert timeouts.silence_s < timeouts.next_call_s  # calls of many dispatchers can be spread
+        assert last - timeouts.next_call_s >= 0.4 * (last - timeouts.silence_s)  # and a call has time to be queued
+        assert timeouts.connect_s < last - timeouts.next_call_s
+    assert timeouts.silence_s < last
 
 
-class Exchange:
+class FakeExchange:
     def __init__(self):
-        self.told = []
+        self.lists = []
 
-    def listed(self, side, form, lines=(), within=float("inf")):
-        self.told.append((form, within))
+    def listed(self, transport, form, entries=(), within=float("inf")):
+        self.lists.append((form, within))
 
 
-async def test_what_a_failed_call_leaves_of_the_time_is_told_to_the_module():
-    exchange = Exchange()
-    discovery = Discovery(exchange, None, ("127.0.0.1", 9), Names([], []), list_terms(SET))
+async def test_failed_list_has_the_time_until_the_next_call():
+    exchange = FakeExchange()
+    discovery = Discovery(exchange, None, ("127.0.0.1", 9), WorkerListParser([], []), list_timeouts(SET))
 
-    async def fails(turn):
-        discovery._sign -= 2.0  # a call that took so long before it failed
+    async def fails(generation):
+        discovery._last_contact_s -= 2.0  # the call took 2 s before it failed
         raise OSError
 
     before = time.monotonic()
-    discovery._sign = before
-    await discovery._run(discovery._turn, fails)
-    form, within = exchange.told[-1]
+    discovery._last_contact_s = before
+    await discovery._run(discovery._generation, fails)
+    form, within = exchange.lists[-1]
     assert form is api.ListForm.FAILED
-    assert within <= (discovery.terms.again - 2.0) * 1000
-    assert within >= (discovery.terms.again - 2.0 - (time.monotonic() - before)) * 1000
+    assert within <= (discovery.timeouts.next_call_s - 2.0) * 1000
+    assert within >= (discovery.timeouts.next_call_s - 2.0 - (time.monotonic() - before)) * 1000
 
 
-async def test_after_a_move_the_second_call_comes_sooner_since_its_news_count_sooner():
-    exchange = Exchange()
-    discovery = Discovery(exchange, None, ("127.0.0.1", 9), Names([], []), list_terms(SET))
+async def test_call_after_a_move_is_due_sooner():
+    """The list at a new address counts as announced sooner."""
+    exchange = FakeExchange()
+    discovery = Discovery(exchange, None, ("127.0.0.1", 9), WorkerListParser([], []), list_timeouts(SET))
     discovery.watch = lambda on: None
     discovery.move(("127.0.0.1", 10))
-    discovery._sign = time.monotonic()
-    first, second = discovery._spare(), discovery._spare()
-    assert first <= (discovery.terms.again - (TOLD - MOVED)) * 1000 < second
+    discovery._last_contact_s = time.monotonic()
+    first, second = discovery._until_next_call_ms(), discovery._until_next_call_ms()
+    assert first <= (discovery.timeouts.next_call_s - (ANNOUNCED_AFTER_S - MOVE_ANNOUNCED_AFTER_S)) * 1000 < second
 
 
-def test_the_module_calls_again_within_what_is_left():
+def test_decision_module_requests_the_next_call_in_time():
     from harness import Node, workers
 
     for nodes in (1, 30, 200):
@@ -96,11 +104,11 @@
                 assert sum(isinstance(a, api.WatchWorkers) for a in node.actions) > before
 
 
-# ---- what a watch writes -------------------------------------------------------------------------------
+# ---- parsing of watches --------------------------------------------------------------------------------
 
 
 @given(st.data())
-def test_objects_and_empty_lines_are_the_same_wherever_they_are_cut(data):
+def test_objects_and_empty_lines_do_not_depend_on_chunk_borders(data):
     parts = data.draw(
         st.lists(
             st.sampled_from(
@@ -117,63 +125,63 @@
         )
     )
     text = b"".join(parts)
-    lines, got, at = Lines(), [], 0
+    splitter, objects, at = ListObjectSplitter(), [], 0
     while at < len(text):
         size = data.draw(st.integers(1, len(text) - at))
-        got += lines.feed(text[at : at + size])
+        objects += splitter.feed(text[at : at + size])
         at += size
-    assert [json.loads(line) if line else None for line in got] == [
+    assert [json.loads(line) if line else None for line in objects] == [
         json.loads(part) if part.strip() else None for part in parts
     ]
 
 
 @pytest.mark.parametrize("text", [b"x\n", b'{"index":\n\n', b"[]\n", b"]\n"])
-def test_what_cannot_become_an_object_is_a_bad_line_at_once(text):
-    with pytest.raises(BadList):
-        Lines().feed(text)
+def test_line_that_cannot_become_an_object_is_rejected_at_once(text):
+    with pytest.raises(InvalidWorkerList):
+        ListObjectSplitter().feed(text)
 
 
-def test_a_line_that_never_ends_is_bounded():
-    lines = Lines()
-    with pytest.raises(BadList):
+def test_length_of_a_line_is_bounded():
+    splitter = ListObjectSplitter()
+    with pytest.raises(InvalidWorkerList):
         for _ in range(40):
-            lines.feed(b"{" + b" " * 50_000)
+            splitter.feed(b"{" + b" " * 50_000)
 
 
 # ---- on sockets ----------------------------------------------------------------------------------------
 
 
 async def watch(stage):
-    """The next call to discovery: (its head, reader, writer)."""
+    """Accepts the next call to discovery. Returns (head of the request, reader, writer)."""
     reader, writer = await asyncio.wait_for(stage.discovery.accepted.get(), TIMEOUT_S)
     return await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S), reader, writer
 
 
 @pytest.mark.parametrize(
-    "said", [b"", b"HTTP/1.1 200 OK\r\nX", HEAD, HEAD + chunk(b"\n") + b"5", HEAD + chunk(b"\n") + b'20\r\n{"index":']
+    "sent", [b"", b"HTTP/1.1 200 OK\r\nX", HEAD, HEAD + chunk(b"\n") + b"5", HEAD + chunk(b"\n") + b'20\r\n{"index":']
 )
-async def test_a_watch_that_dribbles_bytes_without_ending_a_line_is_silent(said):
-    """Each byte once gave it 7 s more; what it had missed counted as told 6 s after its last line."""
+async def test_watch_without_a_complete_line_counts_as_silent(sent):
+    """Each byte extended the timeout by 7 s, although a missed change counts as announced 6 s after the last line."""
     async with DispatcherFixture() as stage:
         discovery = stage.program.discovery
         _, reader, writer = await watch(stage)
-        discovery.terms = ListTerms(silence=0.4, connect=TIMEOUT_S, again=0.4, pushed=False)
-        writer.write(said)
-        over = asyncio.create_task(reader.read())
+        discovery.timeouts = ListTimeouts(silence_s=0.4, connect_s=TIMEOUT_S, next_call_s=0.4, pushed=False)
+        writer.write(sent)
+        closed = asyncio.create_task(reader.read())
         with contextlib.suppress(ConnectionError):
             until = time.monotonic() + TIMEOUT_S
-            while time.monotonic() < until and not over.done():  # bytes that never end anything
-                writer.write(b" " if b"index" in said else b"0" if said.startswith(HEAD) else b"a")
+            while time.monotonic() < until and not closed.done():  # bytes that never complete a line
+                writer.write(b" " if b"index" in sent else b"0" if sent.startswith(HEAD) else b"a")
                 await writer.drain()
-                await asyncio.wait([over], timeout=0.05)
-        await asyncio.wait([over], timeout=TIMEOUT_S)
-        # closed with a byte unread it ends as a reset, else plainly: both are the end that is wanted
-        assert over.done() and isinstance(over.exception(), ConnectionError | None)
+                await asyncio.wait([closed], timeout=0.05)
+        await asyncio.wait([closed], timeout=TIMEOUT_S)
+        # a close with an unread byte is a reset, otherwise an orderly close: both are expected
+        assert closed.done() and isinstance(closed.exception(), ConnectionError | None)
         again, *_ = await watch(stage)
         assert again.startswith(b"GET /discovery/hosts?follow=1")
 
 
-async def test_a_list_indented_over_several_lines_is_taken():
+async def test_list_over_several_lines_is_accepted():
     async with DispatcherFixture() as stage:
         _, _, writer = await watch(stage)
         text = listing(42, endpoint(1, 9, status="terminating"), endpoint(2, stage.workers[1].port), indent=2)
@@ -186,25 +194,25 @@
         assert exchange.worker("s-00000002").open and stage.program.discovery.index == 42
 
 
-async def test_versions_counted_anew_are_not_mixed_with_the_old_ones():
-    """Changes since a version that discovery no longer means would leave out what changed in between."""
+async def test_changes_with_restarted_versions_are_rejected():
+    """After discovery restarts its version count, changes since an old version would omit what changed in between."""
     async with DispatcherFixture() as stage:
         head, reader, writer = await watch(stage)
         assert b"since=41 " in head
         writer.write(HEAD + chunk(listing(3, endpoint(1, 9, status="terminating"), whole=False)))
         assert await asyncio.wait_for(reader.read(), TIMEOUT_S) == b""
-        assert stage.program.exchange.worker("s-00000001").open  # a bad list changes nothing
+        assert stage.program.exchange.worker("s-00000001").open  # an invalid list has no effect
         again, *_ = await watch(stage)
-        assert b"since" not in again  # the whole list is wanted
+        assert b"since" not in again  # the whole list is requested
 
 
 async def test_pushed_lists_are_watched_too():
-    """Where an agent pushes lists no watch was opened, and drains were never heard of (drain, 19 times on one day)."""
+    """With pushed lists no watch was opened, and dispatchers did not learn of drains (19 in one day)."""
     async with DispatcherFixture(settings={**SETTINGS, "membership_mode": "automatic"}) as stage:
         for _ in range(2):
             _, _, writer = await watch(stage)
             writer.write(HEAD + chunk(b"\n"))
-            writer.transport.abort()  # what comes about from now on counts as told at once
+            writer.transport.abort()  # changes from now on count as announced at once
         _, _, writer = await watch(stage)
         writer.write(HEAD + chunk(listing(42, endpoint(1, 9, status="terminating"), whole=False)))
         async with asyncio.timeout(TIMEOUT_S):
@@ -212,7 +220,7 @@
                 await asyncio.sleep(0)
 
 
-def test_the_configuration_says_whether_lists_are_pushed(tmp_path):
+def test_configuration_sets_whether_lists_are_pushed(tmp_path):
     for mode, pushed in (("automatic", True), ("subscribe", False)):
         path = tmp_path / "config.json"
         path.write_text(
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -9,13 +9,13 @@
 
 from millethead.admission.queue import AdmissionQueue
 from millethead.admission.setup import AdmissionSetup
-from millethead.console.figures import Figures, render
+from millethead.console.figures import MetricsSnapshot, render
 from millethead.exchange.counters import JobCounters
 from millethead.frontends.http import HttpFrontend
 from millethead.lab.clock import VirtualClock
 from millethead.members.setup import MembersSetup
 from millethead.members.shell import Members
-from millethead.tables import Local
+from millethead.tables import LoopbackAddress
 
 ROOT = Path(__file__).parent.parent
 SYSTEM_PACKAGES = (
@@ -52,10 +52,12 @@
         with tempfile.TemporaryDirectory() as folder:
             key = Path(folder, "key")
             key.write_bytes(b"k" * 16)
-            members = Members(MembersSetup(listen=Local(("127.0.0.1", 1)), key_file=str(key)), "n", "", 1, print)
+            members = Members(
+                MembersSetup(listen=LoopbackAddress(("127.0.0.1", 1)), key_file=str(key)), "n", "", 1, print
+            )
         admission = AdmissionQueue(Inner(), AdmissionSetup(), VirtualClock(), 1)
         front = HttpFrontend(Inner(), [], [], print, print)
         more = [*members.figures(), *admission.figures(), *front.figures()]
-        page = render(Figures([], JobCounters(0), 0, 0, 0, more)).decode()
+        page = render(MetricsSnapshot([], JobCounters(0), 0, 0, 0, more)).decode()
         self.assertEqual(figures, set(re.findall(r"# TYPE (\S+)", page)))
         self.assertEqual({word for word in words if "_" in word} - said - outcomes - figures, set())
--- a/tests/test_ipfix.py
+++ b/tests/test_ipfix.py
@@ -7,7 +7,7 @@
 from millethead.exchange import Answer, Final, Order
 from millethead.flows.ipfix import Exporter
 from millethead.flows.setup import FlowSetup
-from millethead.tables import Local
+from millethead.tables import LoopbackAddress
 
 TEMPLATES = (
     "0002 006c "  # template set of 108 bytes
@@ -43,7 +43,7 @@
         self.collector.close()
 
     def start_exporter(self, **settings):
-        setup = FlowSetup(collector=Local(self.collector.getsockname()), **settings)
+        setup = FlowSetup(collector=LoopbackAddress(self.collector.getsockname()), **settings)
         exporter = Exporter(setup, ("127.0.0.1", 8443), None, ["refund"], lambda: self.time)
         exporter.start()
         self.addCleanup(exporter.stop)
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""A listener that is about to close: nobody is established only to be reset."""
+"""Closing a listener: no connection is established that is then reset."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from millethead.net.listener import drop_connection_requests
 
-CLOSED_WITHIN_S = 5.0  # the system asks again after about 1 s
+CLOSED_WITHIN_S = 5.0  # the system repeats a connection request after about 1 s
 
 
 def listener() -> socket.socket:
@@ -24,33 +24,33 @@
 
 
 def established(client: socket.socket) -> bool:
-    """Loopback answers a connection request within the call that sends it."""
+    """Returns whether the connection is established. On loopback the handshake completes within `connect`."""
     return bool(select.select([], [client], [], 0.05)[1]) and not client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
 
-def test_whoever_stands_in_the_queue_is_served() -> None:
-    with listener() as served, connecting(served.getsockname()[1]) as before:
-        before.send(b"request")
+def test_queued_connection_is_served() -> None:
+    with listener() as served, connecting(served.getsockname()[1]) as queued:
+        queued.send(b"request")
         drop_connection_requests(served)
-        taken, _ = served.accept()
-        with taken:
-            assert taken.recv(16) == b"request"
+        accepted, _ = served.accept()
+        with accepted:
+            assert accepted.recv(16) == b"request"
 
 
-def test_nobody_is_established_between_the_last_look_at_the_queue_and_the_close() -> None:
+def test_no_connection_is_established_between_the_last_accept_and_the_close() -> None:
     served = listener()
     drop_connection_requests(served)
     served.setblocking(False)
     with pytest.raises(BlockingIOError):
         served.accept()  # the queue is empty
-    with connecting(served.getsockname()[1]) as late:  # the crossing, forced
+    with connecting(served.getsockname()[1]) as late:
         assert not established(late)
         served.close()
         assert select.select([], [late], [], CLOSED_WITHIN_S)[1]
         assert late.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0  # refused, not reset in the middle of a request
 
 
-def test_a_port_whose_owner_has_closed_it_is_taken_by_the_next_one() -> None:
+def test_pending_client_connects_to_the_next_owner_of_the_port() -> None:
     served = listener()
     port = served.getsockname()[1]
     drop_connection_requests(served)
@@ -59,5 +59,5 @@
         served.close()
         with socket.create_server(("127.0.0.1", port)) as successor:
             successor.settimeout(CLOSED_WITHIN_S)
-            taken, _ = successor.accept()
-            taken.close()
+            accepted, _ = successor.accept()
+            accepted.close()
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -1,7 +1,8 @@
-"""Lists after failed calls: a drain is known 6 s after discovery had it and could be reached, and the grace on top.
+"""Worker lists after outages of discovery: every dispatcher learns of a drain in time.
 
-A fleet of dispatchers' discovery clients and modules, on real sockets against one discovery that works off one call
-after another; time jumps (jump.py)."""
+The limit is ANNOUNCED_AFTER_S plus the drain grace after discovery has the change and is reachable. Runs the discovery
+clients and decision modules of many dispatchers on real sockets against one discovery that serves one call after
+another, in simulated time (jump.py)."""
 
 import asyncio
 import json
@@ -16,23 +17,23 @@
 
 from millethead.decide.settings import settings_from
 from millethead.exchange import Exchange
-from millethead.net.discovery import Discovery, Names
+from millethead.net.discovery import Discovery, WorkerListParser
 from millethead.net.exchange import LoopClock
-from millethead.net.terms import TOLD, list_terms
+from millethead.net.terms import ANNOUNCED_AFTER_S, list_timeouts
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-SERVICE = 0.05  # s that discovery works on one call
-QUEUE = 1.0  # s after which one that waited fails with 503
-DOWN = 5.0  # s, when it stops answering
-GRACE = SETTINGS["rules"]["drain_grace"] / 1000
+SERVICE_S = 0.05  # time that discovery spends on one call
+MAX_QUEUE_S = 1.0  # calls that have waited longer fail with 503
+OUTAGE_START_S = 5.0
+GRACE_S = SETTINGS["rules"]["drain_grace"] / 1000
 
 
-class Agent:
-    """Discovery: one call at a time. `mode`: what becomes of calls and open watches while it is down."""
+class FakeDiscovery:
+    """Discovery that serves one call at a time. `mode`: what happens to calls and open watches during the outage."""
 
     def __init__(self, mode):
         self.mode, self.down, self.index, self.drains = mode, False, 1, False
-        self.turn, self.calls, self.watches, self.outages = asyncio.Lock(), [], set(), 0
+        self.lock, self.calls, self.watches, self.outages = asyncio.Lock(), [], set(), 0
 
     async def open(self, port=0):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", port, backlog=512)
@@ -53,12 +54,12 @@
             if self.down:
                 await self.fail(reader, writer, follow)
                 return
-            came = time.monotonic()
-            async with self.turn:
-                if time.monotonic() - came > QUEUE:
+            arrived = time.monotonic()
+            async with self.lock:
+                if time.monotonic() - arrived > MAX_QUEUE_S:
                     writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
                     return
-                await asyncio.sleep(SERVICE)
+                await asyncio.sleep(SERVICE_S)
             writer.write(self.text(follow))
             outages = self.outages
             if follow:
@@ -68,7 +69,7 @@
                 if self.outages == outages:
                     writer.write(b"1\r\n\n\r\n")
             if self.mode in ("silent", "stops", "late"):
-                await reader.read()  # says nothing more, and notices only that the other side gives up
+                await reader.read()  # sends nothing more, until the client closes
         writer.close()
 
     async def fail(self, reader, writer, follow):
@@ -95,50 +96,52 @@
                 writer.transport.abort()
         self.watches.clear()
 
-    async def back(self):
+    async def recover(self):
         self.down, self.drains, self.index = False, True, 2
         if self.mode == "refused":
             await self.open(self.port)
 
 
 def fleet(count, port):
-    names = Names(SETTINGS["azs"], SETTINGS["kinds"])
-    made = []
+    parser = WorkerListParser(SETTINGS["azs"], SETTINGS["kinds"])
+    exchanges = []
     for n in range(count):
-        said = {**SETTINGS, "balancers": count, "self_index": n}
-        settings = settings_from(json.dumps(said).encode())[1]
+        document = {**SETTINGS, "balancers": count, "self_index": n}
+        settings = settings_from(json.dumps(document).encode())[1]
         exchange = Exchange(settings, n, LoopClock())
-        exchange.discovery = Discovery(exchange, mock.Mock(), ("127.0.0.1", port), names, list_terms(settings))
-        exchange.discovery.known({"index": 1, "snapshot": True, "endpoints": [endpoint(1, 9), endpoint(2, 9)]})
-        made.append(exchange)
-    return made
+        exchange.discovery = Discovery(exchange, mock.Mock(), ("127.0.0.1", port), parser, list_timeouts(settings))
+        exchange.discovery.load_cached({"index": 1, "snapshot": True, "endpoints": [endpoint(1, 9), endpoint(2, 9)]})
+        exchanges.append(exchange)
+    return exchanges
 
 
 async def outage(mode, length, count):
-    """(s from its return until each knows of the drain, calls in the time that the terms allow for that)."""
-    agent = await Agent(mode).open()
+    """Returns the seconds from the recovery until each dispatcher has learned of the drain, and the number of calls to
+    discovery within the time limit for that."""
+    discovery = await FakeDiscovery(mode).open()
     connect = IOStream.connect
 
     def never(stream, address, *more):
-        return asyncio.get_running_loop().create_future() if agent.down else connect(stream, address, *more)
+        return asyncio.get_running_loop().create_future() if discovery.down else connect(stream, address, *more)
 
     with mock.patch.object(IOStream, "connect", never if mode == "never up" else connect):
-        nodes = fleet(count, agent.port)
-        await asyncio.sleep(DOWN)
-        assert len(agent.watches) == count
-        await agent.stop()
+        nodes = fleet(count, discovery.port)
+        await asyncio.sleep(OUTAGE_START_S)
+        assert len(discovery.watches) == count
+        await discovery.stop()
         await asyncio.sleep(length)
-        back, known = time.monotonic(), {}
-        await agent.back()
-        while len(known) < count and time.monotonic() < back + 30:
+        recovered, delays = time.monotonic(), {}
+        await discovery.recover()
+        while len(delays) < count and time.monotonic() < recovered + 30:
             await asyncio.sleep(0.05)
             for n, node in enumerate(nodes):
                 if not node.worker("s-00000001").open:
-                    known.setdefault(n, time.monotonic() - back)
+                    delays.setdefault(n, time.monotonic() - recovered)
         for node in nodes:
             node.discovery.stop()
-        agent.server.close()
-        return list(known.values()), sum(back <= at <= back + TOLD + GRACE for at in agent.calls)
+        discovery.server.close()
+        limit = recovered + ANNOUNCED_AFTER_S + GRACE_S
+        return list(delays.values()), sum(recovered <= at <= limit for at in discovery.calls)
 
 
 MODES = ["503", "refused", "reset", "never up", "stops", "silent", "late"]
@@ -146,10 +149,10 @@
 
 @pytest.mark.parametrize("length", [1.0, 8.0, 60.0])
 @pytest.mark.parametrize("mode", MODES)
-def test_a_drain_is_known_in_time_after_discovery_is_back(mode, length):
+def test_drain_is_learned_in_time_after_an_outage(mode, length):
     count = 25
-    took, calls = jump.run(lambda: outage(mode, length, count))
-    assert len(took) == count
-    assert max(took) <= TOLD + GRACE, f"{max(took):.2f} s"
-    # and what they ask of it after its return stays under what it can do
-    assert calls * SERVICE < 0.7 * (TOLD + GRACE), calls
+    delays, calls = jump.run(lambda: outage(mode, length, count))
+    assert len(delays) == count
+    assert max(delays) <= ANNOUNCED_AFTER_S + GRACE_S, f"{max(delays):.2f} s"
+    # the calls after the recovery do not exceed the capacity of discovery
+    assert calls * SERVICE_S < 0.7 * (ANNOUNCED_AFTER_S + GRACE_S), calls
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -271,7 +271,7 @@
             writer.close()
             connection[1].close()
             await peers.close()
-            await asyncio.wait_for(stage.program._ended.wait(), TIMEOUT_S)
+            await asyncio.wait_for(stage.program._stop_event.wait(), TIMEOUT_S)
 
 
 class FlowExportTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as its operators meet it: configuration, operator's file, commands, signals."""
+"""The dispatcher process: configuration, operator's file, commands, signals, and units of the network code."""
 
 import asyncio
 import json
@@ -21,10 +21,10 @@
 from millethead.config import ConfigError
 from millethead.decide.interface import WorkerState
 from millethead.exchange import Worker, WorkerListing
-from millethead.logs import Sparing
-from millethead.net.accept import FAULTS
-from millethead.net.buffer import MOST, Buffer
-from millethead.net.discovery import BadList, Names
+from millethead.logs import RateLimitedLog
+from millethead.net.accept import MAX_CONSECUTIVE_ERRORS
+from millethead.net.buffer import MAX_BUFFER_BYTES, Buffer
+from millethead.net.discovery import InvalidWorkerList, WorkerListParser
 from millethead.net.pool import Pool
 from millethead.operators import load_operator
 
@@ -61,14 +61,14 @@
         done = self.run_it("check")
         self.assertEqual((done.returncode, done.stderr), (0, ""))
 
-    def test_check_shows_the_bounds_in_force(self):
+    def test_check_prints_the_limits_in_force(self):
         done = self.run_it("check", operator="[waiting]\njobs = 7\n[waiting.classes.refund]\nbound_s = 90\n")
         self.assertEqual((done.returncode, done.stderr), (0, ""))
         self.assertIn("waiting: 7 jobs, 16777216 bytes, 50000 edges, set times up to 2678400 s ahead", done.stdout)
         self.assertIn("refund: answered within 90 s of being due, refused ones wait on\n", done.stdout)
         self.assertIn("paid-booking: answered within 15 s of being due, refused ones are not kept\n", done.stdout)
 
-    def test_a_bad_configuration_ends_it_with_one_clear_line(self):
+    def test_invalid_configuration_ends_the_program_with_one_line(self):
         for config, says in (
             ("{", "config.json"),
             ({**CONFIG, "settings": {}}, "settings lack 'classes'"),
@@ -82,7 +82,7 @@
                 self.assertEqual(done.stderr.count("\n"), 1)
                 self.assertIn(says, done.stderr)
 
-    def test_a_bad_operators_file_ends_it_with_one_clear_line(self):
+    def test_invalid_operators_file_ends_the_program_with_one_line(self):
         good = '[faktory]\nlisten = "127.0.0.1:0"\n'
         for text, says in (
             ("[faktory", "operator.toml"),
@@ -107,7 +107,7 @@
                 self.assertEqual((done.returncode, done.stderr.count("\n")), (2, 1))
                 self.assertIn(says, done.stderr)
 
-    def test_the_examples_under_deploy_can_be_used(self):
+    def test_examples_in_deploy_are_valid(self):
         classes = ["desk-search", "usage-report", "paid-booking", "refund"]
         for path in (ROOT / "deploy").glob("operator*.toml"):
             made = load_operator(str(path), classes, ["tbilisi", "kutaisi"])
@@ -128,7 +128,7 @@
             env={**os.environ, "BALANCER_CONFIG": str(path)},
         )
 
-    async def test_sigterm_ends_an_idle_program_with_0(self):
+    async def test_sigterm_ends_an_idle_program_with_status_0(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(CONFIG))
@@ -136,13 +136,13 @@
             while b"event=serving" not in (line := await process.stdout.readline()):
                 self.assertTrue(line, "the program ended before it served")
             process.send_signal(signal.SIGTERM)
-            said = await asyncio.wait_for(process.stdout.read(), TIMEOUT_S)
-            self.assertIn(b"event=stopping", said)
-            self.assertIn(b"event=ended", said)
+            output = await asyncio.wait_for(process.stdout.read(), TIMEOUT_S)
+            self.assertIn(b"event=stopping", output)
+            self.assertIn(b"event=ended", output)
             self.assertEqual(await process.wait(), 0)
 
-    async def test_sighup_reads_the_file_anew_and_a_bad_one_changes_nothing(self):
-        """SIGHUP once ended the program with 129, and all that it held was lost."""
+    async def test_sighup_reloads_the_file_and_an_invalid_one_has_no_effect(self):
+        """SIGHUP ended the program with status 129, and all held jobs were lost."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(CONFIG))
@@ -159,18 +159,18 @@
                     self.assertTrue(line, "the program ended")
             process.send_signal(signal.SIGTERM)
             await asyncio.sleep(0)
-            process.send_signal(signal.SIGHUP)  # on its way out too
+            process.send_signal(signal.SIGHUP)  # also during the shutdown
             await asyncio.wait_for(process.stdout.read(), TIMEOUT_S)
             self.assertEqual(await process.wait(), 0)
 
-    async def test_a_reload_moves_the_watch_and_keeps_workers_and_readiness(self):
+    async def test_reload_moves_the_watch_and_keeps_workers_and_readiness(self):
         async with DispatcherFixture() as stage:
             program, other = stage.program, await PeerListener().open()
             self.addCleanup(other.close)
             old, _ = await asyncio.wait_for(stage.discovery.accepted.get(), TIMEOUT_S)
             self.assertIn(b"since=41 ", await old.readuntil(b"\r\n\r\n"))
             stage.path.write_text("{")
-            program.reload()  # a bad file: the old watch stays
+            program.reload()  # invalid file: the old watch stays
             self.assertEqual(program.discovery.address, ("127.0.0.1", stage.discovery.port))
             settings = {
                 **SETTINGS,
@@ -187,13 +187,13 @@
                 )
             )
             program.reload()
-            program.reload()  # once more: only the last watch counts, and there is but one
+            program.reload()  # repeated: only one watch remains
             self.assertEqual(await asyncio.wait_for(old.read(), TIMEOUT_S), b"")
             self.assertTrue(program.exchange.ready)
             self.assertEqual((program.pool.limit, program.acceptor.limit), (30, 60))
             self.assertEqual([f.total_reservation for f in program.exchange._module.flows], [0.004, 0.004])
             reader, writer = await asyncio.wait_for(other.accepted.get(), TIMEOUT_S)
-            # another service may count its versions otherwise: the whole list is asked for
+            # versions may differ at another service: the whole list is requested
             self.assertNotIn(b"since", await reader.readuntil(b"\r\n\r\n"))
             lines = [endpoint(1, stage.workers[0].port, status="terminating"), endpoint(2, stage.workers[1].port)]
             line = json.dumps({"index": 2, "snapshot": True, "endpoints": lines}).encode() + b"\n"
@@ -203,7 +203,7 @@
             self.assertTrue(program.exchange.worker("s-00000002").open)
             self.assertTrue(other.accepted.empty())
 
-    async def test_stopping_takes_what_still_arrives_and_answers_what_is_held(self):
+    async def test_shutdown_accepts_late_jobs_and_answers_held_ones(self):
         async with DispatcherFixture(workers=1) as stage:
             taken = asyncio.Queue()
             task = asyncio.create_task(self.work(stage.workers[0], taken))
@@ -211,12 +211,12 @@
             await asyncio.wait_for(self.play(stage.program, stage.port("client"), taken), TIMEOUT_S)
             await asyncio.wait_for(stage.task, TIMEOUT_S)
 
-    async def test_who_stands_in_the_queue_of_the_listener_as_it_closes_is_answered(self):
-        """The system resets them: 4 of 4,400 jobs of a release that came just then."""
+    async def test_connections_in_the_accept_queue_are_answered_when_the_listener_closes(self):
+        """The system resets them otherwise: 4 of 4,400 jobs were lost in a release."""
         loop = asyncio.get_running_loop()
         async with DispatcherFixture() as stage:
             for fd in stage.program.acceptor._sockets:
-                IOLoop.current().remove_handler(fd)  # as a loop that is busy elsewhere, until the listener closes
+                IOLoop.current().remove_handler(fd)  # as if the loop were busy until the listener closes
             peers = [socket.create_connection(("127.0.0.1", stage.port("client"))) for _ in range(20)]
             for sock in peers:
                 sock.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -228,7 +228,7 @@
             await asyncio.wait_for(stage.task, TIMEOUT_S)
 
     async def work(self, worker, taken):
-        """A worker that takes every job and says nothing more of it."""
+        """Runs a worker that accepts every job and sends no call-back."""
         while True:
             task = asyncio.create_task(self.serve(taken, *await worker.accepted.get()))
             self.addCleanup(task.cancel)
@@ -255,17 +255,17 @@
         self.assertEqual(await taken.get(), b"a1")
         self.addCleanup(signal.signal, signal.SIGINT, signal.getsignal(signal.SIGINT))
         self.addCleanup(signal.signal, signal.SIGTERM, signal.getsignal(signal.SIGTERM))
-        program.goes_on = 3600.0  # the moment ends where this test says
+        program.accept_grace_s = 3600.0  # ended by `drain` below
         program.stop()
         second = await asyncio.open_connection("127.0.0.1", port)
-        second[1].write(job.format(2).encode())  # taken as before
+        second[1].write(job.format(2).encode())  # accepted as before
         self.assertEqual(await taken.get(), b"a2")
         fresh = await asyncio.open_connection("127.0.0.1", port)
         while len(program.acceptor.open) < 4:
             await asyncio.sleep(0)
         program.drain()
-        self.assertEqual(await idle[0].read(), b"")  # what stands idle is closed
-        fresh[1].write(job.format(4).encode())  # on its way as the others were closed
+        self.assertEqual(await idle[0].read(), b"")  # idle connections are closed
+        fresh[1].write(job.format(4).encode())  # in transit while the idle ones were closed
         self.assertIn(b" 503 ", await fresh[0].read())
         third = await asyncio.open_connection("127.0.0.1", port)
         third[1].write(job.format(3).encode())
@@ -283,8 +283,8 @@
             self.assertIn(b"Connection: close", answer)
 
 
-class Parts(unittest.IsolatedAsyncioTestCase):
-    def test_a_buffer_compacts_in_place_grows_and_is_bounded(self):
+class NetworkTest(unittest.IsolatedAsyncioTestCase):
+    def test_buffer_compacts_in_place_grows_and_is_bounded(self):
         buffer, sent = Buffer(), b""
         for n in range(3000):
             piece = bytes([n % 251]) * 7
@@ -299,36 +299,36 @@
         with self.assertRaises(OverflowError):
             for _ in range(100):
                 buffer.filled(len(buffer.room()))
-        self.assertEqual(len(buffer), MOST)
+        self.assertEqual(len(buffer), MAX_BUFFER_BYTES)
 
-    async def test_a_connection_near_its_idle_limit_is_not_used_again(self):
-        """A request that crosses the peer's close counts as one that may have run."""
+    async def test_connection_near_its_idle_timeout_is_not_reused(self):
+        """If the peer closes while a request is sent, the job may have run."""
         peers = await PeerListener().open()
         address = ("127.0.0.1", peers.port)
         pool = Pool(8, 1000.0, 60_000.0)
         self.assertLess(pool.idle_s, 59.0)
-        conn = await pool.take(address)
-        pool.give_back(address, conn)
-        self.assertIs(await pool.take(address), conn)
-        pool.give_back(address, conn)
+        conn = await pool.acquire(address)
+        pool.release(address, conn)
+        self.assertIs(await pool.acquire(address), conn)
+        pool.release(address, conn)
         conn.idle_since = time.monotonic() - pool.idle_s
-        other = await pool.take(address)
+        other = await pool.acquire(address)
         self.assertIsNot(other, conn)
         self.assertTrue(conn.stream.closed())
         # nor is one that the peer has closed
-        pool.give_back(address, other)
+        pool.release(address, other)
         await peers.accepted.get()
         (await peers.accepted.get())[1].transport.abort()
-        while other.quiet():
+        while other.has_no_input():
             await asyncio.sleep(0)
-        self.assertIsNot(await pool.take(address), other)
+        self.assertIsNot(await pool.acquire(address), other)
         pool.stop()
         peers.close()
 
-    def test_entries_of_the_list(self):
-        names = Names(["a", "b"], ["m1"])
+    def test_entries_of_the_worker_list(self):
+        parser = WorkerListParser(["a", "b"], ["m1"])
         good = endpoint(1, 80, zone="b", type="m1", status="terminating", since_ms=1700000000000)
-        entry = names.entry(good)
+        entry = parser.parse_entry(good)
         self.assertEqual(
             (entry.zone, entry.kind, entry.state, entry.started), (1, 0, WorkerState.DRAINING, 1700000000000.0)
         )
@@ -341,56 +341,56 @@
             {"weight": float("nan")},
             {"name": ""},
         ):
-            with self.subTest(bad), self.assertRaises(BadList):
-                names.entry({**good, **bad})
+            with self.subTest(bad), self.assertRaises(InvalidWorkerList):
+                parser.parse_entry({**good, **bad})
 
-    async def test_a_slow_peer_is_told_so_and_closed(self):
-        for said, answer in ((b"GET /up HTTP/1.1\r\nHo", b"HTTP/1.1 408 "), (b"", b"")):
+    async def test_slow_client_gets_408_and_is_disconnected(self):
+        for sent, answer in ((b"GET /up HTTP/1.1\r\nHo", b"HTTP/1.1 408 "), (b"", b"")):
             async with DispatcherFixture() as stage:
-                with mock.patch("millethead.net.accept.FIRST_TIME", 0.05):
+                with mock.patch("millethead.net.accept.FIRST_REQUEST_TIMEOUT_S", 0.05):
                     reader, writer = await asyncio.open_connection("127.0.0.1", stage.port("client"))
-                    writer.write(said)
+                    writer.write(sent)
                     got = await asyncio.wait_for(reader.read(), TIMEOUT_S)
                     self.assertEqual(got[: len(answer) or 1], answer)
                     writer.close()
 
-    async def test_connections_that_say_nothing_make_room_before_idle_ones_of_usual_clients(self):
-        """Hundreds that only connect once pushed out idle clients, and one whose request was being read."""
+    async def test_connections_without_a_request_are_evicted_before_idle_ones_of_regular_clients(self):
+        """Hundreds of clients that only connect evicted idle clients, and one whose request was being read."""
         async with DispatcherFixture() as stage:
             stage.program.acceptor.limit, port = 3, stage.port("client")
             up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-            usual = await asyncio.open_connection("127.0.0.1", port)
-            usual[1].write(up)
-            self.assertTrue((await usual[0].readuntil(b"ready\n")).startswith(b"HTTP/1.1 200 "))
-            mute = [await asyncio.open_connection("127.0.0.1", port) for _ in range(9)]
-            for reader, _ in mute[:7]:
+            regular = await asyncio.open_connection("127.0.0.1", port)
+            regular[1].write(up)
+            self.assertTrue((await regular[0].readuntil(b"ready\n")).startswith(b"HTTP/1.1 200 "))
+            silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(9)]
+            for reader, _ in silent[:7]:
                 self.assertEqual(await asyncio.wait_for(reader.read(), TIMEOUT_S), b"")
-            usual[1].write(up)
-            self.assertTrue((await usual[0].readuntil(b"ready\n")).startswith(b"HTTP/1.1 200 "))
-            for _, writer in (usual, *mute):
+            regular[1].write(up)
+            self.assertTrue((await regular[0].readuntil(b"ready\n")).startswith(b"HTTP/1.1 200 "))
+            for _, writer in (regular, *silent):
                 writer.close()
 
-    async def test_a_connection_that_asks_for_nothing_but_errors_ends(self):
+    async def test_connection_with_nothing_but_errors_is_closed(self):
         async with DispatcherFixture() as stage:
             reader, writer = await asyncio.open_connection("127.0.0.1", stage.port("client"))
-            writer.write(b"GET /none HTTP/1.1\r\nHost: x\r\n\r\n" * (FAULTS + 5))
-            with suppress(ConnectionResetError):  # what it had sent beyond that is not read
+            writer.write(b"GET /none HTTP/1.1\r\nHost: x\r\n\r\n" * (MAX_CONSECUTIVE_ERRORS + 5))
+            with suppress(ConnectionResetError):  # requests beyond the limit are not read
                 got = await asyncio.wait_for(reader.read(), TIMEOUT_S)
-                self.assertEqual(got.count(b"HTTP/1.1 404 "), FAULTS)
+                self.assertEqual(got.count(b"HTTP/1.1 404 "), MAX_CONSECUTIVE_ERRORS)
             writer.close()
 
-    def test_log_lines_that_bad_clients_cause_are_bounded(self):
-        sparing = Sparing(most=2)
+    def test_warnings_caused_by_clients_are_rate_limited(self):
+        limited = RateLimitedLog(max_per_second=2)
         with (
             mock.patch("millethead.logs.time.monotonic", side_effect=[1.0, 1.1, 1.2, 1.3, 2.0]),
-            structlog.testing.capture_logs() as said,
+            structlog.testing.capture_logs() as logged,
         ):
             for _ in range(5):
-                sparing.warning("x")
-        self.assertEqual([line.get("left_out") for line in said], [None, None, 2])
+                limited.warning("x")
+        self.assertEqual([line.get("left_out") for line in logged], [None, None, 2])
 
-    async def test_a_start_time_of_the_list_is_a_time_of_the_modules_clock(self):
-        """since_ms is Unix time: on another clock a cold worker would look warm, or cold for ever."""
+    async def test_start_times_in_lists_are_comparable_with_the_clock(self):
+        """since_ms is Unix time. With another clock a cold worker would count as warm, or stay cold for ever."""
         async with DispatcherFixture() as stage:
             now = stage.program.exchange.clock.now()
             self.assertLess(abs(now - time.time() * 1000), 60_000)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -28,7 +28,7 @@
 from millethead.rollout.shell import Rollout
 from millethead.rollout.state import DISPATCHERS, DONE, HALTED, RUNNING, UNDOING, UNDONE, Health, Release, Slot, State
 from millethead.rollout.store import PLACE, Store
-from millethead.tables import Local
+from millethead.tables import LoopbackAddress
 
 EXAMPLES = int(os.environ.get("ROLLOUT_EXAMPLES", "60"))
 VOTERS = ("v0", "v1", "v2")
@@ -593,7 +593,7 @@
         key = Path(folder, "key")
         key.write_bytes(b"k" * 16)
         members = Members(
-            MembersSetup(listen=Local(("127.0.0.1", 1)), key_file=str(key), stewards=["d0", "d1"]),
+            MembersSetup(listen=LoopbackAddress(("127.0.0.1", 1)), key_file=str(key), stewards=["d0", "d1"]),
             "d0",
             "",
             1,
--- a/tests/test_send_races.py
+++ b/tests/test_send_races.py
@@ -1,4 +1,4 @@
-"""Attempts on real sockets, with what crosses them forced: a coroutine is parked, or the loop stands still."""
+"""Races of attempts with other events, on real sockets. A race is forced by pausing a coroutine or the event loop."""
 
 import asyncio
 import select
@@ -31,13 +31,13 @@
 BODY = b"seat 12"
 
 
-class Bench:
-    """The exchange and its HTTP side, with one worker on loopback."""
+class TransportFixture:
+    """An exchange with an HTTP transport and one worker on loopback."""
 
     async def open(self):
         self.peers = await PeerListener().open()
         self.exchange, self.pool = Exchange(SETTINGS, 1, LoopClock()), Pool(16, TIMEOUT_S * 1000, 60_000)
-        self.side = send.HttpWorkers(
+        self.transport = send.HttpWorkers(
             self.exchange, self.pool, Probes(self.exchange, self.pool, lambda _: None), lambda _: None
         )
         self.answers = []
@@ -45,7 +45,7 @@
         return self
 
     def list(self, state=api.WorkerState.READY, form=api.ListForm.FULL):
-        self.exchange.listed(self.side, form, [WorkerListing("w", ("127.0.0.1", self.peers.port), state=state)])
+        self.exchange.listed(self.transport, form, [WorkerListing("w", ("127.0.0.1", self.peers.port), state=state)])
 
     def job(self, job_class=SAFE, name="a"):
         number = self.exchange.arrive(Order(name, job_class, 60_000.0, target="/api", body=BODY), self.answers.append)
@@ -59,251 +59,259 @@
     async def peer(self):
         return await asyncio.wait_for(self.peers.accepted.get(), TIMEOUT_S)
 
-    async def whole(self):
-        """The worker's end of the next attempt, once it has all of it."""
+    async def received_attempt(self):
+        """Returns the worker's end of the next attempt, once it has received the whole request."""
         reader, writer = await self.peer()
         await asyncio.wait_for(reader.readuntil(BODY), TIMEOUT_S)
         return reader, writer
 
-    def news(self, state):
-        return self.side.news("a", "w", state, b"", None)
+    def callback(self, state):
+        return self.transport.apply_callback("a", "w", state, b"", None)
 
 
 @pytest.fixture
-async def bench():
-    made = await Bench().open()
+async def sender():
+    made = await TransportFixture().open()
     yield made
     made.pool.stop()
     made.peers.close()
 
 
-async def soon(true):
-    """Let the loop turn until it is so."""
+async def soon(condition):
+    """Runs the event loop until `condition` holds."""
     async with asyncio.timeout(TIMEOUT_S):
-        while not true():
+        while not condition():
             await asyncio.sleep(0)
 
 
-class Park:
-    """A point at which whoever comes there waits until it is let go."""
+class PausePoint:
+    """Pauses a coroutine: `reached` is set when it arrives, `resume` lets it continue."""
 
     def __init__(self):
-        self.here, self.go = asyncio.Event(), asyncio.Event()
+        self.reached, self.resume = asyncio.Event(), asyncio.Event()
 
     async def wait(self):
-        self.here.set()
-        await self.go.wait()
+        self.reached.set()
+        await self.resume.wait()
 
 
 @pytest.fixture
 def before_last_byte(monkeypatch):
-    park, sleep = Park(), asyncio.sleep
-    monkeypatch.setattr(asyncio, "sleep", lambda s, *x: park.wait() if s == send.LAST_BYTE_PAUSE else sleep(s, *x))
-    return park
+    pause, sleep = PausePoint(), asyncio.sleep
+    monkeypatch.setattr(asyncio, "sleep", lambda s, *x: pause.wait() if s == send.LAST_BYTE_DELAY_S else sleep(s, *x))
+    return pause
 
 
 @pytest.fixture
 def connected(monkeypatch):
-    """The connection is up, and who waits for it has not had its turn yet."""
-    park, connect = Park(), Pool._connect
+    """Pauses an attempt when its connection is established and the sender has not continued yet."""
+    pause, connect = PausePoint(), Pool._connect
 
     async def late(pool, address):
         conn = await connect(pool, address)
-        await park.wait()
+        await pause.wait()
         return conn
 
     monkeypatch.setattr(Pool, "_connect", late)
-    return park
+    return pause
 
 
-def leaves(bench):
-    bench.exchange.withdraw(bench.held.number)
+def client_disconnects(sender):
+    sender.exchange.withdraw(sender.held.number)
 
 
-def drains(bench):
-    bench.list(api.WorkerState.DRAINING, api.ListForm.DELTA)
+def worker_drains(sender):
+    sender.list(api.WorkerState.DRAINING, api.ListForm.DELTA)
 
 
-def is_gone(bench):
-    bench.list(api.WorkerState.GONE, api.ListForm.DELTA)
+def worker_is_gone(sender):
+    sender.list(api.WorkerState.GONE, api.ListForm.DELTA)
 
 
-def is_out(bench):
-    bench.exchange.take_out(["w"])
+def worker_is_excluded(sender):
+    sender.exchange.take_out(["w"])
 
 
-def is_forgotten(bench):
-    bench.attempt.write_deadline = bench.exchange.clock.now()
+def deduplication_expires(sender):
+    sender.attempt.write_deadline = sender.exchange.clock.now()
 
 
-def is_late(bench):
-    bench.attempt.end = bench.exchange.clock.now()
+def attempt_expires(sender):
+    sender.attempt.end = sender.exchange.clock.now()
 
 
-CROSSINGS = [leaves, drains, is_gone, is_out, is_forgotten, is_late]
+EVENTS = [
+    client_disconnects,
+    worker_drains,
+    worker_is_gone,
+    worker_is_excluded,
+    deduplication_expires,
+    attempt_expires,
+]
 
 
-async def cross(bench, park, crosses):
-    """Let it happen while the attempt is parked; (the attempt, the worker's end of its connection)."""
-    bench.job(ONCE)
-    await asyncio.wait_for(park.here.wait(), TIMEOUT_S)
-    reader, _ = await bench.peer()
-    first = bench.attempt
-    crosses(bench)
-    park.go.set()
+async def trigger_while_paused(sender, pause, event):
+    """Triggers `event` while the attempt is paused. Returns the attempt and the worker's end of its connection."""
+    sender.job(ONCE)
+    await asyncio.wait_for(pause.reached.wait(), TIMEOUT_S)
+    reader, _ = await sender.peer()
+    first = sender.attempt
+    event(sender)
+    pause.resume.set()
     return first, reader
 
 
-async def never_ran(attempt):
+async def assert_never_ran(attempt):
     await soon(lambda: attempt.outcome is not None)
     assert not attempt.fully_written and attempt.outcome in api.NEVER_RAN
 
 
-@pytest.mark.parametrize("crosses", CROSSINGS)
-async def test_what_happens_before_the_last_byte_keeps_it_back(bench, before_last_byte, crosses):
-    first, reader = await cross(bench, before_last_byte, crosses)
+@pytest.mark.parametrize("event", EVENTS)
+async def test_event_before_the_last_byte_stops_the_attempt(sender, before_last_byte, event):
+    first, reader = await trigger_while_paused(sender, before_last_byte, event)
     try:
-        said = await asyncio.wait_for(reader.read(), TIMEOUT_S)
+        received = await asyncio.wait_for(reader.read(), TIMEOUT_S)
     except ConnectionError:
-        said = b""
-    assert not said.endswith(BODY)
-    await never_ran(first)
+        received = b""
+    assert not received.endswith(BODY)
+    await assert_never_ran(first)
 
 
-@pytest.mark.parametrize("crosses", CROSSINGS)
-async def test_nothing_is_written_to_a_connection_that_comes_up_after_that(bench, connected, crosses):
-    first, reader = await cross(bench, connected, crosses)
-    await never_ran(first)
-    await soon(lambda: bench.pool._idle)  # it was given back
-    bench.pool.stop()
+@pytest.mark.parametrize("event", EVENTS)
+async def test_nothing_is_written_if_the_connection_is_established_after_the_event(sender, connected, event):
+    first, reader = await trigger_while_paused(sender, connected, event)
+    await assert_never_ran(first)
+    await soon(lambda: sender.pool._idle)  # the connection was released
+    sender.pool.stop()
     assert await asyncio.wait_for(reader.read(), TIMEOUT_S) == b""
 
 
-async def test_a_client_that_leaves_ends_its_attempt_at_once_where_nothing_may_be_cancelled(bench, connected):
-    """Only the module's cancel ended it, which a deployment may forbid: the job then went out for nobody."""
-    bench.exchange.reconfigure(api.Settings(classes=SETTINGS.classes, max_attempts=3, tick=5.0))
-    number = bench.job()
-    await asyncio.wait_for(connected.here.wait(), TIMEOUT_S)
-    reader, _ = await bench.peer()
-    bench.exchange.withdraw(number)
-    connected.go.set()
-    await soon(lambda: bench.pool._idle)
-    bench.pool.stop()
+async def test_client_disconnect_ends_the_attempt_if_cancels_are_not_allowed(sender, connected):
+    """Attempts were ended only by the decision module's cancel, which a deployment may disable. The job was then sent
+    although no client waited for it."""
+    sender.exchange.reconfigure(api.Settings(classes=SETTINGS.classes, max_attempts=3, tick=5.0))
+    number = sender.job()
+    await asyncio.wait_for(connected.reached.wait(), TIMEOUT_S)
+    reader, _ = await sender.peer()
+    sender.exchange.withdraw(number)
+    connected.resume.set()
+    await soon(lambda: sender.pool._idle)
+    sender.pool.stop()
     assert await asyncio.wait_for(reader.read(), TIMEOUT_S) == b""
-    assert bench.exchange.jobs.by_number == {}
+    assert sender.exchange.jobs.by_number == {}
 
 
-async def test_a_reset_before_the_last_byte_proves_that_it_never_ran(bench, before_last_byte):
-    bench.job(ONCE)
-    await asyncio.wait_for(before_last_byte.here.wait(), TIMEOUT_S)
-    _, writer = await bench.peer()
-    first = bench.attempt
+async def test_reset_before_the_last_byte_proves_that_the_job_has_not_run(sender, before_last_byte):
+    sender.job(ONCE)
+    await asyncio.wait_for(before_last_byte.reached.wait(), TIMEOUT_S)
+    _, writer = await sender.peer()
+    first = sender.attempt
     writer.transport.abort()
-    select.select([first.channel.stream.socket], [], [], TIMEOUT_S)  # it is there, and the loop has not seen it
-    before_last_byte.go.set()
+    select.select(
+        [first.channel.stream.socket], [], [], TIMEOUT_S
+    )  # the reset has arrived, and the loop has not processed it
+    before_last_byte.resume.set()
     await soon(lambda: first.outcome is not None)
     assert (first.outcome, first.fully_written) == (api.Outcome.CONNECT_FAILED, False)
 
 
-async def test_a_worker_is_told_how_long_its_answer_is_waited_for(bench):
-    """In the wrong unit it was a thousandth of that, and workers that look at it turned the jobs away as too late."""
-    bench.job()
-    reader, _ = await bench.peer()
+async def test_request_has_the_remaining_time_in_seconds(sender):
+    """A wrong unit made the value 1000 times too small, and workers that check it rejected the jobs as expired."""
+    sender.job()
+    reader, _ = await sender.peer()
     head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
     assert 40 < float(head.partition(b"X-Timeout: ")[2].partition(b"\r\n")[0]) <= 60
 
 
-async def test_a_reset_after_the_last_byte_proves_nothing(bench):
-    bench.job(ONCE)
-    _, writer = await bench.whole()
+async def test_reset_after_the_last_byte_leaves_the_outcome_unknown(sender):
+    sender.job(ONCE)
+    _, writer = await sender.received_attempt()
     writer.transport.abort()
-    await soon(lambda: bench.answers)
-    assert bench.attempt.outcome is api.Outcome.RESET
-    assert [answer.final for answer in bench.answers] == [Final.FAILED]
-    assert bench.peers.accepted.empty()
+    await soon(lambda: sender.answers)
+    assert sender.attempt.outcome is api.Outcome.RESET
+    assert [answer.final for answer in sender.answers] == [Final.FAILED]
+    assert sender.peers.accepted.empty()
 
 
-async def test_what_is_told_of_an_earlier_time_there_does_not_end_an_attempt_that_has_not_begun(
-    bench, before_last_byte
-):
-    bench.job(ONCE)
-    await asyncio.wait_for(before_last_byte.here.wait(), TIMEOUT_S)
+async def test_callback_of_an_earlier_attempt_does_not_end_an_unsent_attempt(sender, before_last_byte):
+    sender.job(ONCE)
+    await asyncio.wait_for(before_last_byte.reached.wait(), TIMEOUT_S)
     for state in ("returned", "failed", "lost", "started"):
-        assert not bench.news(state)
-    before_last_byte.go.set()
-    _, writer = await bench.whole()
+        assert not sender.callback(state)
+    before_last_byte.resume.set()
+    _, writer = await sender.received_attempt()
     writer.write(TAKEN)
-    assert bench.attempt.outcome is None
-    assert bench.news("done")
-    assert [answer.final for answer in bench.answers] == [Final.SERVED]
+    assert sender.attempt.outcome is None
+    assert sender.callback("done")
+    assert [answer.final for answer in sender.answers] == [Final.SERVED]
 
 
-async def test_a_second_final_call_changes_nothing(bench):
-    bench.job(ONCE)
-    _, writer = await bench.whole()
+async def test_second_final_callback_has_no_effect(sender):
+    sender.job(ONCE)
+    _, writer = await sender.received_attempt()
     writer.write(TAKEN)
-    await soon(lambda: bench.attempt.channel is None)
-    assert bench.news("failed")
+    await soon(lambda: sender.attempt.channel is None)
+    assert sender.callback("failed")
     for state in ("returned", "done", "lost", "failed"):
-        assert not bench.news(state)
-    assert [answer.final for answer in bench.answers] == [Final.FAILED]
-    assert bench.peers.accepted.empty()
+        assert not sender.callback(state)
+    assert [answer.final for answer in sender.answers] == [Final.FAILED]
+    assert sender.peers.accepted.empty()
 
 
-async def test_a_202_that_crosses_the_close_is_followed_by_a_cancel(bench):
-    """The worker had taken the job, so that the close told it nothing; it worked on for nobody."""
-    number = bench.job()
-    _, writer = await bench.whole()
-    await soon(lambda: bench.attempt.fully_written)
+async def test_cancel_is_sent_if_a_202_crosses_the_close(sender):
+    """After its 202 a worker ignores the close of the connection, and ran the job although no client waited."""
+    number = sender.job()
+    _, writer = await sender.received_attempt()
+    await soon(lambda: sender.attempt.fully_written)
     writer.write(TAKEN)
-    select.select([bench.attempt.channel.stream.socket], [], [], TIMEOUT_S)
-    bench.exchange.withdraw(number)
-    reader, _ = await bench.peer()
+    select.select([sender.attempt.channel.stream.socket], [], [], TIMEOUT_S)
+    sender.exchange.withdraw(number)
+    reader, _ = await sender.peer()
     assert (await asyncio.wait_for(reader.readuntil(b"\r\n"), TIMEOUT_S)) == b"DELETE /jobs/a HTTP/1.1\r\n"
 
 
-async def test_a_cancel_is_answered_before_the_same_id_goes_there_again(bench):
-    """It names the id: told late, it would end the newer attempt."""
-    number = bench.job()
-    _, writer = await bench.whole()
+async def test_cancel_is_answered_before_the_same_job_id_is_sent_again(sender):
+    """A cancel names the job id: if it arrived late, it would end the newer attempt."""
+    number = sender.job()
+    _, writer = await sender.received_attempt()
     writer.write(TAKEN)
-    await soon(lambda: bench.attempt.channel is None)
-    bench.pool.stop()
-    bench.exchange._execute(api.CancelAttempt(number, 0))
-    reader, canceller = await bench.peer()
+    await soon(lambda: sender.attempt.channel is None)
+    sender.pool.stop()
+    sender.exchange._execute(api.CancelAttempt(number, 0))
+    reader, canceller = await sender.peer()
     await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S)
-    await soon(lambda: len(bench.held.attempts) == 2)  # the module sends it there once more
-    again, _ = await bench.peer()
+    await soon(lambda: len(sender.held.attempts) == 2)  # the decision module sends the job to the same worker again
+    again, _ = await sender.peer()
     read = asyncio.create_task(again.read(1))
-    await soon(lambda: bench.attempt.channel is not None)
+    await soon(lambda: sender.attempt.channel is not None)
     for _ in range(50):
         await asyncio.sleep(0)
-    assert not read.done() and not bench.attempt.fully_written
+    assert not read.done() and not sender.attempt.fully_written
     canceller.write(b"HTTP/1.1 204 No Content\r\n\r\n")
     assert await asyncio.wait_for(read, TIMEOUT_S) == b"P"
     await asyncio.wait_for(again.readuntil(BODY), TIMEOUT_S)
 
 
-@pytest.mark.parametrize("said", [b"", b"HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nx", b"HTTP/1.1 202 Acc"])
-async def test_an_answer_that_never_ends_is_let_go_once_its_job_is_done(bench, monkeypatch, said):
-    monkeypatch.setattr(send, "ANSWER_LATE", 0.0)
-    bench.job()
-    reader, writer = await bench.whole()
-    await soon(lambda: bench.attempt.fully_written)
-    writer.write(said)
-    assert bench.news("started")
-    assert bench.news("done")
+@pytest.mark.parametrize("response", [b"", b"HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nx", b"HTTP/1.1 202 Acc"])
+async def test_incomplete_response_is_abandoned_once_its_job_is_done(sender, monkeypatch, response):
+    monkeypatch.setattr(send, "LATE_RESPONSE_TIMEOUT_S", 0.0)
+    sender.job()
+    reader, writer = await sender.received_attempt()
+    await soon(lambda: sender.attempt.fully_written)
+    writer.write(response)
+    assert sender.callback("started")
+    assert sender.callback("done")
     assert await asyncio.wait_for(reader.read(), TIMEOUT_S) == b""
-    await soon(lambda: not bench.pool.open)
+    await soon(lambda: not sender.pool.open)
 
 
-async def test_a_repeat_has_to_begin_while_the_first_is_remembered(bench):
-    bench.job(KEYED)
-    _, writer = await bench.whole()
-    first = bench.attempt
+async def test_repeated_attempt_has_to_start_within_the_deduplication_window(sender):
+    sender.job(KEYED)
+    _, writer = await sender.received_attempt()
+    first = sender.attempt
     assert first.write_deadline == float("inf")
-    bench.exchange.clock.offset += 10  # so many s go by
+    sender.exchange.clock.offset += 10  # advances the clock by 10 s
     writer.transport.abort()
-    await soon(lambda: len(bench.held.attempts) == 2)
-    # counted from the first, and not from now on; the module's clock and the exchange's are read a moment apart
-    assert bench.attempt.write_deadline == pytest.approx(first.sent + 30_000, abs=5_000)
+    await soon(lambda: len(sender.held.attempts) == 2)
+    # counted from the first attempt; the clocks of the decision module and the exchange are read a moment apart
+    assert sender.attempt.write_deadline == pytest.approx(first.sent + 30_000, abs=5_000)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""The programs that serve start without the libraries of the command line."""
+"""The server programs start without loading the libraries of the command line."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 
 
 @pytest.mark.parametrize("program", PROGRAMS)
-def test_program_loads_nothing_of_the_command_line(program: str) -> None:
-    said = subprocess.run(
+def test_program_does_not_load_command_line_libraries(program: str) -> None:
+    result = subprocess.run(
         [sys.executable, "-c", CHECK.format(program=program)], capture_output=True, text=True, check=True
     )
-    assert said.stdout.strip() == "[]"
+    assert result.stdout.strip() == "[]"
 
 
-def test_control_loads_nothing_of_the_dispatcher_s_decisions() -> None:
-    """They are 20 ms of each start, and the core is back so much later."""
+def test_control_does_not_load_the_decision_module() -> None:
+    """Loading it takes 20 ms, by which each restart of the control program would be longer."""
     loaded = (
         "import sys, millethead.programs.control; print([name for name in sys.modules if 'millethead.decide' in name])"
     )
-    said = subprocess.run([sys.executable, "-c", loaded], capture_output=True, text=True, check=True)
-    assert said.stdout.strip() == "[]"
+    result = subprocess.run([sys.executable, "-c", loaded], capture_output=True, text=True, check=True)
+    assert result.stdout.strip() == "[]"
 
 
 @pytest.mark.parametrize("arguments", [[], ["status"], ["control", "--log-level=debug"], ["agent", "more"]])
-def test_command_line_takes_whatever_names_no_program_alone(arguments: list[str]) -> None:
+def test_other_arguments_are_left_to_the_command_line(arguments: list[str]) -> None:
     assert not serve_plainly(arguments)
 
 
-def test_command_line_tells_what_is_wrong_with_the_settings(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_command_line_reports_missing_settings(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.delenv("MILLETHEAD_NODE_FILE", raising=False)
     modules = dict(sys.modules)
     try:
@@ -47,5 +47,7 @@
     finally:
         if "rich" not in modules:
             sys.modules.pop("rich", None)
-    said = subprocess.run([sys.executable, "-m", "millethead", "control"], capture_output=True, text=True, check=False)
-    assert said.returncode == 2 and "MILLETHEAD_NODE_FILE" in said.stderr
+    result = subprocess.run(
+        [sys.executable, "-m", "millethead", "control"], capture_output=True, text=True, check=False
+    )
+    assert result.returncode == 2 and "MILLETHEAD_NODE_FILE" in result.stderr
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -476,7 +476,7 @@
     """Forces the race: clients connect before and after the last check of the accept queue."""
     async with running() as site:
         address, late = ("127.0.0.1", site.port), list[socket.socket]()
-        take_queue = Server._take_queue
+        accept_queue = Server._accept_queue
 
         def connecting() -> socket.socket:
             client = socket.socket()
@@ -487,10 +487,10 @@
 
         async def crossed(server: Server, listener: socket.socket) -> None:
             connecting()
-            await take_queue(server, listener)
+            await accept_queue(server, listener)
             connecting()
 
-        monkeypatch.setattr(Server, "_take_queue", crossed)
+        monkeypatch.setattr(Server, "_accept_queue", crossed)
         early = connecting()
         drain = asyncio.ensure_future(site.server.drain(TIMEOUT_S))
         early.setblocking(True)
