--- a/millethead/frontends/faktory/jobs.py
+++ b/millethead/frontends/faktory/jobs.py
@@ -12,7 +12,7 @@
 from millethead.frontends.faktory.resp import BadCommand
 from millethead.frontends.faktory.setup import FaktorySetup
 from millethead.frontends.times import read_rfc3339
-from millethead.net.parse import BODY
+from millethead.net.parse import MAX_BODY_BYTES
 
 ORIGIN = "faktory"
 DEFAULT_RESERVE_S = 1800.0  # the protocol's default
@@ -57,7 +57,7 @@
         number = self.classes[name]
         timeout = _seconds(custom.get("timeout"), inf, "custom.timeout")
         body = json.dumps(args, separators=(",", ":")).encode()
-        if len(body) > BODY:
+        if len(body) > MAX_BODY_BYTES:
             raise BadCommand("args are over 64 KiB")
         key = custom.get("key", jid)
         if not isinstance(key, str) or not re.fullmatch(r"[!-~]{1,128}", key):
--- a/millethead/net/accept.py
+++ b/millethead/net/accept.py
@@ -15,7 +15,7 @@
 from tornado.tcpserver import TCPServer
 
 from millethead.logs import RateLimitedLog
-from millethead.net.answer import format_answer, send_answer
+from millethead.net.answer import format_response, send_response
 from millethead.net.connection import (
     LINGER_BYTES,
     LINGER_S,
@@ -268,7 +268,7 @@
         `pending_reply`: waits for the reply to a request that it processed."""
         stream = IOStream(sock, max_buffer_size=READ_BUFFER_BYTES, max_write_buffer_size=WRITE_BUFFER_BYTES)
         conn = Connection(stream)
-        conn.buffer.put(data)
+        conn.buffer.append(data)
         conn.keep_alive = keep_alive
         if pending_reply is None:
             self.mark_idle(conn, rank)
@@ -292,10 +292,10 @@
                 return
             consecutive_errors = consecutive_errors + 1 if reply.status >= 400 and not reply.job else 0
             keep = conn.keep_alive and not self.closing and consecutive_errors < MAX_CONSECUTIVE_ERRORS
-            message = format_answer(reply.status, reply.body, reply.fields, keep)
+            message = format_response(reply.status, reply.body, reply.fields, keep)
             if method == "HEAD":  # a response to HEAD has a Content-Length but no body
                 message = message[: len(message) - len(reply.body)]
-            await send_answer(conn, message)
+            await send_response(conn, message)
             if not keep:
                 return
             rank, conn.partially_read = RANK_REGULAR if reply.job else max(rank, RANK_NO_JOB), False
@@ -346,7 +346,7 @@
     async def _reject(self, conn: Connection, status: int, why: str, linger: float = LINGER_S) -> None:
         rate_limited_log.warning("request_turned_away", status=status, why=why)
         self.mark_idle(conn, RANK_CLOSING)
-        await with_timeout(LINGER_S, conn.write(format_answer(status, why.encode() + b"\n", keep_alive=False)))
+        await with_timeout(LINGER_S, conn.write(format_response(status, why.encode() + b"\n", keep_alive=False)))
         await conn.close_gracefully(linger)
 
     def drain(self) -> None:
--- a/millethead/net/answer.py
+++ b/millethead/net/answer.py
@@ -9,7 +9,7 @@
 WRITE_TIMEOUT_S = 10.0  # for a peer to receive a response
 
 
-def format_answer(
+def format_response(
     status: int, body: bytes = b"", fields: dict[str, str] | None = None, keep_alive: bool = True
 ) -> bytes:
     lines = [f"HTTP/1.1 {status} {HTTPStatus(status).phrase}"]
@@ -23,6 +23,6 @@
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
 
-async def send_answer(conn: Connection, message: bytes) -> None:
+async def send_response(conn: Connection, message: bytes) -> None:
     """Writes a formatted response. Raises PeerTimeout if the peer does not receive it within the time limit."""
     await with_timeout(WRITE_TIMEOUT_S, conn.write(message))
--- a/millethead/net/buffer.py
+++ b/millethead/net/buffer.py
@@ -18,8 +18,8 @@
     def __len__(self) -> int:
         return self._end - self._start
 
-    def room(self) -> memoryview:
-        """Returns free space to read into. The caller reports with `filled` how many bytes it has written there. Raises
+    def free_space(self) -> memoryview:
+        """Returns free space to read into. The caller reports with `commit` how many bytes it has written there. Raises
         OverflowError if the buffer is full."""
         if self._start:
             self._data[: len(self)] = self._data[self._start : self._end]
@@ -33,15 +33,15 @@
             self._data = grown
         return memoryview(self._data)[self._end :]
 
-    def put(self, data: bytes) -> None:
-        """Appends bytes that were not read through `room`."""
+    def append(self, data: bytes) -> None:
+        """Appends bytes that were not read through `free_space`."""
         while data:
-            room = self.room()[: len(data)]
-            room[:] = data[: len(room)]
-            self.filled(len(room))
-            data = data[len(room) :]
+            space = self.free_space()[: len(data)]
+            space[:] = data[: len(space)]
+            self.commit(len(space))
+            data = data[len(space) :]
 
-    def filled(self, count: int) -> None:
+    def commit(self, count: int) -> None:
         self._end += count
 
     def find(self, pattern: bytes, start: int = 0) -> int:
--- a/millethead/net/connection.py
+++ b/millethead/net/connection.py
@@ -93,7 +93,10 @@
         until it calls `fill` again."""
         if self._reading is None:
             self._await(
-                cast("asyncio.Future[int]", self.stream.read_into(cast(bytearray, self.buffer.room()), partial=True))
+                cast(
+                    "asyncio.Future[int]",
+                    self.stream.read_into(cast(bytearray, self.buffer.free_space()), partial=True),
+                )
             )
         self._waiter = asyncio.get_running_loop().create_future()
         try:
@@ -122,11 +125,11 @@
         self._reading, waiter, pause = None, self._waiter, 0.0
         failed = reading.exception()
         if failed is None:
-            came = reading.result()
-            if isinstance(came, int):
-                self.buffer.filled(came)
+            received = reading.result()
+            if isinstance(received, int):
+                self.buffer.commit(received)
             elif len(self.buffer) < MAX_READ_AHEAD_BYTES:
-                self.buffer.put(came)
+                self.buffer.append(received)
             else:  # the peer sent too much before its response: the connection closes after this one
                 self.keep_alive, pause = False, READ_AHEAD_PAUSE_S
         if waiter is None or waiter.done():
@@ -144,11 +147,11 @@
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_exception(ReadInterrupted())
 
-    async def read_some(self, most: int) -> bytes:
-        """Returns from 1 to `most` bytes."""
+    async def read_some(self, limit: int) -> bytes:
+        """Returns from 1 to `limit` bytes."""
         if not len(self.buffer):
             await self.fill()
-        return self.buffer.take(most)
+        return self.buffer.take(limit)
 
     async def take(self, count: int) -> bytes:
         """Returns exactly `count` bytes. Reads them in parts, so that they may exceed the buffer."""
@@ -177,8 +180,8 @@
         """Queues `data` at once, and returns an awaitable that completes when it is written."""
         return self.stream.write(data)
 
-    def on_close(self, call: Callable[[], None] | None) -> None:
-        self.stream.set_close_callback(call)
+    def on_close(self, callback: Callable[[], None] | None) -> None:
+        self.stream.set_close_callback(callback)
 
     def awaits_input(self) -> bool:
         """Returns whether a read is in progress and no input has arrived, neither in the buffer nor at the socket."""
@@ -209,13 +212,13 @@
             return False
         return False
 
-    def drain_socket(self, most: int) -> bytes:
-        """Returns the unread bytes of the socket, up to `most`, past a read that is still in progress. Called before
+    def drain_socket(self, limit: int) -> bytes:
+        """Returns the unread bytes of the socket, up to `limit`, past a read that is still in progress. Called before
         the connection is closed: closing with unread bytes sends a reset, and the peer may then lose the last
         response."""
         received = b""
         try:
-            while len(received) < most and (part := self.stream.socket.recv(most - len(received))):
+            while len(received) < limit and (part := self.stream.socket.recv(limit - len(received))):
                 received += part
         except (OSError, AttributeError):  # nothing left to read, or the stream is closed
             pass
@@ -232,15 +235,15 @@
 
     # ---- closing -------------------------------------------------------------------------------------
 
-    async def close_gracefully(self, seconds: float = LINGER_S, most: int = LINGER_BYTES) -> None:
+    async def close_gracefully(self, seconds: float = LINGER_S, max_bytes: int = LINGER_BYTES) -> None:
         """Closes the sending side, drops input until the peer closes its side, and closes the connection. An immediate
         close with unread input would reset the connection, and the peer might lose the last response. `seconds` and
-        `most` (bytes) limit a peer that goes on sending. All writes must be complete."""
+        `max_bytes` limit a peer that goes on sending. All writes must be complete."""
         deadline = time.monotonic() + seconds
         try:
             if self._half_close():
-                while most > 0 and (left := deadline - time.monotonic()) > 0:
-                    most -= len(self.buffer.take(len(self.buffer)))
+                while max_bytes > 0 and (left := deadline - time.monotonic()) > 0:
+                    max_bytes -= len(self.buffer.take(len(self.buffer)))
                     await with_timeout(left, self.fill())
         except (Closed, PeerTimeout, OSError, ReadInterrupted):
             pass
--- a/millethead/net/parse.py
+++ b/millethead/net/parse.py
@@ -7,14 +7,14 @@
 
 from millethead.net.connection import Connection
 
-HEAD = 16 << 10
-FIELDS = 100
-BODY = 64 << 10
+MAX_HEAD_BYTES = 16 << 10
+MAX_FIELDS = 100
+MAX_BODY_BYTES = 64 << 10
 _TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 _TARGET = re.compile(rb"[\x21-\x7e]+")
 _VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
 _STATUS = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [\t\x20-\x7e\x80-\xff]*)?")
-_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[\t ]*(?:;[\t\x20-\x7e\x80-\xff]*)?")
+_CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[\t ]*(?:;[\t\x20-\x7e\x80-\xff]*)?")
 
 
 class BadMessage(Exception):
@@ -59,10 +59,10 @@
             conn.buffer.take(2)
             searched = 0
             continue
-        if searched > HEAD:
+        if searched > MAX_HEAD_BYTES:
             raise BadMessage(431, "the head is too large")
         await conn.fill()
-    if position > HEAD:
+    if position > MAX_HEAD_BYTES:
         raise BadMessage(431, "the head is too large")
     return conn.buffer.take(position + 4)
 
@@ -70,7 +70,7 @@
 def parse_fields(lines: list[bytes]) -> dict[str, str]:
     """Returns the fields by lower-case name. Repeated fields are joined by commas, but fields that determine the
     framing must not repeat."""
-    if len(lines) > FIELDS:
+    if len(lines) > MAX_FIELDS:
         raise BadMessage(431, "too many fields")
     fields: dict[str, str] = {}
     for line in lines:
@@ -130,14 +130,14 @@
         return 0
     if not length.isascii() or not length.isdigit():
         raise BadMessage(400, "a malformed content-length")
-    if len(length) > 18 or int(length) > BODY:
+    if len(length) > 18 or int(length) > MAX_BODY_BYTES:
         raise BadMessage(413, "the body is too large")
     return int(length)
 
 
 async def chunk_size(conn: Connection) -> int:
     line = await conn.line(256)
-    match = _SIZE.fullmatch(line) if line is not None else None
+    match = _CHUNK_SIZE.fullmatch(line) if line is not None else None
     if match is None:
         raise BadMessage(400, "a malformed chunk size")
     return int(match[1], 16)
@@ -155,11 +155,11 @@
     parts, total = [], 0
     while size := await chunk_size(conn):
         total += size
-        if total > BODY:
+        if total > MAX_BODY_BYTES:
             raise BadMessage(413, "the body is too large")
         parts.append(await conn.take(size))
         await chunk_end(conn)
-    for _ in range(FIELDS):  # trailers are read and ignored
+    for _ in range(MAX_FIELDS):  # trailers are read and ignored
         line = await conn.line(1024)
         if line is None:
             raise BadMessage(400, "a malformed trailer")
--- a/millethead/web/request_reader.py
+++ b/millethead/web/request_reader.py
@@ -7,7 +7,7 @@
 
 from millethead.net.connection import Connection, PeerTimeout, with_timeout
 from millethead.net.parse import (
-    FIELDS,
+    MAX_FIELDS,
     BadMessage,
     Request,
     chunk_end,
@@ -145,7 +145,7 @@
 
 
 async def _discard_trailers(conn: Connection) -> None:
-    for _ in range(FIELDS):
+    for _ in range(MAX_FIELDS):
         line = await conn.line(MAX_TRAILER_LINE_BYTES)
         if line is None:
             raise BadMessage(BAD_REQUEST, "a malformed trailer")
--- a/tests/test_client_races.py
+++ b/tests/test_client_races.py
@@ -152,14 +152,14 @@
     """The response announced a persistent connection, which then stayed idle until the process ended."""
     await hold_job(stage, client)
     reached, resume = asyncio.Event(), asyncio.Event()
-    send = accept.send_answer
+    send = accept.send_response
 
     async def send_and_pause(conn, message):
         await send(conn, message)
         reached.set()
         await resume.wait()
 
-    monkeypatch.setattr(accept, "send_answer", send_and_pause)
+    monkeypatch.setattr(accept, "send_response", send_and_pause)
     one = client()
     one.send(UP)
     await asyncio.wait_for(reached.wait(), TIMEOUT_S)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -288,9 +288,9 @@
         buffer, sent = Buffer(), b""
         for n in range(3000):
             piece = bytes([n % 251]) * 7
-            room = buffer.room()
+            room = buffer.free_space()
             room[:7] = piece
-            buffer.filled(7)
+            buffer.commit(7)
             sent += piece
             if n % 3 == 2:
                 self.assertEqual(buffer.take(20), sent[:20])
@@ -298,7 +298,7 @@
         self.assertEqual((buffer.take(len(sent)), len(buffer)), (sent, 0))
         with self.assertRaises(OverflowError):
             for _ in range(100):
-                buffer.filled(len(buffer.room()))
+                buffer.commit(len(buffer.free_space()))
         self.assertEqual(len(buffer), MAX_BUFFER_BYTES)
 
     async def test_connection_near_its_idle_timeout_is_not_reused(self):
