--- a/millethead/frontends/http.py
+++ b/millethead/frontends/http.py
@@ -12,9 +12,9 @@
 from millethead.exchange.stage import InvalidOrder, Stage
 from millethead.frontends.times import read_time
 from millethead.net.accept import Reply
+from millethead.net.callbacks import CallbackHandler, process_callback
 from millethead.net.connection import Connection
 from millethead.net.exchange import submit_job, wait_for_answer
-from millethead.net.news import CallbackHandler, process_callback
 from millethead.net.parse import BadMessage, Request
 
 if TYPE_CHECKING:
--- a/millethead/program.py
+++ b/millethead/program.py
@@ -24,9 +24,9 @@
 from millethead.exchange.stage import Stage
 from millethead.frontends.http import HttpFrontend
 from millethead.net.accept import BACKLOG, Acceptor
+from millethead.net.callbacks import process_callback
 from millethead.net.discovery import Discovery, WorkerListParser
 from millethead.net.exchange import LoopClock
-from millethead.net.news import process_callback
 from millethead.net.pool import Pool
 from millethead.net.probes import Probes, report_parser
 from millethead.net.send import HttpWorkers
