--- a/millethead/net/discovery.py
+++ b/millethead/net/discovery.py
@@ -28,7 +28,7 @@
     read_response,
 )
 from millethead.net.pool import READ_BUFFER_BYTES, Address
-from millethead.net.terms import ANNOUNCED_AFTER_S, MOVE_ANNOUNCED_AFTER_S, ListTimeouts
+from millethead.net.timeouts import ANNOUNCED_AFTER_S, MOVE_ANNOUNCED_AFTER_S, ListTimeouts
 
 log = structlog.get_logger()
 T = TypeVar("T")
--- a/millethead/program.py
+++ b/millethead/program.py
@@ -30,7 +30,7 @@
 from millethead.net.pool import Pool
 from millethead.net.probes import Probes, report_parser
 from millethead.net.send import HttpWorkers
-from millethead.net.terms import list_timeouts
+from millethead.net.timeouts import list_timeouts
 from millethead.operators import OperatorSetup
 
 if TYPE_CHECKING:  # optional parts are imported only if they are enabled
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 from millethead.decide import interface as api
 from millethead.exchange import Exchange, Order, WorkerListing
 from millethead.lab.clock import VirtualClock
-from millethead.net.terms import list_timeouts
+from millethead.net.timeouts import list_timeouts
 
 CONFIG = {
     "name": "n1",
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,7 +14,7 @@
 from millethead.config import load_config
 from millethead.decide import interface as api
 from millethead.net.discovery import Discovery, InvalidWorkerList, ListObjectSplitter, WorkerListParser
-from millethead.net.terms import (
+from millethead.net.timeouts import (
     ANNOUNCED_AFTER_S,
     EMPTY_LINE_INTERVAL_S,
     MOVE_ANNOUNCED_AFTER_S,
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -19,7 +19,7 @@
 from millethead.exchange import Exchange
 from millethead.net.discovery import Discovery, WorkerListParser
 from millethead.net.exchange import LoopClock
-from millethead.net.terms import ANNOUNCED_AFTER_S, list_timeouts
+from millethead.net.timeouts import ANNOUNCED_AFTER_S, list_timeouts
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 SERVICE_S = 0.05  # time that discovery spends on one call
