--- a/millethead/frontends/faktory/session.py
+++ b/millethead/frontends/faktory/session.py
@@ -21,8 +21,8 @@
 from millethead.frontends.faktory.jobs import ORIGIN, Jobs, read_jid
 from millethead.frontends.faktory.workers import FaktoryWorkers, Process
 from millethead.net.accept import FIRST_REQUEST_TIMEOUT_S, MAX_CONSECUTIVE_ERRORS, REQUEST_TIMEOUT_S, Server
-from millethead.net.answer import WRITE_TIMEOUT_S
 from millethead.net.connection import Connection, with_timeout
+from millethead.net.response import WRITE_TIMEOUT_S
 
 log = structlog.get_logger()
 HASH_ROUNDS = 4096  # iterations of the password hash
--- a/millethead/net/accept.py
+++ b/millethead/net/accept.py
@@ -15,7 +15,6 @@
 from tornado.tcpserver import TCPServer
 
 from millethead.logs import RateLimitedLog
-from millethead.net.answer import format_response, send_response
 from millethead.net.connection import (
     LINGER_BYTES,
     LINGER_S,
@@ -29,6 +28,7 @@
 from millethead.net.listener import drop_connection_requests
 from millethead.net.parse import BadMessage, Request, parse_request, read_body, read_head
 from millethead.net.pool import READ_BUFFER_BYTES
+from millethead.net.response import format_response, send_response
 
 log = structlog.get_logger()
 rate_limited_log = RateLimitedLog()
--- a/millethead/web/server.py
+++ b/millethead/web/server.py
@@ -14,9 +14,9 @@
 
 from millethead.logs import RateLimitedLog
 from millethead.net.accept import BACKLOG, RANK_CLOSING, RANK_NEW, RANK_REGULAR, Server
-from millethead.net.answer import WRITE_TIMEOUT_S
 from millethead.net.connection import Connection, PeerTimeout, ReadInterrupted, with_timeout
 from millethead.net.parse import BadMessage, Request
+from millethead.net.response import WRITE_TIMEOUT_S
 from millethead.web.dispatch import dispatch, internal_error, request_body
 from millethead.web.limits import HttpLimits
 from millethead.web.request_reader import read_request
