--- a/millethead/program.py
+++ b/millethead/program.py
@@ -34,7 +34,7 @@
 from millethead.operators import OperatorSetup
 
 if TYPE_CHECKING:  # optional parts are imported only if they are enabled
-    from millethead.console.desk import DispatcherActions
+    from millethead.console.actions import DispatcherActions
     from millethead.console.server import Console
     from millethead.flows.ipfix import Exporter
     from millethead.frontends.faktory.session import FaktoryServer
@@ -149,8 +149,8 @@
         self.console_actions: DispatcherActions | None = None
         self.succession: Succession | None = None
         if config.console is not None:
+            from millethead.console.actions import DispatcherActions
             from millethead.console.calls import Calls
-            from millethead.console.desk import DispatcherActions
             from millethead.console.server import Console
             from millethead.console.store import ExcludedWorkersFile
             from millethead.succession.succession import Succession
