--- a/millethead/console/calls.py
+++ b/millethead/console/calls.py
@@ -6,8 +6,8 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, Protocol
 
+from millethead.console.excluded_workers import MAX_NAME_CHARACTERS
 from millethead.console.figures import CONTENT_TYPE, MetricsSnapshot, render
-from millethead.console.store import MAX_NAME_CHARACTERS
 from millethead.net.accept import Reply
 from millethead.net.parse import Request
 
--- a/millethead/program.py
+++ b/millethead/program.py
@@ -151,8 +151,8 @@
         if config.console is not None:
             from millethead.console.actions import DispatcherActions
             from millethead.console.calls import Calls
+            from millethead.console.excluded_workers import ExcludedWorkersFile
             from millethead.console.server import Console
-            from millethead.console.store import ExcludedWorkersFile
             from millethead.succession.succession import Succession
 
             folder, owner = Path(gettempdir()), config.state_owner
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,7 +9,7 @@
 from dispatcher_fixture import SETTINGS, TIMEOUT_S, DispatcherFixture
 
 from millethead.config import ConfigError, load_config
-from millethead.console.store import ExcludedWorkersFile
+from millethead.console.excluded_workers import ExcludedWorkersFile
 from millethead.decide import interface as api
 from millethead.exchange import Exchange, Order, WorkerListing
 from millethead.lab.clock import VirtualClock
