--- a/millethead/admission/queue.py
+++ b/millethead/admission/queue.py
@@ -18,7 +18,7 @@
 from millethead.admission.retry_times import RetryReservations, ServiceRate
 from millethead.admission.setup import AdmissionSetup
 from millethead.admission.window import AdmissionWindow
-from millethead.console.figures import ExtraMetric
+from millethead.console.metrics import ExtraMetric
 from millethead.decide.interface import Settings
 from millethead.exchange.model import Answer, Cancellable, Clock, Final, Order
 from millethead.exchange.records import Record, Records, ended_unsent
--- a/millethead/console/actions.py
+++ b/millethead/console/actions.py
@@ -8,7 +8,7 @@
 
 from millethead.console.calls import ActionFailed, UnknownWorker
 from millethead.console.excluded_workers import ExcludedWorkersFile
-from millethead.console.figures import ExtraMetric, MetricsSnapshot
+from millethead.console.metrics import ExtraMetric, MetricsSnapshot
 from millethead.exchange.core import Exchange
 from millethead.exchange.stage import Stage
 
--- a/millethead/console/calls.py
+++ b/millethead/console/calls.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from millethead.console.excluded_workers import MAX_NAME_CHARACTERS
-from millethead.console.figures import CONTENT_TYPE, MetricsSnapshot, render
+from millethead.console.metrics import CONTENT_TYPE, MetricsSnapshot, render
 from millethead.net.accept import Reply
 from millethead.net.parse import Request
 
--- a/millethead/frontends/http.py
+++ b/millethead/frontends/http.py
@@ -18,7 +18,7 @@
 from millethead.net.parse import BadMessage, Request
 
 if TYPE_CHECKING:
-    from millethead.console.figures import ExtraMetric
+    from millethead.console.metrics import ExtraMetric
 
 DEFAULT_RETRY_AFTER_MS = 1000.0  # where the answer gives no estimate
 _ID = re.compile(r"[!-.0-~]{1,128}")  # printable, and no slash: it becomes part of a path
--- a/millethead/members/shell.py
+++ b/millethead/members/shell.py
@@ -14,7 +14,7 @@
 
 from millethead import __version__
 from millethead.config import ConfigError
-from millethead.console.figures import ExtraMetric
+from millethead.console.metrics import ExtraMetric
 from millethead.logs import RateLimitedLog
 from millethead.members.messages import Record, State
 from millethead.members.offices import Office
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -21,7 +21,7 @@
 )
 from millethead.admission.setup import AdmissionSetup
 from millethead.admission.window import INTERVAL_MS, AdmissionWindow
-from millethead.console.figures import MetricsSnapshot, render
+from millethead.console.metrics import MetricsSnapshot, render
 from millethead.decide.interface import Tenant
 from millethead.exchange import Final, Order
 from millethead.exchange.counters import JobCounters
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -16,7 +16,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from millethead.console.excluded_workers import MAX_WORKERS, ExcludedWorkersFile
-from millethead.console.figures import escape
+from millethead.console.metrics import escape
 from millethead.decide import interface as api
 
 DOWN, UP = "/ops/booking-workers/down", "/ops/booking-workers/up"
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -9,7 +9,7 @@
 
 from millethead.admission.queue import AdmissionQueue
 from millethead.admission.setup import AdmissionSetup
-from millethead.console.figures import MetricsSnapshot, render
+from millethead.console.metrics import MetricsSnapshot, render
 from millethead.exchange.counters import JobCounters
 from millethead.frontends.http import HttpFrontend
 from millethead.lab.clock import VirtualClock
