--- a/millethead/net/accept.py
+++ b/millethead/net/accept.py
@@ -291,12 +291,12 @@
             if reply is None:
                 return
             consecutive_errors = consecutive_errors + 1 if reply.status >= 400 and not reply.job else 0
-            keep = conn.keep_alive and not self.closing and consecutive_errors < MAX_CONSECUTIVE_ERRORS
-            message = format_response(reply.status, reply.body, reply.fields, keep)
+            keep_alive = conn.keep_alive and not self.closing and consecutive_errors < MAX_CONSECUTIVE_ERRORS
+            message = format_response(reply.status, reply.body, reply.fields, keep_alive)
             if method == "HEAD":  # a response to HEAD has a Content-Length but no body
                 message = message[: len(message) - len(reply.body)]
             await send_response(conn, message)
-            if not keep:
+            if not keep_alive:
                 return
             rank, conn.partially_read = RANK_REGULAR if reply.job else max(rank, RANK_NO_JOB), False
             self.mark_idle(conn, rank)
--- a/millethead/net/discovery.py
+++ b/millethead/net/discovery.py
@@ -197,7 +197,7 @@
         return await with_timeout(self._last_contact_s + self.timeouts.silence_s - time.monotonic(), operation)
 
     async def _run(self, generation: int, call: Callable[[int], Awaitable[None]]) -> None:
-        why = "the watch ended"
+        why = "the call ended"
         try:
             if self._unusable_watches >= MAX_UNUSABLE_WATCHES and call != self._request_list:
                 await asyncio.sleep(min(MAX_REQUEST_PAUSE_S, REQUEST_PAUSE_S * self._unusable_watches))
--- a/millethead/program.py
+++ b/millethead/program.py
@@ -362,9 +362,8 @@
         self.pool.limit = sockets * 3 // 10
         client_limit = sockets * 6 // 10 - (CONSOLE_CONNECTIONS if self.config.console is not None else 0)
         faktory_setup = self.operator.faktory
-        if (
-            faktory_setup is None
-        ):  # each job occupies its client's connection: some are reserved for call-backs of workers
+        if faktory_setup is None:
+            # each job occupies its client's connection: some are reserved for call-backs of workers
             self.exchange.max_unanswered = max(1, client_limit - max(MIN_CALLBACK_CONNECTIONS, client_limit // 16))
         return client_limit - (min(faktory_setup.connections, client_limit // 2) if faktory_setup is not None else 0)
 
--- a/tests/test_client_races.py
+++ b/tests/test_client_races.py
@@ -30,8 +30,8 @@
 
 
 class Client:
-    def __init__(self, stage):
-        self.sock = socket.create_connection(("127.0.0.1", stage.port("client")))
+    def __init__(self, dispatcher):
+        self.sock = socket.create_connection(("127.0.0.1", dispatcher.port("client")))
         self.sock.setblocking(False)
 
     def send(self, data):
@@ -61,17 +61,17 @@
 
 
 @pytest.fixture
-async def stage():
+async def dispatcher():
     async with DispatcherFixture() as made:
         yield made
 
 
 @pytest.fixture
-def client(stage):
+def client(dispatcher):
     made = []
 
     def call():
-        made.append(Client(stage))
+        made.append(Client(dispatcher))
         return made[-1]
 
     yield call
@@ -79,8 +79,8 @@
         one.close()
 
 
-def server_end(stage):
-    (conn,) = stage.program.acceptor.open
+def server_end(dispatcher):
+    (conn,) = dispatcher.program.acceptor.open
     return conn
 
 
@@ -95,12 +95,12 @@
             await asyncio.sleep(0)
 
 
-async def idle_connection(stage, client):
+async def idle_connection(dispatcher, client):
     """Returns a client with an idle connection that has sent a request, and the server's end of the connection."""
     one = client()
     one.send(UP)
     await one.until(b"ready\n")
-    conn = server_end(stage)
+    conn = server_end(dispatcher)
     await soon(lambda: conn.reader_blocked())
     return one, conn
 
@@ -108,29 +108,29 @@
 # ---- closing in a race with input ----------------------------------------------------------------------
 
 
-async def hold_job(stage, client):
+async def hold_job(dispatcher, client):
     """Submits a job that is not answered, so that the program cannot end yet."""
     held = client()
     held.send(job(b"held"))
-    await soon(lambda: stage.program.exchange.held)
+    await soon(lambda: dispatcher.program.exchange.held)
 
 
-async def test_request_that_arrives_as_an_idle_connection_is_drained_is_answered(stage, client):
+async def test_request_that_arrives_as_an_idle_connection_is_drained_is_answered(dispatcher, client):
     """A request that arrived between the check of the socket and the close was lost, and the connection was reset."""
-    one, conn = await idle_connection(stage, client)
-    await hold_job(stage, client)
-    stage.program.drain()
+    one, conn = await idle_connection(dispatcher, client)
+    await hold_job(dispatcher, client)
+    dispatcher.program.drain()
     one.send(UP)  # after the check, before the connection's reader continues
     block_until_input(conn)
     answer = await one.until(b"\r\n\r\n")
     assert answer.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in answer
 
 
-async def test_input_after_the_close_does_not_cause_a_reset(stage, client):
+async def test_input_after_the_close_does_not_cause_a_reset(dispatcher, client):
     """A reset would discard the response written before it, and the client would not learn the result."""
-    one, conn = await idle_connection(stage, client)
-    await hold_job(stage, client)
-    stage.program.drain()
+    one, conn = await idle_connection(dispatcher, client)
+    await hold_job(dispatcher, client)
+    dispatcher.program.drain()
     assert await one.recv() == b""  # the server has closed its side
     one.send(UP)
     block_until_input(conn)
@@ -140,17 +140,17 @@
     await soon(lambda: conn.stream.closed())
 
 
-async def test_connection_rejected_at_the_limit_is_not_reset(stage, client):
-    await hold_job(stage, client)
-    stage.program.acceptor.limit = 1
+async def test_connection_rejected_at_the_limit_is_not_reset(dispatcher, client):
+    await hold_job(dispatcher, client)
+    dispatcher.program.acceptor.limit = 1
     one = client()
     one.send(job(b"x") * 9)  # arrives before the connection is accepted
     assert await one.recv() == b""
 
 
-async def test_connection_closes_after_a_response_sent_as_the_drain_begins(stage, client, monkeypatch):
+async def test_connection_closes_after_a_response_sent_as_the_drain_begins(dispatcher, client, monkeypatch):
     """The response announced a persistent connection, which then stayed idle until the process ended."""
-    await hold_job(stage, client)
+    await hold_job(dispatcher, client)
     reached, resume = asyncio.Event(), asyncio.Event()
     send = accept.send_response
 
@@ -163,19 +163,19 @@
     one = client()
     one.send(UP)
     await asyncio.wait_for(reached.wait(), TIMEOUT_S)
-    stage.program.drain()
+    dispatcher.program.drain()
     resume.set()
     assert b"ready\n" in await one.until(b"ready\n")
     assert await one.recv() == b""
-    assert stage.program.exchange.held  # long before the process ends
+    assert dispatcher.program.exchange.held  # long before the process ends
 
 
-async def test_request_that_arrives_at_the_idle_timeout_is_answered(stage, client, monkeypatch):
+async def test_request_that_arrives_at_the_idle_timeout_is_answered(dispatcher, client, monkeypatch):
     monkeypatch.setattr(accept, "NO_JOB_IDLE_TIMEOUT_S", 0.05)
     one = client()
     one.send(UP)
     await one.until(b"ready\n")
-    conn = server_end(stage)
+    conn = server_end(dispatcher)
     await soon(lambda: conn.reader_blocked())
     time.sleep(0.06)  # blocks the loop, so that it finds both the timeout and the request
     one.send(UP)
@@ -183,7 +183,7 @@
     assert (await one.until(b"ready\n")).startswith(b"HTTP/1.1 200 ")
 
 
-async def test_connection_with_an_unprocessed_request_is_not_evicted(stage, client, monkeypatch):
+async def test_connection_with_an_unprocessed_request_is_not_evicted(dispatcher, client, monkeypatch):
     """A complete request that is in the buffer before its reader continues looks like a partial request, which does not
     protect the connection."""
     armed, evictions, on_read = False, [], Connection._on_read
@@ -191,26 +191,26 @@
     def evict_after_read(self, reading):
         on_read(self, reading)
         if armed:
-            evictions.append(stage.program.acceptor.make_room())
+            evictions.append(dispatcher.program.acceptor.make_room())
 
     monkeypatch.setattr(Connection, "_on_read", evict_after_read)
-    one, _ = await idle_connection(stage, client)
+    one, _ = await idle_connection(dispatcher, client)
     armed = True
     one.send(UP)
     assert (await one.until(b"ready\n")).startswith(b"HTTP/1.1 200 ")
     assert evictions == [False]
 
 
-async def test_idle_connection_is_evicted_before_one_with_a_partial_request(stage, client):
-    one, conn = await idle_connection(stage, client)
+async def test_idle_connection_is_evicted_before_one_with_a_partial_request(dispatcher, client):
+    one, conn = await idle_connection(dispatcher, client)
     one.send(UP[:9])
     await soon(lambda: len(conn.buffer) and conn.reader_blocked())
     other = client()
     other.send(UP)
     await other.until(b"ready\n")
-    await soon(lambda: len(stage.program.acceptor.idle) == 2)
-    await soon(lambda: all(each.reader_blocked() for each in stage.program.acceptor.open))
-    assert stage.program.acceptor.make_room()
+    await soon(lambda: len(dispatcher.program.acceptor.idle) == 2)
+    await soon(lambda: all(each.reader_blocked() for each in dispatcher.program.acceptor.open))
+    assert dispatcher.program.acceptor.make_room()
     assert await other.recv() == b""
     one.send(UP[9:])
     assert (await one.until(b"ready\n")).startswith(b"HTTP/1.1 200 ")
@@ -218,8 +218,8 @@
 
 async def test_job_is_not_handed_over_while_read_bytes_are_not_in_the_buffer(monkeypatch):
     """Bytes that the loop has read and not put into the buffer yet were lost in the handover."""
-    async with DispatcherFixture(console=True) as stage:
-        succession, link = stage.program.succession, mock.Mock(open=True, sent=True)
+    async with DispatcherFixture(console=True) as dispatcher:
+        succession, link = dispatcher.program.succession, mock.Mock(open=True, sent=True)
         on_read, tried = Connection._on_read, []
 
         def hand_over_before_read(conn, reading):
@@ -228,16 +228,16 @@
             on_read(conn, reading)
 
         monkeypatch.setattr(Connection, "_on_read", hand_over_before_read)
-        worker = asyncio.create_task(serve(stage, done=False))
-        one = Client(stage)
+        worker = asyncio.create_task(serve(dispatcher, done=False))
+        one = Client(dispatcher)
         one.send(job(b"a"))
-        await soon(lambda: stage.program.exchange.held)
-        (held,) = stage.program.exchange.jobs
-        await soon(lambda: held.attempts and stage.program.workers.movable(held.attempts[0]))
+        await soon(lambda: dispatcher.program.exchange.held)
+        (held,) = dispatcher.program.exchange.jobs
+        await soon(lambda: held.attempts and dispatcher.program.workers.movable(held.attempts[0]))
         one.send(b"x")
         await soon(lambda: tried)
         link.send.assert_not_called()
-        (conn,) = stage.program.acceptor.open
+        (conn,) = dispatcher.program.acceptor.open
         conn.buffer.take(1)
         succession._give(link, conn)  # succeeds once the buffer is empty
         assert link.send.call_args.args[0] == "job"
@@ -261,31 +261,31 @@
 
 
 @BEFORE
-async def test_disconnect_behind_unread_bytes_is_detected(stage, client, before):
+async def test_disconnect_behind_unread_bytes_is_detected(dispatcher, client, before):
     """A peek at the socket shows only the bytes. The job went on although no client waited for it."""
     one = client()
     one.send(job(b"a"))
-    await soon(lambda: stage.program.exchange.held)
-    conn = server_end(stage)
+    await soon(lambda: dispatcher.program.exchange.held)
+    conn = server_end(dispatcher)
     await send_and_disconnect(one, before)
-    await soon(lambda: not stage.program.exchange.held)
+    await soon(lambda: not dispatcher.program.exchange.held)
     assert len(conn.buffer) <= MAX_BUFFER_BYTES
-    await soon(lambda: stage.program.frontend.left == 1)
+    await soon(lambda: dispatcher.program.frontend.left == 1)
 
 
 @BEFORE
 @pytest.mark.parametrize("table", ["[waiting]\n", "[door]\n", "[door]\n[waiting]\n"])
 async def test_disconnect_is_detected_in_every_stage(table, before):
     """A job held by a stage is removed from it and from the exchange, and no attempt starts."""
-    async with DispatcherFixture(table, workers=0) as stage:
-        one = Client(stage)
+    async with DispatcherFixture(table, workers=0) as dispatcher:
+        one = Client(dispatcher)
         later = b"X-Run-At: %d\r\nX-Timeout" % (time.time() + 6) if "waiting" in table else b"X-Timeout"
         one.send(job(b"a").replace(b"X-Timeout", later))
-        await soon(lambda: stage.program.stage.held)
+        await soon(lambda: dispatcher.program.stage.held)
         await send_and_disconnect(one, before)
-        await soon(lambda: not stage.program.stage.held)
-        await soon(lambda: stage.program.frontend.left == 1)
-        assert not any(stage.program.exchange.counters.written)
+        await soon(lambda: not dispatcher.program.stage.held)
+        await soon(lambda: dispatcher.program.frontend.left == 1)
+        assert not any(dispatcher.program.exchange.counters.written)
         one.close()
 
 
@@ -313,33 +313,33 @@
         worker.cancel()
 
 
-async def test_reset_is_detected(stage, client):
+async def test_reset_is_detected(dispatcher, client):
     one = client()
     one.send(job(b"a"))
-    await soon(lambda: stage.program.exchange.held)
+    await soon(lambda: dispatcher.program.exchange.held)
     one.reset()
-    await soon(lambda: not stage.program.exchange.held)
+    await soon(lambda: not dispatcher.program.exchange.held)
 
 
 @pytest.mark.parametrize("leave", [Client.close, Client.reset])
-async def test_request_of_a_disconnected_client_is_not_submitted(stage, client, leave):
+async def test_request_of_a_disconnected_client_is_not_submitted(dispatcher, client, leave):
     one = client()
     one.send(UP)
     await one.until(b"ready\n")
-    conn = server_end(stage)
-    with mock.patch.object(stage.program.exchange, "arrive") as arrive:
+    conn = server_end(dispatcher)
+    with mock.patch.object(dispatcher.program.exchange, "arrive") as arrive:
         one.send(job(b"a"))
         leave(one)
         block_until_input(conn)
-        await soon(lambda: not stage.program.acceptor.open)
+        await soon(lambda: not dispatcher.program.acceptor.open)
     arrive.assert_not_called()
 
 
-async def test_pipelined_requests_are_answered_in_order(stage, client):
-    worker = asyncio.create_task(serve(stage))
+async def test_pipelined_requests_are_answered_in_order(dispatcher, client):
+    worker = asyncio.create_task(serve(dispatcher))
     one, text = client(), job(b"a") + job(b"b") + UP + job(b"c") + UP
     one.send(text[:200])
-    await soon(lambda: stage.program.exchange.held)
+    await soon(lambda: dispatcher.program.exchange.held)
     one.send(text[200:])
     got = b""
     while got.count(b"ready\n") < 2:
@@ -350,14 +350,14 @@
     worker.cancel()
 
 
-async def test_connection_closes_after_the_response_if_too_much_is_pipelined(stage, client):
+async def test_connection_closes_after_the_response_if_too_much_is_pipelined(dispatcher, client):
     one = client()
     one.send(job(b"a"))
-    await soon(lambda: stage.program.exchange.held)
-    conn = server_end(stage)
+    await soon(lambda: dispatcher.program.exchange.held)
+    conn = server_end(dispatcher)
     await asyncio.wait_for(asyncio.get_running_loop().sock_sendall(one.sock, UP * 10_000), TIMEOUT_S)
     assert len(conn.buffer) <= MAX_BUFFER_BYTES
-    worker = asyncio.create_task(serve(stage))
+    worker = asyncio.create_task(serve(dispatcher))
     got = await one.until(b"did a")
     assert b"Connection: close" in got
     while part := await one.recv():
@@ -366,7 +366,7 @@
     worker.cancel()
 
 
-async def serve(stage, done=True):
+async def serve(dispatcher, done=True):
     """Runs workers 1 and 2, which accept each job and, if `done`, complete it at once."""
 
     async def serve_connection(reader, writer, name):
@@ -381,14 +381,14 @@
             writer.write(TAKEN)
             order = head.partition(b"X-Request-ID: ")[2].split(b"\r")[0].decode()
             if done:
-                stage.program.workers.apply_callback(order, name, "done", b"did " + order.encode(), None)
+                dispatcher.program.workers.apply_callback(order, name, "done", b"did " + order.encode(), None)
 
     async def accept_all(peers, name):
         tasks = []
         while True:
             tasks.append(asyncio.create_task(serve_connection(*await peers.accepted.get(), name)))
 
-    await asyncio.gather(*(accept_all(peers, f"s-{n:08x}") for n, peers in enumerate(stage.workers, 1)))
+    await asyncio.gather(*(accept_all(peers, f"s-{n:08x}") for n, peers in enumerate(dispatcher.workers, 1)))
 
 
 # ---- reads with changing readers -----------------------------------------------------------------------
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -152,32 +152,32 @@
 async def test_second_reload_does_not_apply_settings_that_need_a_restart():
     """The second reload was compared with the settings of the first, which waited for a restart. Its values were then
     applied to other classes."""
-    async with DispatcherFixture() as stage:
+    async with DispatcherFixture() as dispatcher:
 
         def reload(quota, classes):
             tenants = [{"name": "rustaveli-desks", "quota_rps": quota}, {"name": "rioni-hub", "quota_rps": quota}]
-            stage.path.write_text(
-                json.dumps({**stage.config, "settings": {**SETTINGS, "tenants": tenants, "classes": classes}})
+            dispatcher.path.write_text(
+                json.dumps({**dispatcher.config, "settings": {**SETTINGS, "tenants": tenants, "classes": classes}})
             )
-            stage.program.reload()
-            return [flow.total_reservation for flow in stage.program.exchange._module.flows]
+            dispatcher.program.reload()
+            return [flow.total_reservation for flow in dispatcher.program.exchange._module.flows]
 
         classes = SETTINGS["classes"]
         assert reload(8.0, classes) == [0.008, 0.008]
         for quota in (2.0, 3.0):
             assert reload(quota, classes[::-1]) == [0.008, 0.008]
-        assert stage.program.exchange.settings.classes[1].effect is api.Effect.UNSAFE
+        assert dispatcher.program.exchange.settings.classes[1].effect is api.Effect.UNSAFE
         assert reload(4.0, classes) == [0.004, 0.004]
         report = {**SETTINGS["family_info"], "report_x0": "free memory"}
-        stage.path.write_text(json.dumps({**stage.config, "settings": {**SETTINGS, "family_info": report}}))
-        stage.program.reload()
-        assert stage.program.exchange.settings.tenants[0].reservation == 4.0
+        dispatcher.path.write_text(json.dumps({**dispatcher.config, "settings": {**SETTINGS, "family_info": report}}))
+        dispatcher.program.reload()
+        assert dispatcher.program.exchange.settings.tenants[0].reservation == 4.0
 
 
 async def test_pending_list_request_is_dropped_on_a_move(monkeypatch):
     """The request was sent to the new address besides the new watch, whose timeout it restarted."""
-    async with DispatcherFixture() as stage:
-        discovery, resume, sleep = stage.program.discovery, asyncio.Event(), asyncio.sleep
+    async with DispatcherFixture() as dispatcher:
+        discovery, resume, sleep = dispatcher.program.discovery, asyncio.Event(), asyncio.sleep
         reached = asyncio.Event()
 
         async def sleep_or_pause(seconds, *more):
@@ -187,17 +187,17 @@
             else:
                 await sleep(seconds, *more)
 
-        await asyncio.wait_for(stage.discovery.accepted.get(), TIMEOUT_S)
+        await asyncio.wait_for(dispatcher.discovery.accepted.get(), TIMEOUT_S)
         monkeypatch.setattr("millethead.net.discovery.REQUEST_PAUSE_S", 0.3125)
         monkeypatch.setattr(asyncio, "sleep", sleep_or_pause)
         discovery._unusable_watches = 2
         discovery.watch(True)
         await asyncio.wait_for(reached.wait(), TIMEOUT_S)
         with mock.patch.object(discovery, "_request_list") as request_list:
-            discovery.move(("127.0.0.1", stage.workers[0].port))
+            discovery.move(("127.0.0.1", dispatcher.workers[0].port))
             resume.set()
-            await asyncio.wait_for(stage.workers[0].accepted.get(), TIMEOUT_S)
+            await asyncio.wait_for(dispatcher.workers[0].accepted.get(), TIMEOUT_S)
             for _ in range(20):
                 await sleep(0)
         request_list.assert_not_called()
-        assert stage.workers[0].accepted.empty()
+        assert dispatcher.workers[0].accepted.empty()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -48,8 +48,8 @@
         self.addCleanup(patch.stop)
 
     async def test_calls_and_error_replies(self):
-        async with DispatcherFixture(console=True) as stage:
-            port = stage.port("console")
+        async with DispatcherFixture(console=True) as dispatcher:
+            port = dispatcher.port("console")
             self.assertEqual((await call(port, "/ops/readiness"))[:2], (200, "yes\n"))
             for path, body, method, status, expected in (
                 ("/ops", None, None, 404, "/ops/stats"),
@@ -68,33 +68,33 @@
                     self.assertEqual((got, text.count("\n")), (status, 1))
                     self.assertIn(expected, text)
                     self.assertIn("Connection: close", head)
-            self.assertEqual(stage.program.exchange.out, frozenset())
-            stage.program.stage.leave(1000.0)
+            self.assertEqual(dispatcher.program.exchange.out, frozenset())
+            dispatcher.program.stage.leave(1000.0)
             self.assertEqual((await call(port, "/ops/readiness"))[0], 503)
 
     async def test_connections_without_a_complete_request_do_not_block_other_calls(self):
-        async with DispatcherFixture(console=True) as stage:
-            port, limit = stage.port("console"), stage.program.console.limit
+        async with DispatcherFixture(console=True) as dispatcher:
+            port, limit = dispatcher.port("console"), dispatcher.program.console.limit
             idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * limit)]
             for _, writer in idle[::2]:
                 writer.write(b"GET /ops/sta")
             self.assertEqual((await call(port, "/ops/readiness"))[0], 200)
-            self.assertLessEqual(len(stage.program.console.open), limit)
+            self.assertLessEqual(len(dispatcher.program.console.open), limit)
             for _, writer in idle:
                 writer.close()
-        async with DispatcherFixture(console=True) as stage:
+        async with DispatcherFixture(console=True) as dispatcher:
             with mock.patch("millethead.console.server.CALL_TIMEOUT_S", 0.05):
-                self.assertIn(" 408 ", await exchange_bytes(stage.port("console"), b"GET /ops/stats"))
-                self.assertEqual(await exchange_bytes(stage.port("console"), b""), "")
+                self.assertIn(" 408 ", await exchange_bytes(dispatcher.port("console"), b"GET /ops/stats"))
+                self.assertEqual(await exchange_bytes(dispatcher.port("console"), b""), "")
 
     async def test_partial_request_unread_at_the_timeout_gets_408(self):
         """If the loop is busy, the timeout fires with the bytes still unread in the socket. The connection was then
         reset without a response."""
-        async with DispatcherFixture(console=True) as stage:
-            client = socket.create_connection(("127.0.0.1", stage.port("console")))
+        async with DispatcherFixture(console=True) as dispatcher:
+            client = socket.create_connection(("127.0.0.1", dispatcher.port("console")))
             with mock.patch("millethead.console.server.CALL_TIMEOUT_S", 0.05), client:
                 async with asyncio.timeout(TIMEOUT_S):
-                    while not stage.program.console.open:
+                    while not dispatcher.program.console.open:
                         await asyncio.sleep(0)
                 client.sendall(b"GET /ops/stats")
                 time.sleep(0.1)  # blocks the loop for longer than the timeout of a call
@@ -103,12 +103,12 @@
                 self.assertIn(b" 408 ", await asyncio.wait_for(response, TIMEOUT_S))
 
     async def test_console_is_disabled_without_an_address(self):
-        async with DispatcherFixture() as stage:
-            self.assertIsNone(stage.program.console)
+        async with DispatcherFixture() as dispatcher:
+            self.assertIsNone(dispatcher.program.console)
 
     async def test_exclusion_outlasts_lists_and_a_restart_and_one_call_ends_it(self):
-        async with DispatcherFixture(console=True) as stage:
-            port, program, name = stage.port("console"), stage.program, "s-00000001"
+        async with DispatcherFixture(console=True) as dispatcher:
+            port, program, name = dispatcher.port("console"), dispatcher.program, "s-00000001"
             for _ in range(2):  # a repeated call has no further effect
                 self.assertEqual((await call(port, DOWN, {"member": name}))[0], 200)
             transport, parser = program.workers, program.discovery.parser
@@ -118,34 +118,34 @@
                 self.assertFalse(any(w.wanted for w in program.exchange.workers))
             stats = (await call(port, "/ops/stats"))[1]
             self.assertIn("dispatcher_hosts_listed 1\ndispatcher_hosts_down 1\n", without_comments(stats))
-        async with DispatcherFixture(console=True) as stage:
-            port, program = stage.port("console"), stage.program
+        async with DispatcherFixture(console=True) as dispatcher:
+            port, program = dispatcher.port("console"), dispatcher.program
             self.assertEqual(program.exchange.out, {name})
             self.assertEqual((await call(port, UP, {"member": name}))[0], 200)
             self.assertTrue(program.exchange.worker(name).wanted)
-        async with DispatcherFixture(console=True) as stage:
-            self.assertEqual(stage.program.exchange.out, frozenset())
+        async with DispatcherFixture(console=True) as dispatcher:
+            self.assertEqual(dispatcher.program.exchange.out, frozenset())
 
     async def test_exclusion_that_cannot_be_stored_fails_without_effect(self):
-        async with DispatcherFixture(console=True) as stage:
-            port, name = stage.port("console"), "s-00000002"
+        async with DispatcherFixture(console=True) as dispatcher:
+            port, name = dispatcher.port("console"), "s-00000002"
             with mock.patch.object(ExcludedWorkersFile, "store", side_effect=OSError("full")):
                 self.assertEqual((await call(port, DOWN, {"member": name}))[0], 503)
-            self.assertTrue(stage.program.exchange.worker(name).wanted)
+            self.assertTrue(dispatcher.program.exchange.worker(name).wanted)
 
     async def test_metrics_match_the_traffic(self):
-        async with DispatcherFixture(console=True, workers=1) as stage:
-            port = stage.port("console")
+        async with DispatcherFixture(console=True, workers=1) as dispatcher:
+            port = dispatcher.port("console")
             text = (await call(port, "/ops/stats"))[1]
             self.assertIn('dispatcher_success_total{tier="refund"} 0\n', text)
             job = (
                 b"POST /api HTTP/1.1\r\nHost: x\r\nX-Request-ID: a1\r\nX-Priority-Class: paid-booking\r\n"
                 b"X-Tenant-Id: rioni-hub\r\nX-Timeout: 7.5\r\nContent-Length: 0\r\n\r\n"
             )
-            client, writer = await asyncio.open_connection("127.0.0.1", stage.port("client"))
+            client, writer = await asyncio.open_connection("127.0.0.1", dispatcher.port("client"))
             writer.write(job)
             while True:
-                reader, answer = await stage.workers[0].accepted.get()
+                reader, answer = await dispatcher.workers[0].accepted.get()
                 if (await reader.readuntil(b"\r\n\r\n")).startswith(b"POST"):
                     break
                 answer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nx0=2")
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -41,9 +41,9 @@
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS])
 async def test_listener_pauses_after_a_failed_accept_and_recovers(monkeypatch, error):
     pauses = []
-    async with DispatcherFixture() as stage:
-        server, loop = stage.program.acceptor, asyncio.get_running_loop()
-        idle = Client(stage)
+    async with DispatcherFixture() as dispatcher:
+        server, loop = dispatcher.program.acceptor, asyncio.get_running_loop()
+        idle = Client(dispatcher)
         idle.send(UP)
         await idle.until(b"ready\n")
         await soon(lambda: all(conn.reader_blocked() for conn in server.open))
@@ -55,7 +55,7 @@
             "call_later",
             lambda s, call: pauses.append(call) if (s == accept.ACCEPT_PAUSE_S) else later(s, call),
         )
-        one = Client(stage)
+        one = Client(dispatcher)
         one.send(UP)
         await soon(lambda: pauses)
         for _ in range(50):
@@ -70,8 +70,8 @@
 
 
 async def test_few_connections_are_accepted_before_the_limit_is_checked():
-    async with DispatcherFixture() as stage:
-        server = stage.program.acceptor
+    async with DispatcherFixture() as dispatcher:
+        server = dispatcher.program.acceptor
         server.limit, counts, handle = 4, [], accept.Server.handle_stream
 
         async def count(self, stream, address):
@@ -79,7 +79,7 @@
             await handle(self, stream, address)
 
         with mock.patch.object(accept.Server, "handle_stream", count):
-            crowd = [Client(stage) for _ in range(100)]
+            crowd = [Client(dispatcher) for _ in range(100)]
             await soon(lambda: len(counts) == 100)
             await asyncio.sleep(0)
         assert max(counts) <= 4 + accept.MAX_PENDING_ACCEPTS
@@ -90,19 +90,19 @@
 
 async def test_connections_are_reserved_for_call_backs():
     """With a waiting client on each connection no worker could send a call-back, and all jobs timed out."""
-    async with DispatcherFixture() as stage:
-        stage.path.write_text(json.dumps({**stage.config, "limits": {"sockets": 40}}))
-        stage.program.reload()
-        acceptor = stage.program.acceptor
-        crowd = [Client(stage) for _ in range(acceptor.limit)]
+    async with DispatcherFixture() as dispatcher:
+        dispatcher.path.write_text(json.dumps({**dispatcher.config, "limits": {"sockets": 40}}))
+        dispatcher.program.reload()
+        acceptor = dispatcher.program.acceptor
+        crowd = [Client(dispatcher) for _ in range(acceptor.limit)]
         for n, one in enumerate(crowd):
             one.send(job(b"j%d" % n))
-        exchange = stage.program.exchange
+        exchange = dispatcher.program.exchange
         await soon(lambda: exchange.held + sum(exchange.counters.refused) == acceptor.limit)
         assert exchange.held == acceptor.limit - 4
         body = json.dumps({"id": "j0", "from": "s-00000001", "state": "done", "result": "ok"}).encode()
         for _ in range(9):
-            worker = Client(stage)
+            worker = Client(dispatcher)
             worker.send(b"POST /_jobs/news HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
             assert (await worker.until(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
             crowd.append(worker)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -151,9 +151,9 @@
 # ---- on sockets ----------------------------------------------------------------------------------------
 
 
-async def watch(stage):
+async def watch(dispatcher):
     """Accepts the next call to discovery. Returns (head of the request, reader, writer)."""
-    reader, writer = await asyncio.wait_for(stage.discovery.accepted.get(), TIMEOUT_S)
+    reader, writer = await asyncio.wait_for(dispatcher.discovery.accepted.get(), TIMEOUT_S)
     return await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), TIMEOUT_S), reader, writer
 
 
@@ -162,9 +162,9 @@
 )
 async def test_watch_without_a_complete_line_counts_as_silent(sent):
     """Each byte extended the timeout by 7 s, although a missed change counts as announced 6 s after the last line."""
-    async with DispatcherFixture() as stage:
-        discovery = stage.program.discovery
-        _, reader, writer = await watch(stage)
+    async with DispatcherFixture() as dispatcher:
+        discovery = dispatcher.program.discovery
+        _, reader, writer = await watch(dispatcher)
         discovery.timeouts = ListTimeouts(silence_s=0.4, connect_s=TIMEOUT_S, next_call_s=0.4, pushed=False)
         writer.write(sent)
         closed = asyncio.create_task(reader.read())
@@ -177,46 +177,46 @@
         await asyncio.wait([closed], timeout=TIMEOUT_S)
         # a close with an unread byte is a reset, otherwise an orderly close: both are expected
         assert closed.done() and isinstance(closed.exception(), ConnectionError | None)
-        again, *_ = await watch(stage)
+        again, *_ = await watch(dispatcher)
         assert again.startswith(b"GET /discovery/hosts?follow=1")
 
 
 async def test_list_over_several_lines_is_accepted():
-    async with DispatcherFixture() as stage:
-        _, _, writer = await watch(stage)
-        text = listing(42, endpoint(1, 9, status="terminating"), endpoint(2, stage.workers[1].port), indent=2)
+    async with DispatcherFixture() as dispatcher:
+        _, _, writer = await watch(dispatcher)
+        text = listing(42, endpoint(1, 9, status="terminating"), endpoint(2, dispatcher.workers[1].port), indent=2)
         for at in range(0, len(text), 7):
             writer.write(chunk(text[at : at + 7]) if at else HEAD + chunk(text[:7]))
-        exchange = stage.program.exchange
+        exchange = dispatcher.program.exchange
         async with asyncio.timeout(TIMEOUT_S):
             while exchange.worker("s-00000001").open:
                 await asyncio.sleep(0)
-        assert exchange.worker("s-00000002").open and stage.program.discovery.index == 42
+        assert exchange.worker("s-00000002").open and dispatcher.program.discovery.index == 42
 
 
 async def test_changes_with_restarted_versions_are_rejected():
     """After discovery restarts its version count, changes since an old version would omit what changed in between."""
-    async with DispatcherFixture() as stage:
-        head, reader, writer = await watch(stage)
+    async with DispatcherFixture() as dispatcher:
+        head, reader, writer = await watch(dispatcher)
         assert b"since=41 " in head
         writer.write(HEAD + chunk(listing(3, endpoint(1, 9, status="terminating"), whole=False)))
         assert await asyncio.wait_for(reader.read(), TIMEOUT_S) == b""
-        assert stage.program.exchange.worker("s-00000001").open  # an invalid list has no effect
-        again, *_ = await watch(stage)
+        assert dispatcher.program.exchange.worker("s-00000001").open  # an invalid list has no effect
+        again, *_ = await watch(dispatcher)
         assert b"since" not in again  # the whole list is requested
 
 
 async def test_pushed_lists_are_watched_too():
     """With pushed lists no watch was opened, and dispatchers did not learn of drains (19 in one day)."""
-    async with DispatcherFixture(settings={**SETTINGS, "membership_mode": "automatic"}) as stage:
+    async with DispatcherFixture(settings={**SETTINGS, "membership_mode": "automatic"}) as dispatcher:
         for _ in range(2):
-            _, _, writer = await watch(stage)
+            _, _, writer = await watch(dispatcher)
             writer.write(HEAD + chunk(b"\n"))
             writer.transport.abort()  # changes from now on count as announced at once
-        _, _, writer = await watch(stage)
+        _, _, writer = await watch(dispatcher)
         writer.write(HEAD + chunk(listing(42, endpoint(1, 9, status="terminating"), whole=False)))
         async with asyncio.timeout(TIMEOUT_S):
-            while stage.program.exchange.worker("s-00000001").open:
+            while dispatcher.program.exchange.worker("s-00000001").open:
                 await asyncio.sleep(0)
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -164,22 +164,22 @@
             self.assertEqual(await process.wait(), 0)
 
     async def test_reload_moves_the_watch_and_keeps_workers_and_readiness(self):
-        async with DispatcherFixture() as stage:
-            program, other = stage.program, await PeerListener().open()
+        async with DispatcherFixture() as dispatcher:
+            program, other = dispatcher.program, await PeerListener().open()
             self.addCleanup(other.close)
-            old, _ = await asyncio.wait_for(stage.discovery.accepted.get(), TIMEOUT_S)
+            old, _ = await asyncio.wait_for(dispatcher.discovery.accepted.get(), TIMEOUT_S)
             self.assertIn(b"since=41 ", await old.readuntil(b"\r\n\r\n"))
-            stage.path.write_text("{")
+            dispatcher.path.write_text("{")
             program.reload()  # invalid file: the old watch stays
-            self.assertEqual(program.discovery.address, ("127.0.0.1", stage.discovery.port))
+            self.assertEqual(program.discovery.address, ("127.0.0.1", dispatcher.discovery.port))
             settings = {
                 **SETTINGS,
                 "tenants": [{"name": "rustaveli-desks", "quota_rps": 4.0}, {"name": "rioni-hub", "quota_rps": 4.0}],
             }
-            stage.path.write_text(
+            dispatcher.path.write_text(
                 json.dumps(
                     {
-                        **stage.config,
+                        **dispatcher.config,
                         "discovery": f"127.0.0.1:{other.port}",
                         "limits": {"sockets": 100},
                         "settings": settings,
@@ -195,7 +195,10 @@
             reader, writer = await asyncio.wait_for(other.accepted.get(), TIMEOUT_S)
             # versions may differ at another service: the whole list is requested
             self.assertNotIn(b"since", await reader.readuntil(b"\r\n\r\n"))
-            lines = [endpoint(1, stage.workers[0].port, status="terminating"), endpoint(2, stage.workers[1].port)]
+            lines = [
+                endpoint(1, dispatcher.workers[0].port, status="terminating"),
+                endpoint(2, dispatcher.workers[1].port),
+            ]
             line = json.dumps({"index": 2, "snapshot": True, "endpoints": lines}).encode() + b"\n"
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line))
             while program.exchange.worker("s-00000001").open:
@@ -204,28 +207,28 @@
             self.assertTrue(other.accepted.empty())
 
     async def test_shutdown_accepts_late_jobs_and_answers_held_ones(self):
-        async with DispatcherFixture(workers=1) as stage:
+        async with DispatcherFixture(workers=1) as dispatcher:
             taken = asyncio.Queue()
-            task = asyncio.create_task(self.work(stage.workers[0], taken))
+            task = asyncio.create_task(self.work(dispatcher.workers[0], taken))
             self.addCleanup(task.cancel)
-            await asyncio.wait_for(self.play(stage.program, stage.port("client"), taken), TIMEOUT_S)
-            await asyncio.wait_for(stage.task, TIMEOUT_S)
+            await asyncio.wait_for(self.play(dispatcher.program, dispatcher.port("client"), taken), TIMEOUT_S)
+            await asyncio.wait_for(dispatcher.task, TIMEOUT_S)
 
     async def test_connections_in_the_accept_queue_are_answered_when_the_listener_closes(self):
         """The system resets them otherwise: 4 of 4,400 jobs were lost in a release."""
         loop = asyncio.get_running_loop()
-        async with DispatcherFixture() as stage:
-            for fd in stage.program.acceptor._sockets:
+        async with DispatcherFixture() as dispatcher:
+            for fd in dispatcher.program.acceptor._sockets:
                 IOLoop.current().remove_handler(fd)  # as if the loop were busy until the listener closes
-            peers = [socket.create_connection(("127.0.0.1", stage.port("client"))) for _ in range(20)]
+            peers = [socket.create_connection(("127.0.0.1", dispatcher.port("client"))) for _ in range(20)]
             for sock in peers:
                 sock.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
                 sock.setblocking(False)
-            stage.program.drain()
+            dispatcher.program.drain()
             for sock in peers:
                 self.assertIn(b" 503 ", await asyncio.wait_for(loop.sock_recv(sock, 100), TIMEOUT_S))
                 sock.close()
-            await asyncio.wait_for(stage.task, TIMEOUT_S)
+            await asyncio.wait_for(dispatcher.task, TIMEOUT_S)
 
     async def work(self, worker, taken):
         """Runs a worker that accepts every job and sends no call-back."""
@@ -346,9 +349,9 @@
 
     async def test_slow_client_gets_408_and_is_disconnected(self):
         for sent, answer in ((b"GET /up HTTP/1.1\r\nHo", b"HTTP/1.1 408 "), (b"", b"")):
-            async with DispatcherFixture() as stage:
+            async with DispatcherFixture() as dispatcher:
                 with mock.patch("millethead.net.accept.FIRST_REQUEST_TIMEOUT_S", 0.05):
-                    reader, writer = await asyncio.open_connection("127.0.0.1", stage.port("client"))
+                    reader, writer = await asyncio.open_connection("127.0.0.1", dispatcher.port("client"))
                     writer.write(sent)
                     got = await asyncio.wait_for(reader.read(), TIMEOUT_S)
                     self.assertEqual(got[: len(answer) or 1], answer)
@@ -356,8 +359,8 @@
 
     async def test_connections_without_a_request_are_evicted_before_idle_ones_of_regular_clients(self):
         """Hundreds of clients that only connect evicted idle clients, and one whose request was being read."""
-        async with DispatcherFixture() as stage:
-            stage.program.acceptor.limit, port = 3, stage.port("client")
+        async with DispatcherFixture() as dispatcher:
+            dispatcher.program.acceptor.limit, port = 3, dispatcher.port("client")
             up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
             regular = await asyncio.open_connection("127.0.0.1", port)
             regular[1].write(up)
@@ -371,8 +374,8 @@
                 writer.close()
 
     async def test_connection_with_nothing_but_errors_is_closed(self):
-        async with DispatcherFixture() as stage:
-            reader, writer = await asyncio.open_connection("127.0.0.1", stage.port("client"))
+        async with DispatcherFixture() as dispatcher:
+            reader, writer = await asyncio.open_connection("127.0.0.1", dispatcher.port("client"))
             writer.write(b"GET /none HTTP/1.1\r\nHost: x\r\n\r\n" * (MAX_CONSECUTIVE_ERRORS + 5))
             with suppress(ConnectionResetError):  # requests beyond the limit are not read
                 got = await asyncio.wait_for(reader.read(), TIMEOUT_S)
@@ -391,8 +394,8 @@
 
     async def test_start_times_in_lists_are_comparable_with_the_clock(self):
         """since_ms is Unix time. With another clock a cold worker would count as warm, or stay cold for ever."""
-        async with DispatcherFixture() as stage:
-            now = stage.program.exchange.clock.now()
+        async with DispatcherFixture() as dispatcher:
+            now = dispatcher.program.exchange.clock.now()
             self.assertLess(abs(now - time.time() * 1000), 60_000)
-            side = stage.program.workers
+            side = dispatcher.program.workers
             self.assertEqual(Worker(1, WorkerListing("w", started=now - 1000), side).entry.started, now - 1000)
