--- a/millethead/hot_restart/hot_restart.py
+++ b/millethead/hot_restart/hot_restart.py
@@ -22,10 +22,10 @@
 from millethead.exchange.handover import adopt, release
 from millethead.exchange.model import Answer, WorkerListing
 from millethead.hot_restart.link import HandoverSocket, Link
-from millethead.net.accept import LEAVING, Acceptor, Reply
+from millethead.net.accept import RANK_CLOSING, Acceptor, Reply
 from millethead.net.connection import Connection
 from millethead.net.discovery import Discovery
-from millethead.net.exchange import LoopClock, awaited
+from millethead.net.exchange import LoopClock, answer_future
 from millethead.net.send import HttpWorkers
 
 log = structlog.get_logger()
@@ -89,7 +89,7 @@
         self._pending_updates: dict[int, asyncio.Future[bool]] = {}
         self._last_update = 0
         self._tasks: set[asyncio.Task[None]] = set()
-        discovery.heard = self._share_drains
+        discovery.on_list = self._share_drains
 
     # ---- taking over from the predecessor ------------------------------------------------------------
 
@@ -220,10 +220,10 @@
             if released is None:
                 return
             job_state, body = released
-            kind, fields = "job", {"job": job_state, "keeps": conn.keeps}
-        elif conn in self.acceptor.idle and not conn.midway and conn.stream.reading():
+            kind, fields = "job", {"job": job_state, "keeps": conn.keep_alive}
+        elif conn in self.acceptor.idle and not conn.partially_read and conn.stream.reading():
             rank = self.acceptor.idle[conn][0]
-            if rank == LEAVING:
+            if rank == RANK_CLOSING:
                 return
             kind, fields, body = "conn", {"rank": rank}, conn.buffer.peek(len(conn.buffer))
         else:
@@ -234,7 +234,7 @@
             conn.close()
             return
         link.send(kind, fields, body, descriptor)
-        conn.handed = True
+        conn.handed_over = True
         conn.close()  # the successor's descriptor keeps the connection open
 
     # ---- messages of the other process ---------------------------------------------------------------
@@ -301,7 +301,7 @@
         The job is adopted here and not in the task of the connection, because an update of the job may arrive before
         that task runs.
         """
-        future, settle = awaited()
+        future, settle = answer_future()
         try:
             peer = sock.getpeername()[:2]
         except OSError:  # the client has disconnected, which the connection detects later
