--- a/millethead/control/state.py
+++ b/millethead/control/state.py
@@ -117,10 +117,10 @@
 
     def restore(self, payload: bytes) -> None:
         """Replace the state by that of a snapshot. Empty bytes stand for the initial state."""
-        for _ in self.restoring(payload):
+        for _ in self.restore_steps(payload):
             pass
 
-    def restoring(self, payload: bytes) -> Iterator[None]:
+    def restore_steps(self, payload: bytes) -> Iterator[None]:
         """Like `restore`, but in small steps: each iteration does a part of the work."""
         self._encoder.discard()
         self.configuration, self.jobs, self.drained = ConfigurationState(), JobTable(), DrainedNodes()
--- a/millethead/lab/core_absence.py
+++ b/millethead/lab/core_absence.py
@@ -144,7 +144,7 @@
         return False
     chain = process.replica.chain
     return (
-        chain.role is Role.FOLLOWING
+        chain.role is Role.FOLLOWER
         and not chain.log.rebuilding
         and chain.durable >= world.oracle.committed_entries
         and chain.log.last[1] >= world.oracle.committed_entries
--- a/millethead/lab/core_cluster.py
+++ b/millethead/lab/core_cluster.py
@@ -64,7 +64,7 @@
         if process.replica is None or machine.held_synced is None:
             return
         disk, sequence = machine.held_synced
-        if process.replica.me.disk == disk and process.replica.chain.log.last[1] < sequence:
+        if process.replica.member.disk == disk and process.replica.chain.log.last[1] < sequence:
             raise Violation(
                 f"{machine.address} held {sequence} entries for synced, and comes back with "
                 f"{process.replica.chain.log.last[1]}"
@@ -92,7 +92,7 @@
         machine.deferred.clear()
         if process is not None:
             if process.replica is not None and machine.disk is not None:
-                machine.held_synced = (process.replica.me.disk, process.replica.chain.durable)
+                machine.held_synced = (process.replica.member.disk, process.replica.chain.durable)
             process.kill()
         return process
 
@@ -248,8 +248,8 @@
         chain = process.replica.chain
         return (
             process.replica.view == view
-            and chain.role in (Role.HEAD, Role.FOLLOWING)
-            and any(voter == process.replica.me for voter in view.voters)
+            and chain.role in (Role.HEAD, Role.FOLLOWER)
+            and any(voter == process.replica.member for voter in view.voters)
         )
 
 
--- a/millethead/lab/core_load.py
+++ b/millethead/lab/core_load.py
@@ -74,7 +74,7 @@
             self._oracle, self._random, lambda: self._cluster.machines(), lambda: None, lambda: self._timeline.now
         )
         self._network = Network(self._timeline, self._random)
-        settings = ReplicaSettings(least_chain=core.tolerated + 1)
+        settings = ReplicaSettings(min_chain_length=core.tolerated + 1)
         surroundings = Surroundings(self._timeline, self._network, self._random, self._watch, settings, core.load)
         self._cluster = Cluster(surroundings, self._oracle)
         self._cluster.begin(core.members, relays=0)
--- a/millethead/lab/core_machine.py
+++ b/millethead/lab/core_machine.py
@@ -24,7 +24,7 @@
 from millethead.replication.log import ReplicatedLog
 from millethead.replication.messages import ChainHello
 from millethead.replication.proposal import ViewProposal
-from millethead.replication.replica import START_OF_EPOCH, Replica, ReplicaSettings
+from millethead.replication.replica import EPOCH_START_PAYLOAD, Replica, ReplicaSettings
 from millethead.replication.view import ChainMember, Member, View
 from millethead.rollout.register import Kept
 from millethead.rpc.codec import Record
@@ -394,7 +394,7 @@
         if self.gate is not None:
             self.gate.barrier_passed(number)
 
-    def synced_to_head(self) -> None:
+    def reconciled(self) -> None:
         """Nothing to be done."""
 
     def proposing(self, proposal: ViewProposal) -> None:
@@ -416,7 +416,7 @@
     def commit_nothing(self) -> None:
         """Append an entry that changes nothing, if this process still serves."""
         if self.is_serving:
-            self._running().chain.propose(START_OF_EPOCH)
+            self._running().chain.propose(EPOCH_START_PAYLOAD)
 
     def _welcome_agents(self) -> None:
         load, processor = self._around.load, self._processor
@@ -426,7 +426,7 @@
             agent = _ArrivingAgent(self, processor, load)
             self.later(self._random.uniform(0.0, load.spread_s), agent.work)
 
-    def leads_on(self, view: View) -> None:
+    def continue_in_view(self, view: View) -> None:
         assert self.gate is not None and self.stream is not None
         self.gate.continue_in_view()
         self.stream.continue_in_view(view.epoch)
--- a/millethead/lab/core_mutants.py
+++ b/millethead/lab/core_mutants.py
@@ -54,8 +54,8 @@
 def too_few_disks() -> Iterator[None]:
     """One member of the chain fewer than t + 1 is enough to answer."""
 
-    def settings(least_chain: int, snapshot_part_bytes: int) -> ReplicaSettings:
-        return ReplicaSettings(least_chain=least_chain - 1, snapshot_part_bytes=snapshot_part_bytes)
+    def settings(min_chain_length: int, snapshot_part_bytes: int) -> ReplicaSettings:
+        return ReplicaSettings(min_chain_length=min_chain_length - 1, snapshot_part_bytes=snapshot_part_bytes)
 
     with mock.patch.object(core_world, "ReplicaSettings", settings):
         yield
@@ -83,19 +83,19 @@
 def swap_with_new_majority() -> AbstractContextManager[object]:
     """A view that changes the voters is agreed with a majority of its own voters, whoever voted before."""
 
-    def needed(self: JointRound) -> Quorums:
-        return self._old_quorums if self.value is None else (self._voters(self.value),)
+    def required_quorums(self: JointRound) -> Quorums:
+        return self._previous_quorums if self.value is None else (self._voters(self.value),)
 
-    return mock.patch.object(JointRound, "needed", property(needed))
+    return mock.patch.object(JointRound, "required_quorums", property(required_quorums))
 
 
 def swap_with_old_majority() -> AbstractContextManager[object]:
     """A view that changes the voters is agreed with a majority of those before."""
 
-    def needed(self: JointRound) -> Quorums:
-        return self._old_quorums
+    def required_quorums(self: JointRound) -> Quorums:
+        return self._previous_quorums
 
-    return mock.patch.object(JointRound, "needed", property(needed))
+    return mock.patch.object(JointRound, "required_quorums", property(required_quorums))
 
 
 @contextmanager
@@ -212,8 +212,8 @@
 def lead_without_joining() -> Iterator[None]:
     """Whoever has a place in the chain may lead it, reconciled or not."""
 
-    def may_lead(view: View, me: planning.Myself) -> bool:
-        return view.place(me.member) is not None
+    def may_lead(view: View, local: planning.LocalMember) -> bool:
+        return view.chain_member(local.member) is not None
 
     with mock.patch.object(planning, "may_lead", may_lead):
         yield
@@ -223,9 +223,9 @@
 def lead_by_log_alone() -> Iterator[None]:
     """In the second epoch and later a member without any entry may not lead, though it was in every chain."""
 
-    def may_lead(view: View, me: planning.Myself) -> bool:
-        place = view.place(me.member)
-        return place is not None and (me.log_epoch >= place.joined or view.epoch <= 1)
+    def may_lead(view: View, local: planning.LocalMember) -> bool:
+        chain_member = view.chain_member(local.member)
+        return chain_member is not None and (local.log_epoch >= chain_member.joined or view.epoch <= 1)
 
     with mock.patch.object(planning, "may_lead", may_lead):
         yield
@@ -234,7 +234,7 @@
 @contextmanager
 def promise_before_sync() -> Iterator[None]:
     """An acceptor answers before its state is on the disk."""
-    vote = ViewRegister._vote
+    vote = ViewRegister._handle_request
 
     def vote_at_once(self: ViewRegister, sender: str, message: PaxosMessage) -> None:
         ports = self._ports
@@ -253,7 +253,7 @@
         finally:
             self._ports = ports
 
-    with mock.patch.object(ViewRegister, "_vote", vote_at_once):
+    with mock.patch.object(ViewRegister, "_handle_request", vote_at_once):
         yield
 
 
@@ -273,12 +273,12 @@
     """In the middle of the chain a barrier that was under way on a link that ended is not sent again."""
 
     def pass_barrier(self: Chain, number: int) -> None:
-        if self.role is not Role.FOLLOWING:
+        if self.role is not Role.FOLLOWER:
             return
         if self._successor is None:
-            self._barrier_back(number)
-        elif self._down is not None:
-            self._down.pass_barrier(number)
+            self._barrier_returned(number)
+        elif self._successor_link is not None:
+            self._successor_link.forward_barrier(number)
 
     with mock.patch.object(Chain, "_pass_barrier", pass_barrier):
         yield
--- a/millethead/lab/core_world.py
+++ b/millethead/lab/core_world.py
@@ -90,7 +90,7 @@
             self.network,
             self.random,
             watch,
-            ReplicaSettings(least_chain=tolerated + 1, snapshot_part_bytes=SNAPSHOT_PART_BYTES),
+            ReplicaSettings(min_chain_length=tolerated + 1, snapshot_part_bytes=SNAPSHOT_PART_BYTES),
         )
         self.cluster = Cluster(around, self.oracle)
         self.cluster.begin(members, relays=1 if self.random.random() < 0.2 else 0)
@@ -200,7 +200,7 @@
             raise Violation(f"{machine.address} is in epoch {replica.view.epoch} of {self.oracle.newest_epoch}")
         if machine.disk is None:
             return
-        if replica.chain.role not in (Role.HEAD, Role.FOLLOWING):
+        if replica.chain.role not in (Role.HEAD, Role.FOLLOWER):
             raise Violation(f"{machine.address} has no place in the chain at the end")
         if replica.chain.log.machine.snapshot() != expected:
             raise Violation(f"{machine.address} holds another state than what is committed")
--- a/millethead/programs/control.py
+++ b/millethead/programs/control.py
@@ -91,7 +91,7 @@
         return Replica(
             member,
             secrets.randbits(63),
-            ReplicaSettings(least_chain=tolerated + 1),
+            ReplicaSettings(min_chain_length=tolerated + 1),
             self,
             self,
             self._save,
@@ -265,7 +265,7 @@
         if self._head is not None:
             self._head.gate.barrier_passed(number)
 
-    def synced_to_head(self) -> None:
+    def reconciled(self) -> None:
         log.info("replica_reconciled", epoch=self._replica.view.epoch, entry=self._replica.chain.log.last[1])
 
     def proposing(self, proposal: ViewProposal) -> None:
@@ -305,7 +305,7 @@
         self._head_tick = 0.0
         self._sessions.begin(self._head)
 
-    def leads_on(self, view: View) -> None:
+    def continue_in_view(self, view: View) -> None:
         assert self._head is not None
         log.info("head_leads_on", epoch=view.epoch)
         self._head.continue_in_view(view)
--- a/millethead/programs/disk_maintenance.py
+++ b/millethead/programs/disk_maintenance.py
@@ -69,7 +69,7 @@
         """Rewrite a log that has grown long, once most of its snapshot is prepared. A snapshot on its way to the
         successor is left as it is: the entries after it are still needed."""
         log = self._chain.log
-        later = 1 + APART * self._chain.place
+        later = 1 + APART * self._chain.index
         entries, grown = len(log.entries), self._disk.size - len(log.base.payload)
         long = grown > COMPACT_BYTES * later and entries > COMPACT_BYTES_ENTRIES
         if (entries > self._compact_entries * later or long) and not self._chain.copying and log.prepare_compaction():
@@ -77,7 +77,7 @@
 
     def _probe(self) -> None:
         now = self._clock()
-        if self._chain.role is not Role.OUTSIDE or now < self._next_probe:
+        if self._chain.role is not Role.NOT_IN_CHAIN or now < self._next_probe:
             return
         self._next_probe = now + PROBE_S
         if not self._disk.busy:
--- a/millethead/replication/agreement.py
+++ b/millethead/replication/agreement.py
@@ -1,7 +1,8 @@
-"""The register that holds the view: CASPaxos rounds over datagrams, one at a time for each proposer.
+"""The replicated register that holds the view: CASPaxos rounds over datagrams, one round at a time for each proposer.
 
-The acceptor is that of `rollout.register`; here are its messages, repeats and the disk: an answer of the acceptor
-leaves only when what it promised is on disk. Rounds are `JointRound`s: a view may change any number of voters.
+The acceptor is that of `rollout.register`. This module adds the messages, retransmission and persistence: an acceptor's
+answer is sent only after the state it promises is on disk. Rounds are `JointRound`s, so a view may change any number of
+voters.
 """
 
 from __future__ import annotations
@@ -18,46 +19,47 @@
 from millethead.rollout.register import Acceptor, Ballot, Kept, Refused, Word
 from millethead.rpc.codec import CodecError, decode, encode
 
-REPEAT_S = 0.12  # an unanswered question is put again after this time
-ROUND_S = 1.5  # a round that has not ended by then is given up
-BACKOFF_S = (0.03, 0.15)  # pause after a round that lost against a higher ballot
-_KINDS = {
+RETRANSMIT_INTERVAL_S = 0.12
+ROUND_TIMEOUT_S = 1.5
+ROUND_BACKOFF_S = (0.03, 0.15)  # range of the random delay after a round that failed
+_KIND_BY_NAME = {
     "prepare": PaxosKind.PREPARE,
     "promise": PaxosKind.PROMISE,
     "accept": PaxosKind.ACCEPT,
     "accepted": PaxosKind.ACCEPTED,
     "nack": PaxosKind.NACK,
 }
-_WORDS = {kind: word for word, kind in _KINDS.items()}
+_NAME_BY_KIND = {kind: name for name, kind in _KIND_BY_NAME.items()}
 
 
 def decode_view(value: bytes) -> View:
-    """The view that a register's value holds; an empty value is none."""
+    """Decodes a register value. An empty value is `NO_VIEW`. Raises Refused if the value is not a view."""
     if not value:
         return NO_VIEW
     try:
         return decode(View, value)
     except CodecError:
-        return _earlier_view(value)
+        return _decode_earlier_format(value)
 
 
-def _earlier_view(value: bytes) -> View:
-    """A view as a disk may hold it that was written before views named the voters they replace."""
+def _decode_earlier_format(value: bytes) -> View:
+    """Decodes the format that was written before views contained the outgoing voters."""
     try:
-        found = decode(ViewWithoutOutgoing, value)
+        earlier = decode(ViewWithoutOutgoing, value)
     except CodecError as error:
-        raise Refused(f"the register holds no view: {error}") from None
-    return View(found.epoch, found.voters, found.chain)
+        raise Refused(f"the register value is not a view: {error}") from None
+    return View(earlier.epoch, earlier.voters, earlier.chain)
 
 
 def voter_names(value: bytes) -> frozenset[str]:
-    """Who votes under the view that a register's value holds."""
+    """Returns the names of the voters of the view in a register value."""
     return frozenset(voter.name for voter in decode_view(value).voters)
 
 
 def quorums_of(view: View, agreed_epoch: int) -> Quorums:
-    """Of which groups of voters a majority each has to promise before a view can be followed by another one. Those
-    that a view replaces are needed no more once it is known to be agreed: a majority of them has it then."""
+    """Returns the groups of voters of each of which a majority must promise before `view` can be followed by another
+    view. The outgoing voters are not needed once the view is known to be agreed, because a majority
+    of each group has accepted it by then."""
     outgoing = view.outgoing if view.epoch > agreed_epoch else ()
     groups = (view.voters, outgoing)
     return tuple(frozenset(voter.name for voter in group) for group in groups if group)
@@ -65,33 +67,34 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownView:
-    """The newest view that a proposer knows of, and the newest epoch of which it knows that its view was agreed."""
+    """The newest view that a proposer has seen, and the newest epoch whose view it knows to be agreed."""
 
     view: View
     agreed_epoch: int
 
 
 def round_for(ballot: Ballot, expected: int, wanted: View, known: KnownView) -> JointRound:
-    """A round that puts `wanted` in the place of the view of epoch `expected`."""
-    first = quorums_of(known.view, known.agreed_epoch)
+    """Returns a round that replaces the view of epoch `expected` by `wanted`."""
+    known_quorums = quorums_of(known.view, known.agreed_epoch)
 
     def change(old: bytes) -> bytes:
         if decode_view(old).epoch != expected:
-            raise Refused("another view is in place")
+            raise Refused("the current view is not the expected one")
         return encode(wanted)
 
     def quorums(value: bytes) -> Quorums:
-        """A view that was proposed after the known one rests on it, or on a later one. An older one does not: it is
-        followed only with those who must have heard of the known one."""
-        found = decode_view(value)
-        groups = quorums_of(found, known.agreed_epoch)
-        return groups if found.epoch > known.view.epoch else first + groups
+        """A view newer than the known one was proposed as a successor of the known view or of a later one, so its own
+        quorums are sufficient. An older view can only be followed with a majority of the voters of the known view as
+        well."""
+        followed = decode_view(value)
+        groups = quorums_of(followed, known.agreed_epoch)
+        return groups if followed.epoch > known.view.epoch else known_quorums + groups
 
-    return JointRound(ballot, first, change, quorums, voter_names)
+    return JointRound(ballot, known_quorums, change, quorums, voter_names)
 
 
 class AgreementPorts(Protocol):
-    """What the register needs of its surroundings."""
+    """Network and disk access of the register."""
 
     def send(self, address: str, message: PaxosMessage) -> None: ...
 
@@ -101,129 +104,132 @@
 @dataclass(slots=True)
 class _Attempt:
     round: JointRound
-    began: float
-    asked_at: float
+    started_at: float
+    sent_at: float
 
 
 class ViewRegister:
-    """One member's part in the register: acceptor (where it has a disk) and proposer."""
+    """One member's part in the register: proposer, and acceptor if the member has a disk."""
 
     def __init__(
         self,
-        me: Member,
+        member: Member,
         incarnation: int,
         ports: AgreementPorts,
         kept: Kept,
         random: Random,
-        adopted: Callable[[View], None],
+        on_agreed: Callable[[View], None],
     ) -> None:
-        self._me, self._incarnation, self._ports, self._random = me, incarnation, ports, random
+        self._member, self._incarnation, self._ports, self._random = member, incarnation, ports, random
         self._acceptor = Acceptor(kept)
-        self._saving = 0
-        self._adopted = adopted
+        self._pending_saves = 0
+        self._on_agreed = on_agreed
         self._attempt: _Attempt | None = None
-        self._highest = max(kept.promised[0], kept.accepted[0])
-        self._not_before = 0.0
+        self._highest_ballot_number = max(kept.promised[0], kept.accepted[0])
+        self._backoff_until = 0.0
 
     @property
     def busy(self) -> bool:
         return self._attempt is not None
 
-    def hint(self) -> View:
-        """The newest view that this member's acceptor has accepted; it may not be agreed."""
+    def accepted_view(self) -> View:
+        """Returns the newest view that this member's acceptor has accepted. It may not be agreed."""
         return decode_view(self._acceptor.kept.value)
 
     def propose(self, now: float, expected: int, wanted: View, known: KnownView) -> bool:
-        """Try to put `wanted` in the place of the view of epoch `expected`; does nothing, and returns false, while a
-        round is under way or its pause lasts. The voters of the known view are asked first. However it ends, the
-        agreed view is handed to `adopted`."""
-        if self._attempt is not None or now < self._not_before:
+        """Starts a round that replaces the view of epoch `expected` by `wanted`. The voters of the known view receive
+        the first request. Returns False and does nothing while another round or the backoff after a lost round is in
+        progress. When the round ends with an agreed view, proposed or not, `on_agreed` is called with it."""
+        if self._attempt is not None or now < self._backoff_until:
             return False
 
-        self._highest += 1
-        ballot = (self._highest, f"{self._me.name}/{self._incarnation:x}")
+        self._highest_ballot_number += 1
+        ballot = (self._highest_ballot_number, f"{self._member.name}/{self._incarnation:x}")
         self._attempt = _Attempt(round_for(ballot, expected, wanted, known), now, now)
-        self._ask(now)
+        self._send_request(now)
         return True
 
     def tick(self, now: float) -> None:
-        """Put the question again, or give the round up."""
+        """Retransmits the current request, or abandons the round after its timeout."""
         attempt = self._attempt
         if attempt is None:
             return
-        if now - attempt.began > ROUND_S:
-            self._end(now)
-        elif now - attempt.asked_at >= REPEAT_S:
-            self._ask(now)
+        if now - attempt.started_at > ROUND_TIMEOUT_S:
+            self._abandon_round(now)
+        elif now - attempt.sent_at >= RETRANSMIT_INTERVAL_S:
+            self._send_request(now)
 
-    def ask_again(self) -> None:
-        """Put an open question again at the next tick."""
+    def retransmit_next_tick(self) -> None:
+        """Retransmits the current request at the next tick."""
         if self._attempt is not None:
-            self._attempt.asked_at = -math.inf
+            self._attempt.sent_at = -math.inf
 
     def receive(self, now: float, sender: str, message: PaxosMessage) -> None:
-        """Take a message of any kind that came from `sender` (host:port)."""
-        self._highest = max(self._highest, message.number, message.accepted_number)
+        """Processes a message from `sender` (host:port), either a request to the acceptor or a response to the
+        proposer."""
+        self._highest_ballot_number = max(self._highest_ballot_number, message.number, message.accepted_number)
         if message.kind in (PaxosKind.PREPARE, PaxosKind.ACCEPT):
-            if message.voter == self._me.name and self._me.disk:
-                self._vote(sender, message)
+            if message.voter == self._member.name and self._member.disk:
+                self._handle_request(sender, message)
         else:
-            self._count(now, message)
+            self._handle_response(now, message)
 
-    def _vote(self, sender: str, message: PaxosMessage) -> None:
-        word = Word(_WORDS[message.kind], (message.number, message.owner), (0, ""), message.value)
-        answer, changed = self._acceptor.take(word)
+    def _handle_request(self, sender: str, message: PaxosMessage) -> None:
+        request = Word(_NAME_BY_KIND[message.kind], (message.number, message.owner), (0, ""), message.value)
+        answer, changed = self._acceptor.take(request)
         reply = PaxosMessage(
-            _KINDS[answer.kind],
-            self._me.name,
+            _KIND_BY_NAME[answer.kind],
+            self._member.name,
             answer.ballot[0],
             answer.ballot[1],
             answer.accepted[0],
             answer.accepted[1],
             answer.value,
         )
-        if not changed and not self._saving:
+        if not changed and not self._pending_saves:
             self._ports.send(sender, reply)
             return
-        self._saving += 1
+        self._pending_saves += 1
 
         def saved() -> None:
-            self._saving -= 1
+            self._pending_saves -= 1
             self._ports.send(sender, reply)
 
         self._ports.save(self._acceptor.kept, saved)
 
-    def _count(self, now: float, message: PaxosMessage) -> None:
+    def _handle_response(self, now: float, message: PaxosMessage) -> None:
         attempt = self._attempt
         if attempt is None:
             return
-        word = Word(
-            _WORDS[message.kind],
+        response = Word(
+            _NAME_BY_KIND[message.kind],
             (message.number, message.owner),
             (message.accepted_number, message.accepted_owner),
             message.value,
         )
-        more = attempt.round.take(message.voter, word)
-        if attempt.round.lost is not None:
-            self._highest = max(self._highest, attempt.round.lost[0])
-            self._end(now)
+        request_changed = attempt.round.handle_response(message.voter, response)
+        if attempt.round.competing_ballot is not None:
+            self._highest_ballot_number = max(self._highest_ballot_number, attempt.round.competing_ballot[0])
+            self._abandon_round(now)
         elif attempt.round.agreed:
             value = attempt.round.value
             self._attempt = None
             if value:
-                self._adopted(decode_view(value))
-        elif more:
-            self._ask(now)
+                self._on_agreed(decode_view(value))
+        elif request_changed:
+            self._send_request(now)
 
-    def _ask(self, now: float) -> None:
+    def _send_request(self, now: float) -> None:
         attempt = self._attempt
         assert attempt is not None
-        attempt.asked_at = now
-        word = attempt.round.ask()
-        for name in sorted(attempt.round.asked):
-            message = PaxosMessage(_KINDS[word.kind], name, word.ballot[0], word.ballot[1], 0, "", word.value)
+        attempt.sent_at = now
+        request = attempt.round.request()
+        for name in sorted(attempt.round.recipients):
+            message = PaxosMessage(
+                _KIND_BY_NAME[request.kind], name, request.ballot[0], request.ballot[1], 0, "", request.value
+            )
             self._ports.send(name.rsplit("/", 1)[0], message)
 
-    def _end(self, now: float) -> None:
+    def _abandon_round(self, now: float) -> None:
         self._attempt = None
-        self._not_before = now + self._random.uniform(*BACKOFF_S)
+        self._backoff_until = now + self._random.uniform(*ROUND_BACKOFF_S)
--- a/millethead/replication/chain_ports.py
+++ b/millethead/replication/chain_ports.py
@@ -1,4 +1,4 @@
-"""What a member's part in the chain needs of its surroundings, and the roles that it may have."""
+"""Interfaces between a chain member and its environment, and the roles of a chain member."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Link(Protocol):
-    """An ordered stream to another member; it may end at any time."""
+    """An ordered stream of records to another member. It may be lost at any time."""
 
     def send(self, record: Record) -> None: ...
 
@@ -19,7 +19,7 @@
 
 
 class ChainPorts(Protocol):
-    """What the chain needs of its surroundings."""
+    """Disk, links and callbacks of a chain member."""
 
     def append(self, entries: Sequence[Entry], durable: Callable[[], None]) -> None: ...
 
@@ -28,28 +28,29 @@
     def install(self, snapshot: Snapshot, durable: Callable[[], None]) -> None: ...
 
     def soon(self, call: Callable[[], None]) -> None:
-        """Call `call` in a later turn of the loop."""
+        """Calls `call` in a later iteration of the event loop."""
         ...
 
     def open_link(self, address: str) -> None:
-        """Open a link to the successor; ends in `Chain.link_opened` or `Chain.link_lost(None)`."""
+        """Opens a link to the successor. `Chain.link_opened` is called once it is open; a failed attempt is repeated by
+        the implementation."""
         ...
 
     def committed(self, sequence: int) -> None:
-        """At the head: everything up to `sequence` is committed."""
+        """Called at the head: all entries up to `sequence` are committed."""
         ...
 
     def barrier_passed(self, number: int) -> None:
-        """At the head: every member was still in the epoch when barrier `number` passed it."""
+        """Called at the head: all members of the chain were in the head's epoch when barrier `number` passed them."""
         ...
 
-    def synced_to_head(self) -> None:
-        """This member now holds what its predecessor holds."""
+    def reconciled(self) -> None:
+        """The log of this member now matches that of its predecessor."""
         ...
 
 
 class Role(Enum):
-    OUTSIDE = "outside"  # no place in the chain, or an earlier process of this member has it
-    WAITING = "waiting"  # has a place; not yet reconciled with its predecessor
-    FOLLOWING = "following"
+    NOT_IN_CHAIN = "outside"  # not in the chain, or only an earlier process of this member is
+    RECONCILING = "waiting"  # in the chain, but not yet reconciled with its predecessor
+    FOLLOWER = "following"  # reconciled with its predecessor
     HEAD = "head"
--- a/millethead/replication/copying.py
+++ b/millethead/replication/copying.py
@@ -1,6 +1,7 @@
-"""Copying a snapshot along a chain link: in parts, with a window, and from where it was after a link was lost.
+"""Snapshot transfer over a chain link: in parts, with a window of unacknowledged parts, and resumable after a lost
+link.
 
-The sender goes on taking entries meanwhile; they follow once the last part is out. Nothing here reads a clock.
+The sender accepts new entries meanwhile; it sends them after the last part. This module does not read a clock.
 """
 
 from __future__ import annotations
@@ -12,17 +13,18 @@
 from millethead.storage.log import Snapshot
 
 PART_BYTES = 256 << 10
-WINDOW_PARTS = 8  # that may be under way
+WINDOW_PARTS = 8  # parts that may be sent without an acknowledgement
 
 
 def snapshot_name(snapshot: Snapshot, part_bytes: int) -> SnapshotName:
-    """What a snapshot is known by while it is copied."""
+    """Returns the identification of a snapshot during its transfer."""
     payload = snapshot.payload
     return SnapshotName(snapshot.epoch, snapshot.sequence, len(payload), zlib.crc32(payload), part_bytes)
 
 
 class OutgoingSnapshot:
-    """The copy of a snapshot to one successor, over one link, in parts of `part_bytes`. `send` takes each part."""
+    """Transfer of a snapshot to the successor over one link, in parts of `part_bytes`. `send` is called with each
+    part."""
 
     def __init__(
         self,
@@ -35,31 +37,33 @@
         self.snapshot, self.name = snapshot, snapshot_name(snapshot, part_bytes)
         self._epoch, self._send = epoch, send
         self._parts = self.name.part_count
-        known = progress is not None and progress.name == self.name
-        self._acknowledged = min(progress.parts, self._parts - 1) if known and progress is not None else 0
-        self._next = self._acknowledged
+        resumable = progress is not None and progress.name == self.name
+        self._acknowledged = min(progress.parts, self._parts - 1) if resumable and progress is not None else 0
+        self._next_part = self._acknowledged
         self._fill()
 
     @property
-    def sent(self) -> bool:
-        """Every part is out."""
-        return self._next == self._parts
+    def all_sent(self) -> bool:
+        """Whether all parts have been sent."""
+        return self._next_part == self._parts
 
     def acknowledged(self, progress: SnapshotProgress) -> None:
-        """The successor has parts; more may go."""
+        """The successor has received parts: sends more, up to the window."""
         if progress.name == self.name:
-            self._acknowledged = max(self._acknowledged, min(progress.parts, self._next))
+            self._acknowledged = max(self._acknowledged, min(progress.parts, self._next_part))
             self._fill()
 
     def _fill(self) -> None:
-        while not self.sent and self._next < self._acknowledged + WINDOW_PARTS:
-            at, size = self._next * self.name.part_size, self.name.part_size
-            self._send(ChainSnapshotPart(self._epoch, self.name, self._next, self.snapshot.payload[at : at + size]))
-            self._next += 1
+        while not self.all_sent and self._next_part < self._acknowledged + WINDOW_PARTS:
+            start, size = self._next_part * self.name.part_size, self.name.part_size
+            self._send(
+                ChainSnapshotPart(self._epoch, self.name, self._next_part, self.snapshot.payload[start : start + size])
+            )
+            self._next_part += 1
 
 
 class IncomingSnapshot:
-    """Parts of one snapshot, as they come; they outlast the link and the epoch that brought them."""
+    """The parts of a snapshot received so far. They are kept when the link is lost or the epoch changes."""
 
     def __init__(self, name: SnapshotName) -> None:
         self.name = name
@@ -69,8 +73,8 @@
     def progress(self) -> SnapshotProgress:
         return SnapshotProgress(self.name, len(self._parts))
 
-    def take(self, part: ChainSnapshotPart) -> None:
-        """Take the next part; one that is there already, or that came too early, changes nothing."""
+    def add_part(self, part: ChainSnapshotPart) -> None:
+        """Appends the next part. Duplicate parts and parts out of order are ignored."""
         if part.number == len(self._parts):
             self._parts.append(part.payload)
 
@@ -79,7 +83,7 @@
         return len(self._parts) == self.name.part_count
 
     def snapshot(self) -> Snapshot | None:
-        """The whole; None where it is not what was announced."""
+        """Returns the assembled snapshot, or None if its size or checksum is wrong."""
         payload = b"".join(self._parts)
         if len(payload) != self.name.size or zlib.crc32(payload) != self.name.check:
             return None
--- a/millethead/replication/joint.py
+++ b/millethead/replication/joint.py
@@ -1,9 +1,10 @@
-"""A round of CASPaxos in which the value names its voters, and any number of them may change at once.
+"""A CASPaxos round for a value that contains its own voters, any number of which may change at once.
 
-Joint consensus, as in Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014, section 6, for
-a single register: a value that changes the voters names those before it too. To follow a value of which it is not known
-that it was agreed, a majority of each group that it names has to promise; to be agreed, a value needs a majority of
-each of these groups and of its own voters. So whoever asks the voters before a change hears of it, or has fenced it.
+This is joint consensus as in Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014, section
+6, for a single register. A value that changes the voters also contains the outgoing voters. To replace a value that is
+not known to be agreed, a proposer needs promises from a majority of each group that the value names. To be agreed, a
+value needs a majority of each of these groups and of its own voters. So a proposer that contacts the outgoing voters
+either learns of the change or prevents it with a higher ballot.
 """
 
 from __future__ import annotations
@@ -12,31 +13,34 @@
 
 from millethead.rollout.register import ZERO, Ballot, Refused, Word
 
-Quorums = tuple[frozenset[str], ...]  # names of voters, a majority of each group is needed
+Quorums = tuple[frozenset[str], ...]  # groups of voter names; a majority of each group is needed
 
 
 def has_majorities(names: frozenset[str], quorums: Quorums) -> bool:
-    """Whether `names` hold a majority of each group."""
+    """Whether `names` contains a majority of each group."""
     return all(2 * len(names & group) > len(group) for group in quorums)
 
 
 class JointRound:
-    """One try of a proposer, under one ballot. `known`: the groups of the newest value that the proposer knows of.
-    `change` makes the new value of the old one, once, when enough have promised; it may raise Refused, and then the
-    old value is confirmed, so that the refusal rests on what is agreed. `quorums` tells of which groups a majority
-    each is needed to follow a value, `voters` which its own voters are."""
+    """One attempt of a proposer, under one ballot.
+
+    `known_quorums`: the groups of the newest value that the proposer has seen. `change` computes the new value from the
+    old one; it is called once, after enough promises. If it raises Refused, the old value is proposed again, so that
+    the refusal is based on an agreed value. `quorums` returns the groups of each of which a majority is needed to
+    replace a value, `voters` the voters of a value.
+    """
 
     __slots__ = (
         "_accepted",
         "_change",
-        "_found",
-        "_old_quorums",
+        "_highest_accepted",
+        "_previous_quorums",
         "_promised",
         "_quorums",
         "_voters",
         "ballot",
-        "lost",
-        "old",
+        "competing_ballot",
+        "previous_value",
         "refused",
         "value",
     )
@@ -44,63 +48,63 @@
     def __init__(
         self,
         ballot: Ballot,
-        known: Quorums,
+        known_quorums: Quorums,
         change: Callable[[bytes], bytes],
         quorums: Callable[[bytes], Quorums],
         voters: Callable[[bytes], frozenset[str]],
     ) -> None:
         self.ballot, self._change, self._quorums, self._voters = ballot, change, quorums, voters
-        self._old_quorums = known
+        self._previous_quorums = known_quorums
         self.value: bytes | None = None
-        self.old = b""
+        self.previous_value = b""
         self.refused: Refused | None = None
-        self.lost: Ballot | None = None  # a higher ballot that an acceptor had promised
+        self.competing_ballot: Ballot | None = None  # ballot of the competing proposer that an acceptor has promised
         self._promised, self._accepted = frozenset[str](), frozenset[str]()
-        self._found: Ballot = ZERO
+        self._highest_accepted: Ballot = ZERO
 
     @property
-    def needed(self) -> Quorums:
-        """The groups of which a majority each is needed now."""
+    def required_quorums(self) -> Quorums:
+        """The groups of each of which a majority is needed in the current phase."""
         if self.value is None:
-            return self._old_quorums
-        return (*self._old_quorums, self._voters(self.value))
+            return self._previous_quorums
+        return (*self._previous_quorums, self._voters(self.value))
 
     @property
-    def asked(self) -> frozenset[str]:
-        """Who is to be asked now."""
-        return frozenset[str]().union(*self.needed)
+    def recipients(self) -> frozenset[str]:
+        """The names of the voters that the current request is sent to."""
+        return frozenset[str]().union(*self.required_quorums)
 
     @property
     def agreed(self) -> bool:
-        """Whether the value is the register's."""
-        return self.value is not None and has_majorities(self._accepted, self.needed)
+        """Whether the value is agreed."""
+        return self.value is not None and has_majorities(self._accepted, self.required_quorums)
 
-    def ask(self) -> Word:
-        """What to send to everybody who is asked, as often as need be."""
+    def request(self) -> Word:
+        """Returns the request of the current phase, for all recipients. It may be retransmitted."""
         return Word("prepare", self.ballot) if self.value is None else Word("accept", self.ballot, ZERO, self.value)
 
-    def take(self, voter: str, word: Word) -> bool:
-        """A voter's answer; returns whether there is something new to ask, or somebody else."""
-        if word.ballot != self.ballot or self.lost is not None:
+    def handle_response(self, voter: str, response: Word) -> bool:
+        """Processes a voter's response. Returns whether the request or its recipients have changed."""
+        if response.ballot != self.ballot or self.competing_ballot is not None:
             return False
-        if word.kind == "nack":
-            self.lost = word.accepted
-        elif word.kind == "promise" and self.value is None:
-            return self._take_promise(voter, word)
-        elif word.kind == "accepted" and self.value is not None:
+        if response.kind == "nack":
+            self.competing_ballot = response.accepted
+        elif response.kind == "promise" and self.value is None:
+            return self._handle_promise(voter, response)
+        elif response.kind == "accepted" and self.value is not None:
             self._accepted |= {voter}
         return False
 
-    def _take_promise(self, voter: str, word: Word) -> bool:
-        before = self._old_quorums
-        if word.accepted > self._found:
-            self._found, self.old = word.accepted, word.value
-            self._old_quorums = self._quorums(self.old) or self._old_quorums
+    def _handle_promise(self, voter: str, response: Word) -> bool:
+        quorums_before = self._previous_quorums
+        if response.accepted > self._highest_accepted:
+            self._highest_accepted, self.previous_value = response.accepted, response.value
+            self._previous_quorums = self._quorums(self.previous_value) or self._previous_quorums
         self._promised |= {voter}
-        if not has_majorities(self._promised, self._old_quorums):
-            return self._old_quorums != before
+        if not has_majorities(self._promised, self._previous_quorums):
+            return self._previous_quorums != quorums_before
         try:
-            self.value = self._change(self.old)
+            self.value = self._change(self.previous_value)
         except Refused as why:
-            self.value, self.refused = self.old, why
+            self.value, self.refused = self.previous_value, why
         return True
--- a/millethead/replication/liveness.py
+++ b/millethead/replication/liveness.py
@@ -1,35 +1,36 @@
-"""Failure detection among the members of the core: heartbeats to all, each with what its sender heard of the others.
+"""Failure detection among the core members, by heartbeats that contain the time since the sender last heard each peer.
 
-The core is small (nine members at most), so every member probes every other one each period, and the ages that come
-with a heartbeat stand for SWIM's indirect probes: a member that one sees as silent and others do not is cut off from
-that one alone. What is found here only proposes; a majority of the voters decides on views.
+The core has at most nine members, so each member sends heartbeats to all others. The ages in a heartbeat replace the
+indirect probes of SWIM: a member that is silent only for one peer has lost its connection to that peer only. The result
+is used to propose views; a majority of the voters decides on them.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from millethead.replication.messages import Heard, Heartbeat
+from millethead.replication.messages import Heartbeat, PeerAge
 from millethead.replication.view import Member
 
-MOST_AGE_MS = 65_535
-ANSWERED_X = 1.3  # suspicion times after which a member that another one no longer hears counts as unheard there
-SETTLED_S = 0.3  # a member heard for so long without a gap may join
+MAX_AGE_MS = 65_535
+PEER_SUSPICION_FACTOR = 1.3  # multiple of the suspicion timeout after which a peer is silent at another member
+STABLE_CONTACT_S = 0.3  # uninterrupted contact required before a member may join
 
 
 @dataclass(slots=True)
 class Contact:
-    """What is known of one address."""
+    """The newest heartbeat from an address. Times are seconds of the monotonic clock."""
 
     heartbeat: Heartbeat
-    heard_at: float
-    since: float  # when the present unbroken contact began
-    ages: dict[str, float] = field(default_factory=dict)  # address -> time at which the sender last heard it
+    received_at: float
+    connected_since: float  # start of the current uninterrupted contact
+    # address -> time at which the sender last received a heartbeat from it
+    peer_received_at: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class _Ended:
-    """A process that is over, and when that was found out."""
+class _EndedProcess:
+    """A process that has ended, and the time at which this was detected."""
 
     incarnation: int
     at: float
@@ -39,41 +40,42 @@
     return one.sender == other.sender and one.incarnation == other.incarnation
 
 
-class Liveness:
-    """What this member has heard of the others. Times in seconds of the steady clock."""
+class HeartbeatMonitor:
+    """Heartbeats that this member has received. Times are seconds of the monotonic clock."""
 
-    def __init__(self, address: str, suspect_s: float) -> None:
-        self._address, self.suspect_s = address, suspect_s
+    def __init__(self, address: str, suspicion_timeout_s: float) -> None:
+        self._address, self.suspicion_timeout_s = address, suspicion_timeout_s
         self._contacts: dict[str, Contact] = {}
-        self._ended: dict[str, _Ended] = {}  # by address, the last process that is known to be over
-
-    def heard(self, now: float, beat: Heartbeat) -> bool:
-        """Take in a heartbeat; returns whether the process, disk or epoch behind the address is another than before."""
-        address = beat.sender.address
-        ended = self._ended.get(address)
-        if ended is not None and ended.incarnation == beat.incarnation:
-            if now < ended.at + self.suspect_s:
-                return False  # it was under way when its process ended
-            del self._ended[address]
-        known = self._contacts.get(address)
-        ages = {entry.address: now - entry.age_ms / 1000 for entry in beat.heard}
-        if known is None or not _same_process(known.heartbeat, beat):
-            self._contacts[address] = Contact(beat, now, now, ages)
+        self._ended_processes: dict[str, _EndedProcess] = {}  # address -> the last process recorded as ended
+
+    def record_heartbeat(self, now: float, heartbeat: Heartbeat) -> bool:
+        """Processes a heartbeat. Returns whether the process, disk or epoch at its address has changed."""
+        address = heartbeat.sender.address
+        ended = self._ended_processes.get(address)
+        if ended is not None and ended.incarnation == heartbeat.incarnation:
+            if now < ended.at + self.suspicion_timeout_s:
+                return False  # sent before the process ended
+            del self._ended_processes[address]
+        previous = self._contacts.get(address)
+        peer_received_at = {entry.address: now - entry.age_ms / 1000 for entry in heartbeat.peer_ages}
+        if previous is None or not _same_process(previous.heartbeat, heartbeat):
+            self._contacts[address] = Contact(heartbeat, now, now, peer_received_at)
             return True
-        since = now if now - known.heard_at > self.suspect_s else known.since
-        self._contacts[address] = Contact(beat, now, since, ages)
-        return known.heartbeat.epoch != beat.epoch
+        connected_since = now if now - previous.received_at > self.suspicion_timeout_s else previous.connected_since
+        self._contacts[address] = Contact(heartbeat, now, connected_since, peer_received_at)
+        return previous.heartbeat.epoch != heartbeat.epoch
 
     def process_ended(self, now: float, address: str, incarnation: int) -> None:
-        """A process is over: nobody listens at its port any more. Should it be heard much later, it was not."""
-        self._ended[address] = _Ended(incarnation, now)
-        known = self._contacts.get(address)
-        if known is not None and known.heartbeat.incarnation == incarnation:
+        """Records that a process has ended, because nothing listens on its port. A heartbeat that arrives more than
+        `suspicion_timeout_s` later shows that this was wrong."""
+        self._ended_processes[address] = _EndedProcess(incarnation, now)
+        previous = self._contacts.get(address)
+        if previous is not None and previous.heartbeat.incarnation == incarnation:
             del self._contacts[address]
 
     def has_ended(self, address: str, incarnation: int) -> bool:
-        """Whether a process is known to be over."""
-        ended = self._ended.get(address)
+        """Whether a process is recorded as ended."""
+        ended = self._ended_processes.get(address)
         return ended is not None and ended.incarnation == incarnation
 
     def contact(self, address: str) -> Contact | None:
@@ -85,45 +87,53 @@
     def forget(self, address: str) -> None:
         self._contacts.pop(address, None)
 
-    def silent_for(self, now: float, address: str) -> float:
-        """Seconds since an address was last heard, or since its process was found to be over."""
-        contact, ended = self._contacts.get(address), self._ended.get(address)
-        heard_at = contact.heard_at if contact is not None else ended.at if ended is not None else float("-inf")
-        return now - heard_at
+    def silent_s(self, now: float, address: str) -> float:
+        """Returns the seconds since the last heartbeat from an address, or since its process was found to have
+        ended."""
+        contact, ended = self._contacts.get(address), self._ended_processes.get(address)
+        received_at = contact.received_at if contact is not None else ended.at if ended is not None else float("-inf")
+        return now - received_at
 
-    def joined_both_ways(self, now: float, address: str) -> bool:
-        """Whether this member hears the address and is heard there."""
+    def is_connected(self, now: float, address: str) -> bool:
+        """Whether heartbeats arrive in both directions between this member and the address."""
         contact = self._contacts.get(address)
-        if contact is None or now - contact.heard_at > self.suspect_s:
+        if contact is None or now - contact.received_at > self.suspicion_timeout_s:
             return False
-        return now - contact.ages.get(self._address, float("-inf")) <= ANSWERED_X * self.suspect_s
+        return (
+            now - contact.peer_received_at.get(self._address, float("-inf"))
+            <= PEER_SUSPICION_FACTOR * self.suspicion_timeout_s
+        )
 
-    def pair_joined(self, now: float, first: str, second: str) -> bool:
-        """Whether two other members hear each other, by what they said themselves."""
-        one, other = self._contacts.get(first), self._contacts.get(second)
-        if one is None or other is None:
+    def are_peers_connected(self, now: float, first: str, second: str) -> bool:
+        """Whether heartbeats arrive in both directions between two other members, according to their own heartbeats."""
+        first_contact, second_contact = self._contacts.get(first), self._contacts.get(second)
+        if first_contact is None or second_contact is None:
             return False
-        limit = ANSWERED_X * self.suspect_s
+        limit = PEER_SUSPICION_FACTOR * self.suspicion_timeout_s
         return (
-            now - one.ages.get(second, float("-inf")) <= limit and now - other.ages.get(first, float("-inf")) <= limit
+            now - first_contact.peer_received_at.get(second, float("-inf")) <= limit
+            and now - second_contact.peer_received_at.get(first, float("-inf")) <= limit
         )
 
     def hears(self, now: float, listener: str, address: str) -> bool:
-        """Whether `listener` (another member that is heard) lately heard `address`."""
+        """Whether `listener`, another member that sends heartbeats here, recently received one from `address`."""
         contact = self._contacts.get(listener)
-        if contact is None or now - contact.heard_at > self.suspect_s:
+        if contact is None or now - contact.received_at > self.suspicion_timeout_s:
             return False
-        return now - contact.ages.get(address, float("-inf")) <= ANSWERED_X * self.suspect_s
+        return (
+            now - contact.peer_received_at.get(address, float("-inf"))
+            <= PEER_SUSPICION_FACTOR * self.suspicion_timeout_s
+        )
 
     def identity(self, address: str) -> tuple[Member, int] | None:
-        """Member and incarnation last heard at an address."""
+        """Returns the member and incarnation of the last heartbeat from an address."""
         contact = self._contacts.get(address)
         return (contact.heartbeat.sender, contact.heartbeat.incarnation) if contact is not None else None
 
-    def report(self, now: float) -> tuple[Heard, ...]:
-        """For this member's own heartbeat: the age of each contact."""
+    def contact_ages(self, now: float) -> tuple[PeerAge, ...]:
+        """Returns the age of each contact, for this member's own heartbeat."""
         return tuple(
-            Heard(address, min(MOST_AGE_MS, int(1000 * (now - contact.heard_at))))
+            PeerAge(address, min(MAX_AGE_MS, int(1000 * (now - contact.received_at))))
             for address, contact in self._contacts.items()
-            if now - contact.heard_at < MOST_AGE_MS / 1000
+            if now - contact.received_at < MAX_AGE_MS / 1000
         )
--- a/millethead/replication/log.py
+++ b/millethead/replication/log.py
@@ -1,12 +1,12 @@
-"""The replicated log as one member holds it in memory: a snapshot, the entries after it, and the state they make.
+"""The replicated log of one member in memory: a snapshot, the entries after it, and the state that results from them.
 
-Entries are applied as they are appended; what is shown to others waits for the commit. An entry is identified by its
-epoch and sequence: only the head of an epoch numbers entries of it, and a member appends only in order, so two logs
-that hold the same (epoch, sequence) are the same up to there.
+Entries are applied when they are appended; results become visible after the commit. An entry is identified by its epoch
+and sequence. Only the head of an epoch creates entries of that epoch, and members append in order, so two logs that
+contain the same (epoch, sequence) are identical up to that entry.
 
-Some entries that the snapshot covers are kept behind it, so that a member that was away for a moment needs no more
-than the difference. A state that has to be worked out anew is worked out in steps (`rebuild`), between which the member
-does other things; entries that come meanwhile are applied in their turn.
+Some of the entries covered by the snapshot are retained, so that a member that was disconnected briefly only needs the
+missing entries. A state that has to be rebuilt is rebuilt in steps (`rebuild`), so that the member can do other work in
+between. Entries appended during a rebuild are applied at its end, in order.
 """
 
 from __future__ import annotations
@@ -18,26 +18,27 @@
 from millethead.replication.place import LogPlace
 from millethead.storage.log import Entry, Recovered, Snapshot
 
-KEPT_ENTRIES = 2000  # behind the snapshot at most, for members that lack little
-KEPT_BYTES = 4 << 20
-STEP_ENTRIES = 100  # applied in one step of a rebuild
+MAX_RETAINED_ENTRIES = 2000  # limit of the entries retained after compaction, for members that lack only a few
+MAX_RETAINED_BYTES = 4 << 20  # limit of their payload
+REBUILD_STEP_ENTRIES = 100  # entries applied in one step of a rebuild
 
 
 class StateMachine(Protocol):
-    """Deterministic state: the same entries make the same state on every member."""
+    """A deterministic state machine: the same entries produce the same state on each member."""
 
     def apply(self, payload: bytes, place: LogPlace) -> object:
-        """Take in the command of the entry at `place`; returns its result."""
+        """Applies the command of the entry at `place` and returns its result."""
         ...
 
     def prepare_snapshot(self) -> bool:
-        """Do a part of the work of `snapshot` ahead; whether so little is left that it holds nobody up."""
+        """Does a part of the work of `snapshot` in advance. Returns whether the rest is short enough not to block the
+        event loop."""
         ...
 
     def snapshot(self) -> bytes: ...
 
-    def restoring(self, payload: bytes) -> Iterator[None]:
-        """Take the state of a snapshot, a part at each step; empty bytes are the first state."""
+    def restore_steps(self, payload: bytes) -> Iterator[None]:
+        """Restores the state from a snapshot, a part in each iteration. Empty bytes restore the initial state."""
         ...
 
 
@@ -48,11 +49,11 @@
         self.machine = machine
         self.base = recovered.snapshot or Snapshot(0, 0, b"")
         self.entries: list[Entry] = []
-        self._kept: list[Entry] = []  # up to the snapshot
-        self._floor = EpochSpan(self.base.epoch, self.base.sequence)  # the last entry before those that are kept
+        self._retained_entries: list[Entry] = []  # retained entries that the snapshot covers
+        self._retained_after = EpochSpan(self.base.epoch, self.base.sequence)  # the last entry before the retained ones
         self._steps: Iterator[None] | None = None
-        self._start_again(self.base, recovered.entries)
-        self.settle()
+        self._begin_rebuild(self.base, recovered.entries)
+        self.finish_rebuild()
 
     @property
     def last(self) -> tuple[int, int]:
@@ -62,7 +63,7 @@
         return self.base.epoch, self.base.sequence
 
     def append(self, entry: Entry) -> object:
-        """Add the next entry; returns what the state machine made of it, None while the state is worked out anew."""
+        """Appends the next entry. Returns the result of the state machine, or None during a rebuild."""
         if entry.sequence != self.last[1] + 1:
             raise ValueError(f"entry {entry.sequence} does not follow {self.last[1]}")
         self.entries.append(entry)
@@ -71,89 +72,90 @@
     def _apply(self, entry: Entry) -> object:
         return self.machine.apply(entry.payload, LogPlace(entry.epoch, entry.sequence))
 
-    def after(self, sequence: int) -> Sequence[Entry]:
-        """The entries above `sequence`, which must not lie before those that are kept."""
+    def entries_after(self, sequence: int) -> Sequence[Entry]:
+        """Returns the entries above `sequence`. These must be in the log or among the retained entries."""
         if sequence >= self.base.sequence:
             return self.entries[sequence - self.base.sequence :]
-        return self._kept[sequence - self._floor.last :] + self.entries
+        return self._retained_entries[sequence - self._retained_after.last :] + self.entries
 
     def spans(self) -> tuple[EpochSpan, ...]:
-        """The last sequence of each epoch that the entries after the snapshot hold."""
+        """Returns the last sequence of each epoch among the entries after the snapshot."""
         return _spans(self.entries)
 
     def base_span(self) -> EpochSpan:
         return EpochSpan(self.base.epoch, self.base.sequence)
 
-    # ---- working the state out anew ----------------------------------------------------------------------
+    # ---- rebuilding the state ----------------------------------------------------------------------------
 
     @property
     def rebuilding(self) -> bool:
-        """The state is being worked out anew, and lags behind the entries."""
+        """Whether the state is being rebuilt and does not yet reflect all entries."""
         return self._steps is not None
 
     def truncate(self, sequence: int) -> None:
-        """Drop the entries above `sequence`; the state is worked out anew by `rebuild`."""
-        self._start_again(self.base, self.entries[: sequence - self.base.sequence])
+        """Drops the entries above `sequence`. The state has to be rebuilt with `rebuild`."""
+        self._begin_rebuild(self.base, self.entries[: sequence - self.base.sequence])
 
     def install(self, snapshot: Snapshot) -> None:
-        """Take another log's state in the place of this one, by `rebuild`."""
-        self._kept, self._floor = [], EpochSpan(snapshot.epoch, snapshot.sequence)
-        self._start_again(snapshot, ())
+        """Replaces the log by a snapshot of another log. The state has to be rebuilt with `rebuild`."""
+        self._retained_entries, self._retained_after = [], EpochSpan(snapshot.epoch, snapshot.sequence)
+        self._begin_rebuild(snapshot, ())
 
-    def _start_again(self, base: Snapshot, entries: Sequence[Entry]) -> None:
+    def _begin_rebuild(self, base: Snapshot, entries: Sequence[Entry]) -> None:
         self.base, self.entries = base, list(entries)
         self._steps = self._rebuild_steps()
 
     def _rebuild_steps(self) -> Iterator[None]:
-        yield from self.machine.restoring(self.base.payload)
-        at = 0
-        while at < len(self.entries):  # it may grow meanwhile
-            self._apply(self.entries[at])
-            at += 1
-            if at % STEP_ENTRIES == 0:
+        yield from self.machine.restore_steps(self.base.payload)
+        index = 0
+        while index < len(self.entries):  # entries may be appended during the rebuild
+            self._apply(self.entries[index])
+            index += 1
+            if index % REBUILD_STEP_ENTRIES == 0:
                 yield
 
     def rebuild(self) -> bool:
-        """Do a step of working the state out; whether it is there."""
+        """Does one step of a rebuild. Returns whether the state is complete."""
         if self._steps is not None and next(self._steps, self) is self:
             self._steps = None
         return self._steps is None
 
-    def settle(self) -> None:
-        """Work the state out now, if it is not there."""
+    def finish_rebuild(self) -> None:
+        """Completes a rebuild that is in progress."""
         while not self.rebuild():
             pass
 
     # ---- the snapshot ------------------------------------------------------------------------------------
 
     def prepare_compaction(self) -> bool:
-        """Do a part of what `compact` needs; whether it may be called now without holding anybody up."""
+        """Does a part of the work of `compact` in advance. Returns whether `compact` can be called now without blocking
+        the event loop."""
         return not self.rebuilding and self.machine.prepare_snapshot()
 
     def compact(self) -> Snapshot:
-        """Fold all entries into the snapshot; returns it. The last ones are kept behind it."""
-        self.settle()
+        """Replaces all entries by a new snapshot and returns it. The last entries are retained for other members."""
+        self.finish_rebuild()
         epoch, sequence = self.last
-        self._keep(self._kept + self.entries)
+        self._retain(self._retained_entries + self.entries)
         self.base, self.entries = Snapshot(epoch, sequence, self.machine.snapshot()), []
         return self.base
 
-    def _keep(self, entries: list[Entry]) -> None:
-        """Keep the last of these entries, within bounds."""
+    def _retain(self, entries: list[Entry]) -> None:
+        """Retains the last of these entries, within the limits."""
         first, size = len(entries), 0
-        while first and len(entries) - first < KEPT_ENTRIES:
+        while first and len(entries) - first < MAX_RETAINED_ENTRIES:
             size += len(entries[first - 1].payload)
-            if size > KEPT_BYTES:
+            if size > MAX_RETAINED_BYTES:
                 break
             first -= 1
         if first:
-            self._floor = EpochSpan(entries[first - 1].epoch, entries[first - 1].sequence)
-        self._kept = entries[first:]
+            self._retained_after = EpochSpan(entries[first - 1].epoch, entries[first - 1].sequence)
+        self._retained_entries = entries[first:]
 
     def common_point(self, base: EpochSpan, spans: tuple[EpochSpan, ...]) -> int | None:
-        """The last sequence up to which this log and another one (given by its base and spans) are the same, or None
-        where the snapshots hide it."""
-        own = (self._floor, *_spans(self._kept), self.base_span(), *self.spans())
+        """Returns the last sequence up to which this log and another log, described by its base and spans, are
+        identical. Returns None if it cannot be determined because the entries there were compacted."""
+        own = (self._retained_after, *_spans(self._retained_entries), self.base_span(), *self.spans())
         mine = {span.epoch: span.last for span in own}
         theirs = {span.epoch: span.last for span in (base, *spans)}
         shared = [epoch for epoch in mine if epoch in theirs]
@@ -161,7 +163,7 @@
             return None
         newest = max(shared)
         point = min(mine[newest], theirs[newest])
-        if point < self._floor.last or point < base.last:
+        if point < self._retained_after.last or point < base.last:
             return None
         return point
 
--- a/millethead/replication/messages.py
+++ b/millethead/replication/messages.py
@@ -1,4 +1,4 @@
-"""Records between the members of the core: datagrams (heartbeats, agreement) and the stream along the chain."""
+"""Records exchanged by the core members: datagrams (heartbeats and agreement) and the stream along the chain."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard(Record):
-    """How long ago (ms) the sender of a heartbeat last heard from a member."""
+class PeerAge(Record):
+    """Time in ms since the sender of a heartbeat last received one from the member at `address`."""
 
     address: str
     age_ms: U16
@@ -20,9 +20,9 @@
 @tagged(1)
 @dataclass(frozen=True, slots=True)
 class Heartbeat(Record):
-    """Sent to every known member. `disk_ms`: the longest sync lately, or how long one is pending; `leaving`: its
-    process has been asked to end; `serving`: it is the head of `epoch`, and all that was committed before is on every
-    disk of that epoch's chain."""
+    """Sent periodically to all known members. `disk_ms`: the longest recent sync, or the age of a pending one.
+    `leaving`: the process is shutting down. `serving`: the sender is the head of `epoch`, and every member of that
+    epoch's chain has synced all entries committed before."""
 
     sender: Member
     incarnation: U64
@@ -32,13 +32,13 @@
     bootstrapping: bool
     observer: bool
     serving: bool
-    heard: tuple[Heard, ...]
+    peer_ages: tuple[PeerAge, ...]
 
 
 @tagged(2)
 @dataclass(frozen=True, slots=True)
 class ViewAnnouncement(Record):
-    """An agreed view."""
+    """Announces an agreed view."""
 
     view: View
 
@@ -54,7 +54,7 @@
 @tagged(3)
 @dataclass(frozen=True, slots=True)
 class PaxosMessage(Record):
-    """A message between a proposer and the acceptor named `voter`. Ballots are (number, owner)."""
+    """A message between a proposer and the acceptor named `voter`. A ballot is the pair (number, owner)."""
 
     kind: PaxosKind
     voter: str
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochSpan(Record):
-    """The last sequence that a log holds of an epoch."""
+    """The last sequence of an epoch in a log."""
 
     epoch: U64
     last: U64
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEntry(Record):
-    """One replicated command, as it goes down the chain."""
+    """A replicated command as sent along the chain."""
 
     epoch: U64
     sequence: U64
@@ -85,7 +85,7 @@
 @tagged(10)
 @dataclass(frozen=True, slots=True)
 class ChainHello(Record):
-    """First record of a chain link, from the predecessor: its view, and the disk it takes the successor to have."""
+    """The first record on a chain link, sent by the predecessor: its view and its own identity."""
 
     view: View
     sender: Member
@@ -93,7 +93,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotName(Record):
-    """Which snapshot: the last entry that it covers, its bytes, their checksum (CRC-32), and the bytes of a part."""
+    """Identifies a snapshot during its transfer: the last entry that it covers, its size in bytes, its CRC-32, and the
+    size of a part in bytes."""
 
     entry_epoch: U64
     sequence: U64
@@ -103,13 +104,13 @@
 
     @property
     def part_count(self) -> int:
-        """In how many parts it goes; an empty one is one empty part."""
+        """The number of parts. An empty snapshot has one empty part."""
         return max(1, -(-self.size // max(1, self.part_size)))
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotProgress(Record):
-    """How many parts of a snapshot a member has taken."""
+    """The number of parts of a snapshot that a member has received."""
 
     name: SnapshotName
     parts: U32
@@ -118,8 +119,8 @@
 @tagged(11)
 @dataclass(frozen=True, slots=True)
 class ChainPosition(Record):
-    """The successor's log: what its snapshot covers, and the epochs of the entries after it. `partial`: a snapshot
-    that it has taken a part of before its link was lost."""
+    """Describes the successor's log: the last entry that its snapshot covers, and the epochs of the entries after it.
+    `partial`: progress of a snapshot transfer that was interrupted by a lost link."""
 
     epoch: U64
     base: EpochSpan
@@ -130,7 +131,7 @@
 @tagged(12)
 @dataclass(frozen=True, slots=True)
 class ChainTruncate(Record):
-    """Entries above `sequence` are void: they were never committed."""
+    """Instructs the successor to drop the entries above `sequence`, which were never committed."""
 
     epoch: U64
     sequence: U64
@@ -139,7 +140,7 @@
 @tagged(18)
 @dataclass(frozen=True, slots=True)
 class ChainSnapshotPart(Record):
-    """Part `number`, from 0, of a snapshot that replaces the successor's whole log once all of it is there."""
+    """Part `number` (from 0) of a snapshot, which replaces the successor's whole log once it is complete."""
 
     epoch: U64
     name: SnapshotName
@@ -150,7 +151,7 @@
 @tagged(19)
 @dataclass(frozen=True, slots=True)
 class ChainSnapshotAck(Record):
-    """The successor has so many parts of a snapshot."""
+    """Reports how many parts of a snapshot the successor has received."""
 
     epoch: U64
     progress: SnapshotProgress
@@ -159,7 +160,7 @@
 @tagged(14)
 @dataclass(frozen=True, slots=True)
 class ChainAppend(Record):
-    """Entries that follow what the successor holds."""
+    """Entries that follow the last entry of the successor's log."""
 
     epoch: U64
     entries: tuple[LogEntry, ...]
@@ -168,7 +169,7 @@
 @tagged(15)
 @dataclass(frozen=True, slots=True)
 class ChainAck(Record):
-    """Everything up to `sequence` is synced at the sender and at all behind it."""
+    """The sender and all members after it in the chain have synced all entries up to `sequence`."""
 
     epoch: U64
     sequence: U64
@@ -177,7 +178,7 @@
 @tagged(16)
 @dataclass(frozen=True, slots=True)
 class ChainBarrier(Record):
-    """Goes down the chain; comes back as BarrierAck only if every member is still in the epoch."""
+    """Sent down the chain. A BarrierAck returns only if all members are still in the epoch."""
 
     epoch: U64
     number: U64
@@ -186,7 +187,7 @@
 @tagged(17)
 @dataclass(frozen=True, slots=True)
 class BarrierAck(Record):
-    """The tail has seen barrier `number` in this epoch."""
+    """Barrier `number` has reached the tail in this epoch."""
 
     epoch: U64
     number: U64
--- a/millethead/replication/place.py
+++ b/millethead/replication/place.py
@@ -1,4 +1,4 @@
-"""The place of an entry in the replicated log."""
+"""Position of an entry in the replicated log."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class LogPlace(Record):
-    """Epoch and sequence of an entry. Of two committed entries the later one has the greater place, and no two
-    entries of all logs that ever were have the same one."""
+    """Epoch and sequence of an entry. A later committed entry always has a greater position. No two entries have the
+    same position, including entries that were dropped."""
 
     epoch: U64
     sequence: U64
 
 
 NO_PLACE = LogPlace(0, 0)  # before the first entry
-EARLIEST_PLACE = LogPlace(0, 1)  # of what was accepted before places were kept
+EARLIEST_PLACE = LogPlace(0, 1)  # assigned to data accepted before positions were stored
--- a/millethead/replication/planning.py
+++ b/millethead/replication/planning.py
@@ -1,30 +1,32 @@
-"""Which view should follow the present one, and who should propose it. Pure functions of what a member has heard.
+"""Decides which view should follow the current one, and which member should propose it. Pure functions of received
+heartbeats.
 
-Safety does not rest on this module: any proposal that keeps `may_lead` is safe, since a new chain's head holds all that
-was committed. What is decided here is when a change is worth it.
+Safety does not depend on this module: a proposal of any member for which `may_lead` holds is safe, because the head of
+the new chain then has all committed entries. This module decides when a change is worthwhile.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from millethead.replication.liveness import ANSWERED_X, SETTLED_S, Liveness
+from millethead.replication.liveness import PEER_SUSPICION_FACTOR, STABLE_CONTACT_S, HeartbeatMonitor
 from millethead.replication.messages import Heartbeat
-from millethead.replication.proposal import Departed, Departure, ViewCause, ViewProposal
+from millethead.replication.proposal import DepartedMember, Departure, ViewCause, ViewProposal
 from millethead.replication.view import ChainMember, Member, View, next_view
 
-SLOW_DISK_MS = 160  # a member whose syncs take longer leaves the chain where the rest is enough
-WELL_DISK_MS = 80  # and comes back when they take less
-DEAD_VOTER_S = 2.0  # a voter silent for so long is dropped where the majority of the others gains by it
-RANK_DELAY_S = 0.2  # the second in line proposes so much later than the first
+SLOW_DISK_MS = 160  # a member with slower syncs is removed from the chain if enough others remain
+HEALTHY_DISK_MS = 80  # a removed member may return once its syncs are at most this slow
+VOTER_REMOVAL_TIMEOUT_S = 2.0  # silence after which a voter may be removed
+TAKEOVER_RANK_DELAY_S = 0.2  # delay per rank between members that propose themselves as head
 FIRST_EPOCH = 1
-FEWEST_VOTERS = 3  # below this no voter is dropped for its silence
-RESTART_WAIT_S = 0.25  # after all were killed at once, the first back waits so long for others that are not back yet
+MIN_VOTERS = 3  # silent voters are not removed below this number
+RESTART_DELAY_S = 0.25  # after a crash of all members, the first to restart waits this long for the others
 
 
 @dataclass(frozen=True, slots=True)
-class Myself:
-    """The member that plans. `led_epoch` is the epoch of the last entry of its log."""
+class LocalMember:
+    """The state of the member that plans. `log_epoch` is the epoch of the last entry in its log. Times are seconds of
+    the monotonic clock."""
 
     member: Member
     incarnation: int
@@ -32,314 +34,343 @@
     started: float
     leaving: bool
     disk_ms: int
-    serving: bool  # it is the head, and every member of the chain is reconciled with it
-    least_chain: int  # members that must hold an entry before it is acknowledged
+    serving: bool  # it is the head, and all chain members are reconciled with it
+    min_chain_length: int  # minimum number of chain members that must sync an entry before it is committed
 
 
-def may_lead(view: View, me: Myself) -> bool:
-    """Whether this member's log holds all that was committed up to the view."""
-    place = view.place(me.member)
-    if place is None:
+def may_lead(view: View, local: LocalMember) -> bool:
+    """Whether this member's log holds all entries committed up to the view."""
+    chain_member = view.chain_member(local.member)
+    if chain_member is None:
         return False
-    # a member that was in every chain from the first on has synced all that was ever committed, even if that is nothing
-    return place.joined <= FIRST_EPOCH or me.log_epoch >= place.joined
+    # a member of every chain since the first has synced all committed entries, even if there are none
+    return chain_member.joined <= FIRST_EPOCH or local.log_epoch >= chain_member.joined
 
 
-def in_touch_with_majority(now: float, view: View, me: Myself, liveness: Liveness) -> bool:
-    """Whether this member and a majority of the voters hear each other."""
-    joined = sum(voter == me.member or _is_there(now, voter, liveness) for voter in view.voters)
-    return joined >= view.majority()
+def is_connected_to_majority(now: float, view: View, local: LocalMember, monitor: HeartbeatMonitor) -> bool:
+    """Whether this member is connected to a majority of the voters, itself included."""
+    connected_voters = sum(voter == local.member or _is_connected(now, voter, monitor) for voter in view.voters)
+    return connected_voters >= view.majority()
 
 
-def majority_without(now: float, view: View, member: Member, liveness: Liveness) -> bool:
-    """Whether the voters that this member (`member`) hears, and that hear it, are a majority without it."""
-    others = sum(voter != member and _is_there(now, voter, liveness) for voter in view.voters)
+def has_majority_without(now: float, view: View, member: Member, monitor: HeartbeatMonitor) -> bool:
+    """Whether the voters that this member (`member`) is connected to are a majority without it."""
+    others = sum(voter != member and _is_connected(now, voter, monitor) for voter in view.voters)
     return member not in view.voters or others >= view.majority()
 
 
-def _is_there(now: float, member: Member, liveness: Liveness) -> bool:
-    identity = liveness.identity(member.address)
-    return identity is not None and identity[0] == member and liveness.joined_both_ways(now, member.address)
+def _is_connected(now: float, member: Member, monitor: HeartbeatMonitor) -> bool:
+    identity = monitor.identity(member.address)
+    return identity is not None and identity[0] == member and monitor.is_connected(now, member.address)
 
 
-def head_failure(now: float, view: View, me: Myself, liveness: Liveness) -> ViewCause | None:
-    """What is wrong with the head of the view; None where it still runs and a majority of the voters that this member
-    hears still hears it."""
+def head_failure(now: float, view: View, local: LocalMember, monitor: HeartbeatMonitor) -> ViewCause | None:
+    """Returns what is wrong with the head of the view. Returns None if it is running and a majority of the voters
+    connected to this member still receives its heartbeats."""
     head = view.head
     if head is None:
         return ViewCause.HEAD_ENDED
-    if head.member == me.member:
-        return None if head.incarnation == me.incarnation else ViewCause.HEAD_RESTARTED
-    if liveness.has_ended(head.member.address, head.incarnation):
+    if head.member == local.member:
+        return None if head.incarnation == local.incarnation else ViewCause.HEAD_RESTARTED
+    if monitor.has_ended(head.member.address, head.incarnation):
         return ViewCause.HEAD_ENDED
-    contact = liveness.contact(head.member.address)
-    if contact is not None and now - contact.heard_at <= liveness.suspect_s:
-        beat = contact.heartbeat
-        if beat.sender != head.member or beat.incarnation != head.incarnation:
+    contact = monitor.contact(head.member.address)
+    if contact is not None and now - contact.received_at <= monitor.suspicion_timeout_s:
+        heartbeat = contact.heartbeat
+        if heartbeat.sender != head.member or heartbeat.incarnation != head.incarnation:
             return ViewCause.HEAD_RESTARTED
-        if beat.leaving:
+        if heartbeat.leaving:
             return ViewCause.HEAD_LEAVING
-        # a head that is heard, but hears no majority itself, cannot commit
-        joined = _heard_by_head(now, view, contact.ages, liveness.suspect_s)
-        return None if joined else ViewCause.HEAD_ISOLATED
-    hearing = sum(
-        voter != head.member and liveness.hears(now, voter.address, head.member.address)
+        # a head that does not receive the heartbeats of a majority cannot commit
+        hears_majority = _head_hears_majority(now, view, contact.peer_received_at, monitor.suspicion_timeout_s)
+        return None if hears_majority else ViewCause.HEAD_ISOLATED
+    hearing_voters = sum(
+        voter != head.member and monitor.hears(now, voter.address, head.member.address)
         for voter in view.voters
-        if voter != me.member
+        if voter != local.member
     )
-    return None if hearing + 1 >= view.majority() else ViewCause.HEAD_SILENT
+    return None if hearing_voters + 1 >= view.majority() else ViewCause.HEAD_SILENT
 
 
-def head_is_well(now: float, view: View, me: Myself, liveness: Liveness) -> bool:
-    """Whether nothing is wrong with the head of the view."""
-    return head_failure(now, view, me, liveness) is None
+def is_head_healthy(now: float, view: View, local: LocalMember, monitor: HeartbeatMonitor) -> bool:
+    """Whether the head of the view has not failed."""
+    return head_failure(now, view, local, monitor) is None
 
 
-def _heard_by_head(now: float, view: View, ages: dict[str, float], suspect_s: float) -> bool:
+def _head_hears_majority(
+    now: float, view: View, peer_received_at: dict[str, float], suspicion_timeout_s: float
+) -> bool:
+    """Whether the head receives heartbeats from a majority of the voters."""
     heard = 1 + sum(
-        now - ages.get(voter.address, float("-inf")) <= ANSWERED_X * suspect_s
+        now - peer_received_at.get(voter.address, float("-inf")) <= PEER_SUSPICION_FACTOR * suspicion_timeout_s
         for voter in view.voters
         if view.head is not None and voter != view.head.member
     )
     return heard >= view.majority()
 
 
-def _clique(now: float, me: Myself, liveness: Liveness, candidates: list[Heartbeat]) -> list[Heartbeat]:
-    """Of the candidates, in order, those that hear each other and this member."""
+def _mutually_connected(
+    now: float, local: LocalMember, monitor: HeartbeatMonitor, candidates: list[Heartbeat]
+) -> list[Heartbeat]:
+    """Selects candidates, in order, that are all connected to each other."""
     chosen: list[Heartbeat] = []
-    for beat in candidates:
-        address = beat.sender.address
-        if all(liveness.pair_joined(now, address, other.sender.address) for other in chosen):
-            chosen.append(beat)
+    for heartbeat in candidates:
+        address = heartbeat.sender.address
+        if all(monitor.are_peers_connected(now, address, other.sender.address) for other in chosen):
+            chosen.append(heartbeat)
     return chosen
 
 
-def _candidates(now: float, view: View, me: Myself, liveness: Liveness, voters: tuple[Member, ...]) -> list[Heartbeat]:
-    """Who could stand behind this member in a chain: first those of the present chain, in its order. A member of the
-    chain that leaves stays until enough others hold all that was committed."""
-    beats = {
+def _chain_candidates(
+    now: float, view: View, local: LocalMember, monitor: HeartbeatMonitor, voters: tuple[Member, ...]
+) -> list[Heartbeat]:
+    """Returns the members that could follow this member in a chain, in order of preference: first those of the current
+    chain, in its order. A chain member that is leaving stays until enough other members hold all committed entries."""
+    heartbeats = {
         address: contact.heartbeat
-        for address, contact in liveness.contacts().items()
-        if contact.heartbeat.sender.disk and address != me.member.address and liveness.joined_both_ways(now, address)
+        for address, contact in monitor.contacts().items()
+        if contact.heartbeat.sender.disk and address != local.member.address and monitor.is_connected(now, address)
     }
-    order: list[Heartbeat] = []
+    current: list[Heartbeat] = []
     restarted: list[Heartbeat] = []
     leaving: list[Heartbeat] = []
-    for place in view.chain:
-        beat = beats.get(place.member.address)
-        if beat is not None and beat.sender == place.member:
-            del beats[place.member.address]
-            steady = beat.incarnation == place.incarnation
-            if beat.leaving:
-                leaving += [beat] if steady else []
+    for chain_member in view.chain:
+        heartbeat = heartbeats.get(chain_member.member.address)
+        if heartbeat is not None and heartbeat.sender == chain_member.member:
+            del heartbeats[chain_member.member.address]
+            same_process = heartbeat.incarnation == chain_member.incarnation
+            if heartbeat.leaving:
+                leaving += [heartbeat] if same_process else []
             else:
-                (order if steady else restarted).append(beat)
-    if len(order) + (not me.leaving) < me.least_chain or not me.serving:
-        order += leaving  # what they hold is not on enough other disks yet
-    fresh = [
-        beat
-        for address, beat in sorted(beats.items())
-        if beat.sender in voters and now - liveness.contacts()[address].since >= SETTLED_S
+                (current if same_process else restarted).append(heartbeat)
+    if len(current) + (not local.leaving) < local.min_chain_length or not local.serving:
+        current += leaving  # their entries are not on enough other disks yet
+    joining = [
+        heartbeat
+        for address, heartbeat in sorted(heartbeats.items())
+        if heartbeat.sender in voters and now - monitor.contacts()[address].connected_since >= STABLE_CONTACT_S
     ]
-    found = order + restarted + [beat for beat in fresh if not beat.leaving]
-    if len(found) + 1 < me.least_chain:
-        found += [beat for beat in fresh if beat.leaving]  # without them nothing could be acknowledged
+    found = current + restarted + [heartbeat for heartbeat in joining if not heartbeat.leaving]
+    if len(found) + 1 < local.min_chain_length:
+        found += [heartbeat for heartbeat in joining if heartbeat.leaving]  # without them nothing could be committed
     return found
 
 
-def wanted_chain(
-    now: float, view: View, me: Myself, liveness: Liveness, voters: tuple[Member, ...]
+def plan_chain(
+    now: float, view: View, local: LocalMember, monitor: HeartbeatMonitor, voters: tuple[Member, ...]
 ) -> tuple[ChainMember, ...]:
-    """The chain that this member would lead, or hand over if it leaves; `voters` of the next view may join."""
-    behind = _clique(now, me, liveness, _candidates(now, view, me, liveness, voters))
-    in_chain = {(place.member, place.incarnation) for place in view.chain}
-    enough = me.least_chain - (0 if me.leaving else 1)
-    well: list[Heartbeat] = []
+    """Returns the chain that this member would lead, or hand over to if it leaves. The voters of the next view
+    (`voters`) may join."""
+    candidates = _mutually_connected(now, local, monitor, _chain_candidates(now, view, local, monitor, voters))
+    in_chain = {(chain_member.member, chain_member.incarnation) for chain_member in view.chain}
+    needed = local.min_chain_length - (0 if local.leaving else 1)
+    healthy: list[Heartbeat] = []
     slow: list[Heartbeat] = []
-    for beat in behind:
-        limit = SLOW_DISK_MS if (beat.sender, beat.incarnation) in in_chain else WELL_DISK_MS
-        (well if beat.disk_ms <= limit else slow).append(beat)
-    slow.sort(key=lambda beat: beat.disk_ms)
-    while len(well) < enough and slow:
-        well.append(slow.pop(0))
-    chosen = [beat for beat in behind if beat in well]
-    mine = ChainMember(me.member, me.incarnation, 0)
-    places = tuple(ChainMember(beat.sender, beat.incarnation, 0) for beat in chosen)
-    if not _can_hand_over(view, me, chosen):
-        return (mine, *places)
-    if me.leaving and _copies(view, chosen) < me.least_chain <= len(chosen):
-        return (mine, *places)  # those that join first copy what this member holds
-    if me.leaving or (me.disk_ms > SLOW_DISK_MS and len(chosen) >= me.least_chain):
-        return places
-    return (mine, *places)
-
-
-def _can_hand_over(view: View, me: Myself, chosen: list[Heartbeat]) -> bool:
-    """Whether the first of those chosen is in the chain now, as the process that it is: it holds all."""
-    if not me.serving or not chosen:
+    for heartbeat in candidates:
+        limit = SLOW_DISK_MS if (heartbeat.sender, heartbeat.incarnation) in in_chain else HEALTHY_DISK_MS
+        (healthy if heartbeat.disk_ms <= limit else slow).append(heartbeat)
+    slow.sort(key=lambda heartbeat: heartbeat.disk_ms)
+    while len(healthy) < needed and slow:
+        healthy.append(slow.pop(0))
+    chosen = [heartbeat for heartbeat in candidates if heartbeat in healthy]
+    local_entry = ChainMember(local.member, local.incarnation, 0)
+    entries = tuple(ChainMember(heartbeat.sender, heartbeat.incarnation, 0) for heartbeat in chosen)
+    if not _can_hand_over(view, local, chosen):
+        return (local_entry, *entries)
+    if local.leaving and _complete_copies(view, chosen) < local.min_chain_length <= len(chosen):
+        return (local_entry, *entries)  # joining members have to copy this member's log first
+    if local.leaving or (local.disk_ms > SLOW_DISK_MS and len(chosen) >= local.min_chain_length):
+        return entries
+    return (local_entry, *entries)
+
+
+def _can_hand_over(view: View, local: LocalMember, chosen: list[Heartbeat]) -> bool:
+    """Whether the first chosen member is in the current chain with the same process, so that it holds all committed
+    entries."""
+    if not local.serving or not chosen:
         return False
     first = chosen[0]
-    return any(place.member == first.sender and place.incarnation == first.incarnation for place in view.chain)
+    return any(
+        chain_member.member == first.sender and chain_member.incarnation == first.incarnation
+        for chain_member in view.chain
+    )
 
 
-def _copies(view: View, chosen: list[Heartbeat]) -> int:
-    """How many of those chosen were in the chain that serves: they hold all that was committed."""
-    steady = {(place.member, place.incarnation) for place in view.chain}
-    return sum((beat.sender, beat.incarnation) in steady for beat in chosen)
+def _complete_copies(view: View, chosen: list[Heartbeat]) -> int:
+    """Returns how many chosen members are in the current serving chain, and therefore hold all committed entries."""
+    current_processes = {(chain_member.member, chain_member.incarnation) for chain_member in view.chain}
+    return sum((heartbeat.sender, heartbeat.incarnation) in current_processes for heartbeat in chosen)
 
 
-def wanted_voters(now: float, view: View, me: Myself, liveness: Liveness) -> tuple[Member, ...]:
-    """The voters of the next view, all changes at once: members that are new come, and take the places of voters that
-    are gone for good or not heard; and voters that have been silent for long go where the majority of the others gains
-    by it."""
-    kept = [voter for voter in view.voters if voter == me.member or not _has_another_disk(now, voter, liveness)]
-    fresh = _newcomers(now, view, liveness)
-    silent = [voter for voter in kept if voter != me.member and not _is_there(now, voter, liveness)]
-    silent.sort(key=lambda voter: -liveness.silent_for(now, voter.address))
+def plan_voters(now: float, view: View, local: LocalMember, monitor: HeartbeatMonitor) -> tuple[Member, ...]:
+    """Returns the voters of the next view, with all changes at once. New members are added and replace voters that will
+    never return or are not connected. Voters that have been silent for a long time are removed if that leaves the
+    others a larger margin over a majority."""
+    kept = [voter for voter in view.voters if voter == local.member or not _has_another_disk(now, voter, monitor)]
+    joining = _joining_voters(now, view, monitor)
+    silent = [voter for voter in kept if voter != local.member and not _is_connected(now, voter, monitor)]
+    silent.sort(key=lambda voter: -monitor.silent_s(now, voter.address))
     vacant = len(view.voters) - len(kept)
-    for voter in silent[: max(0, len(fresh) - vacant)]:
+    for voter in silent[: max(0, len(joining) - vacant)]:
         kept.remove(voter)
-    voters = _without_dead(now, [*kept, *fresh], me, liveness)
-    there = sum(voter == me.member or _is_there(now, voter, liveness) for voter in voters)
-    if 2 * there <= len(voters) or set(voters) == set(view.voters):
+    voters = _without_dead(now, [*kept, *joining], local, monitor)
+    connected = sum(voter == local.member or _is_connected(now, voter, monitor) for voter in voters)
+    if 2 * connected <= len(voters) or set(voters) == set(view.voters):
         return view.voters
     return tuple(voters)
 
 
-def _has_another_disk(now: float, voter: Member, liveness: Liveness) -> bool:
-    """Whether a voter never returns, since its machine has another disk, which can take its place by now."""
-    contact = liveness.contact(voter.address)
+def _has_another_disk(now: float, voter: Member, monitor: HeartbeatMonitor) -> bool:
+    """Whether a voter will never return because its machine has another disk, which may already join."""
+    contact = monitor.contact(voter.address)
     if contact is None or contact.heartbeat.sender.disk in (0, voter.disk):
         return False
-    return now - contact.since >= SETTLED_S
+    return now - contact.connected_since >= STABLE_CONTACT_S
 
 
-def _newcomers(now: float, view: View, liveness: Liveness) -> list[Member]:
-    """Members with a disk that do not vote, have been heard for a while without a gap, and stay."""
+def _joining_voters(now: float, view: View, monitor: HeartbeatMonitor) -> list[Member]:
+    """Returns members with a disk that do not vote yet, have been in uninterrupted contact for a while and are not
+    leaving."""
     found = []
-    for address, contact in sorted(liveness.contacts().items()):
-        beat = contact.heartbeat
-        if not beat.sender.disk or beat.leaving or beat.sender in view.voters:
+    for address, contact in sorted(monitor.contacts().items()):
+        heartbeat = contact.heartbeat
+        if not heartbeat.sender.disk or heartbeat.leaving or heartbeat.sender in view.voters:
             continue
-        if liveness.joined_both_ways(now, address) and now - contact.since >= SETTLED_S:
-            found.append(beat.sender)
+        if monitor.is_connected(now, address) and now - contact.connected_since >= STABLE_CONTACT_S:
+            found.append(heartbeat.sender)
     return found
 
 
-def _without_dead(now: float, voters: list[Member], me: Myself, liveness: Liveness) -> list[Member]:
-    """The voters without those that have been silent for long, as far as a majority of the rest gains by it."""
+def _without_dead(now: float, voters: list[Member], local: LocalMember, monitor: HeartbeatMonitor) -> list[Member]:
+    """Removes the voters that have been silent for a long time, where that gives the rest a larger margin over a
+    majority."""
     dead = [
         voter
         for voter in voters
-        if voter != me.member and min(liveness.silent_for(now, voter.address), now - me.started) > DEAD_VOTER_S
+        if voter != local.member
+        and min(monitor.silent_s(now, voter.address), now - local.started) > VOTER_REMOVAL_TIMEOUT_S
     ]
-    left = list(voters)
+    remaining = list(voters)
     for voter in dead:
-        live = sum(other == me.member or _is_there(now, other, liveness) for other in left)
-        if len(left) <= FEWEST_VOTERS or _slack(live, len(left) - 1) <= _slack(live, len(left)):
+        live = sum(other == local.member or _is_connected(now, other, monitor) for other in remaining)
+        if len(remaining) <= MIN_VOTERS or _majority_margin(live, len(remaining) - 1) <= _majority_margin(
+            live, len(remaining)
+        ):
             continue
-        left.remove(voter)
-    return left
+        remaining.remove(voter)
+    return remaining
 
 
-def _slack(live: int, voters: int) -> int:
-    """How many live voters a majority can do without."""
+def _majority_margin(live: int, voters: int) -> int:
+    """Returns how many connected voters can fail before there is no majority."""
     return live - (voters // 2 + 1)
 
 
-def plan_as_head(now: float, view: View, me: Myself, liveness: Liveness) -> ViewProposal | None:
-    """At the head: the view to propose, if any."""
-    if not in_touch_with_majority(now, view, me, liveness):
+def plan_as_head(now: float, view: View, local: LocalMember, monitor: HeartbeatMonitor) -> ViewProposal | None:
+    """At the head: returns the view to propose, if any."""
+    if not is_connected_to_majority(now, view, local, monitor):
         return None
-    voters = wanted_voters(now, view, me, liveness)
-    chain = wanted_chain(now, view, me, liveness, voters)
-    if len(chain) < me.least_chain <= len(view.chain) and not me.leaving:
-        more = _more_voters(view, voters)
-        return ViewProposal(more, ViewCause.VOTERS, (), me.disk_ms) if more is not None else None
-    same = [(place.member, place.incarnation) for place in chain] == [
-        (place.member, place.incarnation) for place in view.chain
+    voters = plan_voters(now, view, local, monitor)
+    chain = plan_chain(now, view, local, monitor, voters)
+    if len(chain) < local.min_chain_length <= len(view.chain) and not local.leaving:
+        extended = _view_with_new_voters(view, voters)
+        return ViewProposal(extended, ViewCause.VOTERS, (), local.disk_ms) if extended is not None else None
+    same_chain = [(chain_member.member, chain_member.incarnation) for chain_member in chain] == [
+        (chain_member.member, chain_member.incarnation) for chain_member in view.chain
     ]
-    if same and voters == view.voters:
+    if same_chain and voters == view.voters:
         return None
-    chain = tuple(place for place in chain if place.member in voters) or chain
+    chain = tuple(chain_member for chain_member in chain if chain_member.member in voters) or chain
     wanted = next_view(view, chain, voters)
-    return ViewProposal(wanted, _cause_at_head(wanted, me, same), _departed(now, view, wanted, liveness), me.disk_ms)
+    return ViewProposal(
+        wanted, _cause_at_head(wanted, local, same_chain), _departed(now, view, wanted, monitor), local.disk_ms
+    )
 
 
-def _cause_at_head(wanted: View, me: Myself, same_chain: bool) -> ViewCause:
-    if wanted.place(me.member) is None:
-        return ViewCause.LEAVING if me.leaving else ViewCause.OWN_DISK_SLOW
+def _cause_at_head(wanted: View, local: LocalMember, same_chain: bool) -> ViewCause:
+    if wanted.chain_member(local.member) is None:
+        return ViewCause.LEAVING if local.leaving else ViewCause.OWN_DISK_SLOW
     return ViewCause.VOTERS if same_chain else ViewCause.MEMBERS
 
 
-def _departed(now: float, view: View, wanted: View, liveness: Liveness) -> tuple[Departed, ...]:
-    """Which members of the chain are not in the wanted one as the process that they were, and why."""
-    kept = {(place.member, place.incarnation) for place in wanted.chain}
+def _departed(now: float, view: View, wanted: View, monitor: HeartbeatMonitor) -> tuple[DepartedMember, ...]:
+    """Returns the chain members that are not in the wanted chain with the same process, with the reasons."""
+    kept = {(chain_member.member, chain_member.incarnation) for chain_member in wanted.chain}
     return tuple(
-        Departed(place.member.address, _why_departed(now, place, liveness))
-        for place in view.chain
-        if (place.member, place.incarnation) not in kept
+        DepartedMember(chain_member.member.address, _departure_reason(now, chain_member, monitor))
+        for chain_member in view.chain
+        if (chain_member.member, chain_member.incarnation) not in kept
     )
 
 
-def _why_departed(now: float, place: ChainMember, liveness: Liveness) -> Departure:
-    contact = liveness.contact(place.member.address)
-    if contact is None or now - contact.heard_at > liveness.suspect_s:
+def _departure_reason(now: float, chain_member: ChainMember, monitor: HeartbeatMonitor) -> Departure:
+    contact = monitor.contact(chain_member.member.address)
+    if contact is None or now - contact.received_at > monitor.suspicion_timeout_s:
         return Departure.SILENT
-    beat = contact.heartbeat
-    if (beat.sender, beat.incarnation) != (place.member, place.incarnation):
+    heartbeat = contact.heartbeat
+    if (heartbeat.sender, heartbeat.incarnation) != (chain_member.member, chain_member.incarnation):
         return Departure.RESTARTED
-    if beat.leaving:
+    if heartbeat.leaving:
         return Departure.LEAVING
-    return Departure.DISK_SLOW if beat.disk_ms > SLOW_DISK_MS else Departure.APART
+    return Departure.DISK_SLOW if heartbeat.disk_ms > SLOW_DISK_MS else Departure.NOT_CONNECTED
 
 
-def keeps_chain(view: View, wanted: View) -> bool:
-    """Whether all members of the chain are in the wanted one: there is nobody to wait for."""
-    return {place.member for place in view.chain} <= {place.member for place in wanted.chain}
+def keeps_all_members(view: View, wanted: View) -> bool:
+    """Whether all members of the current chain are in the wanted one, so that there is no member to wait for."""
+    return {chain_member.member for chain_member in view.chain} <= {
+        chain_member.member for chain_member in wanted.chain
+    }
 
 
-def _more_voters(view: View, voters: tuple[Member, ...]) -> View | None:
-    """A shorter chain could acknowledge nothing, so the present one waits for its members to come back. Meanwhile
-    voters may come, which can then take a place in it."""
-    kept = all(place.member in voters for place in view.chain)
+def _view_with_new_voters(view: View, voters: tuple[Member, ...]) -> View | None:
+    """Returns a view with the current chain and the new voters. It is used when the wanted chain is too short to
+    commit: the current chain waits for its members to return, and new voters can then join it."""
+    kept = all(chain_member.member in voters for chain_member in view.chain)
     return next_view(view, view.chain, voters) if kept and voters != view.voters else None
 
 
-def rank(now: float, view: View, me: Myself, liveness: Liveness) -> int | None:
-    """How many others of the chain come before this member in proposing itself as head: those whose process is still
-    the one of the view come first, then the restarted ones, each in the chain's order. None: it may not lead."""
-    if not may_lead(view, me) or me.leaving or view.place(me.member) is None:
+def takeover_rank(now: float, view: View, local: LocalMember, monitor: HeartbeatMonitor) -> int | None:
+    """Returns how many other chain members propose themselves as head before this member. Members whose process is
+    still that of the view come first, then restarted ones, each group in chain order. Returns None if this member may
+    not lead."""
+    if not may_lead(view, local) or local.leaving or view.chain_member(local.member) is None:
         return None
     ahead = 0
-    mine_steady = any(place.member == me.member and place.incarnation == me.incarnation for place in view.chain)
-    before = True
-    for place in view.chain:
-        if place.member == me.member:
-            before = False
+    local_same_process = any(
+        chain_member.member == local.member and chain_member.incarnation == local.incarnation
+        for chain_member in view.chain
+    )
+    before_local = True
+    for chain_member in view.chain:
+        if chain_member.member == local.member:
+            before_local = False
             continue
-        identity = liveness.identity(place.member.address)
-        if identity is None or identity[0] != place.member or not _is_there(now, place.member, liveness):
+        identity = monitor.identity(chain_member.member.address)
+        if (
+            identity is None
+            or identity[0] != chain_member.member
+            or not _is_connected(now, chain_member.member, monitor)
+        ):
             continue
-        if place == view.head and identity[1] == place.incarnation:
-            continue  # the head itself is not well: that is why this member may lead
-        contact = liveness.contact(place.member.address)
+        if chain_member == view.head and identity[1] == chain_member.incarnation:
+            continue  # the head has failed, which is why this member may take over
+        contact = monitor.contact(chain_member.member.address)
         if contact is not None and contact.heartbeat.leaving:
             continue
-        steady = identity[1] == place.incarnation
-        if (steady and not mine_steady) or (steady == mine_steady and before):
+        same_process = identity[1] == chain_member.incarnation
+        if (same_process and not local_same_process) or (same_process == local_same_process and before_local):
             ahead += 1
     return ahead
 
 
-def plan_as_successor(
-    now: float, view: View, me: Myself, liveness: Liveness, failure: ViewCause
+def plan_takeover(
+    now: float, view: View, local: LocalMember, monitor: HeartbeatMonitor, failure: ViewCause
 ) -> ViewProposal | None:
-    """At a member that takes over from a head that is gone by `failure`: the view to propose, if any."""
-    if not in_touch_with_majority(now, view, me, liveness):
+    """At a member that takes over from a head that has failed with `failure`: returns the view to propose, if any."""
+    if not is_connected_to_majority(now, view, local, monitor):
         return None
-    chain = wanted_chain(now, view, me, liveness, view.voters)
-    if chain[0].member != me.member or len(chain) < min(me.least_chain, len(view.voters)):
+    chain = plan_chain(now, view, local, monitor, view.voters)
+    if chain[0].member != local.member or len(chain) < min(local.min_chain_length, len(view.voters)):
         return None
     wanted = next_view(view, chain)
-    return ViewProposal(wanted, failure, _departed(now, view, wanted, liveness), me.disk_ms)
+    return ViewProposal(wanted, failure, _departed(now, view, wanted, monitor), local.disk_ms)
--- a/tests/test_joint.py
+++ b/tests/test_joint.py
@@ -6,9 +6,9 @@
 
 from millethead.replication.agreement import KnownView, decode_view, round_for
 from millethead.replication.joint import JointRound, has_majorities
-from millethead.replication.liveness import Liveness
-from millethead.replication.messages import Heard, Heartbeat
-from millethead.replication.planning import DEAD_VOTER_S, Myself, plan_as_head, wanted_voters
+from millethead.replication.liveness import HeartbeatMonitor
+from millethead.replication.messages import Heartbeat, PeerAge
+from millethead.replication.planning import VOTER_REMOVAL_TIMEOUT_S, LocalMember, plan_as_head, plan_voters
 from millethead.replication.view import ChainMember, Member, View, ViewWithoutOutgoing, next_view
 from millethead.rollout.register import Refused, Word
 from millethead.rpc.codec import encode
@@ -28,19 +28,19 @@
 
 def promise(made: JointRound, *members: Member, view: View = FIRST, accepted: tuple[int, str] = ACCEPTED_FIRST) -> None:
     for member in members:
-        made.take(member.name, Word("promise", BALLOT, accepted, encode(view)))
+        made.handle_response(member.name, Word("promise", BALLOT, accepted, encode(view)))
 
 
 def accept(made: JointRound, *members: Member) -> None:
     for member in members:
-        made.take(member.name, Word("accepted", BALLOT))
+        made.handle_response(member.name, Word("accepted", BALLOT))
 
 
 def test_a_view_with_other_voters_needs_a_majority_of_both() -> None:
     made = round_of(SECOND, FIRST, FIRST.epoch)
     promise(made, A, B, C)
     assert made.value == encode(SECOND)
-    assert made.asked == {member.name for member in (A, B, C, D, E, F, G)}
+    assert made.recipients == {member.name for member in (A, B, C, D, E, F, G)}
     accept(made, F, G)
     assert not made.agreed  # none of those who voted before has it
     accept(made, A, B)
@@ -83,7 +83,7 @@
     assert made.value is None
     promise(made, A, B, C)
     assert made.value == encode(FIRST) or made.value == encode(SECOND)
-    assert made.old == encode(SECOND)
+    assert made.previous_value == encode(SECOND)
 
 
 def test_a_member_whose_log_has_an_entry_of_the_view_knows_that_it_is_agreed() -> None:
@@ -102,7 +102,7 @@
     promise(made, A, D, view=old)
     assert made.value is None
     promise(made, F, G, view=SECOND, accepted=ACCEPTED_SECOND)
-    assert made.old == encode(SECOND) and made.value is not None
+    assert made.previous_value == encode(SECOND) and made.value is not None
 
 
 def test_a_view_that_an_earlier_version_wrote_is_read() -> None:
@@ -123,23 +123,23 @@
 
 
 def beat(member: Member, *hears: Member) -> Heartbeat:
-    heard = tuple(Heard(other.address, 0) for other in hears)
+    heard = tuple(PeerAge(other.address, 0) for other in hears)
     return Heartbeat(member, 10, 4, 9, False, False, False, False, heard)
 
 
-def liveness_of(*members: Member, since: float = NOW - 5.0) -> Liveness:
+def liveness_of(*members: Member, since: float = NOW - 5.0) -> HeartbeatMonitor:
     """All of these hear one another and the head."""
-    known = Liveness(A.address, 0.45)
+    known = HeartbeatMonitor(A.address, 0.45)
     at = since
     while at <= NOW:
         for member in members:
-            known.heard(at, beat(member, A, *members))
+            known.record_heartbeat(at, beat(member, A, *members))
         at += 0.1
     return known
 
 
-def head(serving: bool = True) -> Myself:
-    return Myself(A, 10, 4, 0.0, False, 9, serving, 3)
+def head(serving: bool = True) -> LocalMember:
+    return LocalMember(A, 10, 4, 0.0, False, 9, serving, 3)
 
 
 def test_two_that_are_gone_are_replaced_in_one_step() -> None:
@@ -153,32 +153,32 @@
 def test_a_wiped_disk_is_replaced_by_the_one_at_its_address() -> None:
     again = Member(C.address, 77)
     known = liveness_of(B, D, E, again)
-    assert set(wanted_voters(NOW, FIRST, head(), known)) == {A, B, again, D, E}
+    assert set(plan_voters(NOW, FIRST, head(), known)) == {A, B, again, D, E}
 
 
 def test_a_wiped_disk_is_not_dropped_before_the_new_one_may_join() -> None:
     again = Member(C.address, 77)
     known = liveness_of(B, D, E)
-    known.heard(NOW, beat(again, A, B, D, E))
-    assert wanted_voters(NOW, FIRST, head(), known) == FIRST.voters
+    known.record_heartbeat(NOW, beat(again, A, B, D, E))
+    assert plan_voters(NOW, FIRST, head(), known) == FIRST.voters
 
 
 def test_all_that_are_new_come_in_one_step() -> None:
     small = View(4, (A, B, C), FIRST.chain)
-    assert set(wanted_voters(NOW, small, head(), liveness_of(B, C, D, E, F))) == {A, B, C, D, E, F}
+    assert set(plan_voters(NOW, small, head(), liveness_of(B, C, D, E, F))) == {A, B, C, D, E, F}
 
 
 def test_the_voter_of_a_process_that_has_just_ended_stays() -> None:
     known = liveness_of(B, C, D, E, F)
     view = View(4, (A, B, C, D, E, F), FIRST.chain)
     known.process_ended(NOW, F.address, 10)
-    assert wanted_voters(NOW + 0.1, view, head(), known) == view.voters
-    later = NOW + DEAD_VOTER_S + 0.2
+    assert plan_voters(NOW + 0.1, view, head(), known) == view.voters
+    later = NOW + VOTER_REMOVAL_TIMEOUT_S + 0.2
     for member in (B, C, D, E):
-        known.heard(later, beat(member, A, B, C, D, E))
-    assert set(wanted_voters(later, view, head(), known)) == {A, B, C, D, E}
+        known.record_heartbeat(later, beat(member, A, B, C, D, E))
+    assert set(plan_voters(later, view, head(), known)) == {A, B, C, D, E}
 
 
 def test_no_voters_are_wanted_of_which_no_majority_is_there() -> None:
     view = View(4, (A, B, C, D, E, F), FIRST.chain)
-    assert wanted_voters(NOW, view, head(), liveness_of(B)) == view.voters
+    assert plan_voters(NOW, view, head(), liveness_of(B)) == view.voters
--- a/tests/test_large_state.py
+++ b/tests/test_large_state.py
@@ -155,8 +155,8 @@
 class SlowMachine(Machine):
     """Takes three steps to restore."""
 
-    def restoring(self, payload: bytes) -> Iterator[None]:
-        yield from super().restoring(payload)
+    def restore_steps(self, payload: bytes) -> Iterator[None]:
+        yield from super().restore_steps(payload)
         yield
         yield
 
@@ -177,13 +177,13 @@
     member = Standing(TAIL)
     member.chain.log.machine = SlowMachine()
     member.hello()
-    member.chain.from_above(member.up, ChainTruncate(4, 1))
+    member.chain.receive_from_predecessor(member.up, ChainTruncate(4, 1))
     assert member.chain.log.rebuilding and len(member.ports.due) == 1
     while member.ports.due:
         member.ports.due.pop(0)()
     assert not member.chain.log.rebuilding and member.chain.log.machine.payloads == [b"1"]
     member.hello()
-    member.chain.from_above(member.up, ChainTruncate(4, 0))
+    member.chain.receive_from_predecessor(member.up, ChainTruncate(4, 0))
     assert member.chain.log.rebuilding
     member.chain.role = Role.HEAD
     member.chain.propose(b"x")
@@ -200,31 +200,31 @@
         self.head = Standing(HEAD, 0)
         self.head.chain._part_bytes = PART
         self.head.chain.log.install(Snapshot(3, 50, payload))
-        self.head.chain.log.settle()
+        self.head.chain.log.finish_rebuild()
         self.ports = Ports()
         self.tail = Chain(MIDDLE, 10, ReplicatedLog(Machine(), Recovered(None, ())), self.ports)
-        self.tail.enter(VIEW)
+        self.tail.enter_view(VIEW)
         self.tail._successor = None
         self.open()
 
     def open(self) -> None:
         """A new link."""
         self.down, self.up = Link(), Link()
-        self.head.chain.link_lost(self.head.chain._down.link) if self.head.chain._down else None
+        self.head.chain.link_lost(self.head.chain._successor_link.link) if self.head.chain._successor_link else None
         self.head.chain.link_opened(self.down, MIDDLE.address)
-        assert self.tail.hello(self.up, ChainHello(VIEW, HEAD))
+        assert self.tail.receive_hello(self.up, ChainHello(VIEW, HEAD))
 
     def to_head(self) -> None:
         sent, self.up.sent = self.up.sent, []
         for record in sent:
-            self.head.chain.from_below(self.down, record)
+            self.head.chain.receive_from_successor(self.down, record)
 
     def to_tail(self, count: int = 1000) -> int:
         """Returns how many parts went."""
         sent = [record for record in self.down.sent if not isinstance(record, ChainHello)][:count]
         self.down.sent = [record for record in self.down.sent if record not in sent]
         for record in sent:
-            self.tail.from_above(self.up, record)
+            self.tail.receive_from_predecessor(self.up, record)
         return sum(isinstance(record, ChainSnapshotPart) for record in sent)
 
     def run(self) -> int:
@@ -272,7 +272,7 @@
     pair.to_head()
     pair.to_tail(5)
     pair.head.chain.log.install(Snapshot(3, 60, PAYLOAD[::-1]))
-    pair.head.chain.log.settle()
+    pair.head.chain.log.finish_rebuild()
     pair.open()
     assert pair.run() == 50
     assert pair.ports.installed == [Snapshot(3, 60, PAYLOAD[::-1])]
@@ -282,7 +282,7 @@
     member = Standing(TAIL)
     member.hello()
     name = SnapshotName(3, 50, 4, zlib.crc32(b"good"), 4)
-    member.chain.from_above(member.up, ChainSnapshotPart(4, name, 0, b"evil"))
+    member.chain.receive_from_predecessor(member.up, ChainSnapshotPart(4, name, 0, b"evil"))
     assert member.up.closed and member.ports.installed == [] and member.chain.log.last == (3, 3)
     member.hello()
     assert member.up.sent == [ChainPosition(4, EpochSpan(0, 0), (EpochSpan(3, 3),))], "no part of it is claimed"
@@ -295,9 +295,9 @@
     parts = [ChainSnapshotPart(4, name, number, b"0123456789ab"[4 * number :][:4]) for number in range(3)]
     member.up.sent.clear()
     for part in (parts[0], parts[2], parts[0], parts[1]):
-        member.chain.from_above(member.up, part)
+        member.chain.receive_from_predecessor(member.up, part)
     assert [record.progress.parts for record in member.up.sent if isinstance(record, ChainSnapshotAck)] == [1, 1, 1, 2]
-    member.chain.from_above(member.up, parts[2])
+    member.chain.receive_from_predecessor(member.up, parts[2])
     assert member.ports.installed == [Snapshot(3, 50, b"0123456789ab")]
 
 
@@ -305,7 +305,9 @@
     pair = Pair(PAYLOAD)
     pair.to_head()
     sent = len(pair.down.sent)
-    pair.head.chain.from_below(pair.down, ChainSnapshotAck(4, SnapshotProgress(SnapshotName(1, 1, 5, 5, 5), 3)))
+    pair.head.chain.receive_from_successor(
+        pair.down, ChainSnapshotAck(4, SnapshotProgress(SnapshotName(1, 1, 5, 5, 5), 3))
+    )
     assert len(pair.down.sent) == sent
 
 
@@ -317,25 +319,25 @@
     member.chain.link_lost(member.down)
     link = Link()
     member.chain.link_opened(link, MIDDLE.address)
-    member.chain.from_below(link, ChainPosition(4, EpochSpan(0, 0), (EpochSpan(3, 29),)))
+    member.chain.receive_from_successor(link, ChainPosition(4, EpochSpan(0, 0), (EpochSpan(3, 29),)))
     assert ChainTruncate(4, 29) in link.sent
     (append,) = [record for record in link.sent if isinstance(record, ChainAppend)]
     assert [entry.sequence for entry in append.entries] == [30, 31]
 
 
 def test_what_is_kept_behind_a_snapshot_is_bounded(monkeypatch):
-    monkeypatch.setattr(log_module, "KEPT_ENTRIES", 10)
+    monkeypatch.setattr(log_module, "MAX_RETAINED_ENTRIES", 10)
     log = ReplicatedLog(Machine(), Recovered(None, ()))
     for sequence in range(1, 41):
         log.append(Entry(1 + sequence // 20, sequence, b"x"))
         if sequence % 7 == 0:
             log.compact()
-    assert [entry.sequence for entry in log.after(25)] == list(range(26, 41))
+    assert [entry.sequence for entry in log.entries_after(25)] == list(range(26, 41))
     assert log.common_point(EpochSpan(1, 5), (EpochSpan(2, 30),)) == 30
     assert log.common_point(EpochSpan(1, 5), (EpochSpan(2, 24),)) is None, "the entry after it is kept no more"
-    monkeypatch.setattr(log_module, "KEPT_BYTES", 3)
+    monkeypatch.setattr(log_module, "MAX_RETAINED_BYTES", 3)
     log.compact()
-    assert [entry.sequence for entry in log.after(37)] == [38, 39, 40]
+    assert [entry.sequence for entry in log.entries_after(37)] == [38, 39, 40]
 
 
 def test_entries_are_copied_in_batches_of_bytes():
@@ -345,7 +347,7 @@
     member.chain.link_lost(member.down)
     link = Link()
     member.chain.link_opened(link, MIDDLE.address)
-    member.chain.from_below(link, ChainPosition(4, EpochSpan(0, 0), ()))
+    member.chain.receive_from_successor(link, ChainPosition(4, EpochSpan(0, 0), ()))
     batches = [record for record in link.sent if isinstance(record, ChainAppend)]
     assert [len(batch.entries) for batch in batches] == [2, 2, 1]
 
--- a/tests/test_leading_on.py
+++ b/tests/test_leading_on.py
@@ -42,7 +42,7 @@
     def serving(self, epoch: int) -> None:
         self.told.append(f"serving {epoch}")
 
-    def leads_on(self, view: View) -> None:
+    def continue_in_view(self, view: View) -> None:
         self.told.append(f"leads on {view.epoch}")
 
     def deposed(self) -> None:
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,10 +9,10 @@
 from millethead.lab.core_machine import CoreProcess
 from millethead.lab.core_world import CoreWorld, WorldSettings
 from millethead.replication.chain_ports import Role
-from millethead.replication.liveness import Liveness
+from millethead.replication.liveness import HeartbeatMonitor
 from millethead.replication.log import ReplicatedLog
-from millethead.replication.messages import Heard, Heartbeat
-from millethead.replication.planning import Myself, wanted_chain
+from millethead.replication.messages import Heartbeat, PeerAge
+from millethead.replication.planning import LocalMember, plan_chain
 from millethead.replication.replica import Replica, ReplicaSettings
 from millethead.replication.view import ChainMember, Member, View, next_view
 from millethead.rollout.register import Kept
@@ -28,24 +28,24 @@
 
 
 def heartbeat(member: Member, leaving: bool = False, serving: bool = False, epoch: int = 4) -> Heartbeat:
-    heard = tuple(Heard(other.address, 0) for other in ALL if other != member)
+    heard = tuple(PeerAge(other.address, 0) for other in ALL if other != member)
     return Heartbeat(member, 10, epoch, 9, leaving, False, False, serving, heard)
 
 
-def heard(*beats: Heartbeat) -> Liveness:
-    liveness = Liveness(A.address, 0.45)
+def heard(*beats: Heartbeat) -> HeartbeatMonitor:
+    monitor = HeartbeatMonitor(A.address, 0.45)
     for at in (NOW - 0.4, NOW):
         for beat in beats:
-            liveness.heard(at, beat)
-    return liveness
+            monitor.record_heartbeat(at, beat)
+    return monitor
 
 
-def myself(leaving: bool = False, serving: bool = True) -> Myself:
-    return Myself(A, 10, 4, 0.0, leaving, 9, serving, LEAST)
+def myself(leaving: bool = False, serving: bool = True) -> LocalMember:
+    return LocalMember(A, 10, 4, 0.0, leaving, 9, serving, LEAST)
 
 
-def wanted(view: View, me: Myself, *beats: Heartbeat) -> list[Member]:
-    return [place.member for place in wanted_chain(NOW, view, me, heard(*beats), view.voters)]
+def wanted(view: View, me: LocalMember, *beats: Heartbeat) -> list[Member]:
+    return [place.member for place in plan_chain(NOW, view, me, heard(*beats), view.voters)]
 
 
 def test_a_member_that_leaves_is_left_out_where_enough_others_hold_all() -> None:
@@ -103,14 +103,14 @@
     def snapshot(self) -> bytes:
         return b""
 
-    def restoring(self, payload):
+    def restore_steps(self, payload):
         return iter(())
 
 
 def test_a_view_without_the_member_does_not_let_it_end() -> None:
     """What it holds may be on no other disk than the head's: the head says when its whole chain holds it."""
     replica = replica_of(B, view_of(A, C, epoch=5))
-    assert replica.chain.role is Role.OUTSIDE and not replica.handed_over
+    assert replica.chain.role is Role.NOT_IN_CHAIN and not replica.handed_over
     replica.receive(1.0, heartbeat(A, serving=False, epoch=5), A.address)
     assert not replica.handed_over
     replica.receive(1.1, heartbeat(C, serving=True, epoch=5), C.address)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -29,7 +29,7 @@
     LogEntry,
 )
 from millethead.replication.place import LogPlace
-from millethead.replication.planning import Myself, may_lead
+from millethead.replication.planning import LocalMember, may_lead
 from millethead.replication.view import ChainMember, Member, View, next_view
 from millethead.rpc.codec import Record
 from millethead.storage.log import Entry, Recovered, Snapshot
@@ -108,8 +108,8 @@
 # ---- the faults that were found, one by one ----------------------------------------------------------------------
 
 
-def myself(member: Member, log_epoch: int) -> Myself:
-    return Myself(member, 10, log_epoch, 0.0, False, 9, False, 2)
+def myself(member: Member, log_epoch: int) -> LocalMember:
+    return LocalMember(member, 10, log_epoch, 0.0, False, 9, False, 2)
 
 
 def test_a_member_of_every_chain_may_lead_without_any_entry():
@@ -151,7 +151,7 @@
     def prepare_snapshot(self) -> bool:
         return True
 
-    def restoring(self, payload: bytes) -> Iterator[None]:
+    def restore_steps(self, payload: bytes) -> Iterator[None]:
         self.payloads = payload.split(b"\n") if payload else []
         yield
 
@@ -201,7 +201,7 @@
     def barrier_passed(self, number: int) -> None:
         self.barriers.append(number)
 
-    def synced_to_head(self) -> None:
+    def reconciled(self) -> None:
         """Nothing to be done."""
 
 
@@ -212,17 +212,17 @@
         self.ports, self.up, self.down = Ports(), Link(), Link()
         kept = tuple(Entry(3, sequence, b"%d" % sequence) for sequence in range(1, entries + 1))
         self.chain = Chain(me, 10, ReplicatedLog(Machine(), Recovered(None, kept)), self.ports)
-        self.chain.enter(VIEW)
-        if self.chain.role is Role.WAITING:
+        self.chain.enter_view(VIEW)
+        if self.chain.role is Role.RECONCILING:
             self.hello()
-            self.chain.from_above(self.up, ChainTruncate(4, entries))
+            self.chain.receive_from_predecessor(self.up, ChainTruncate(4, entries))
         self.join_below()
 
     def hello(self) -> None:
         """The predecessor has opened a link."""
         self.up = Link()
-        before = VIEW.chain[[place.member for place in VIEW.chain].index(self.chain.me) - 1].member
-        assert self.chain.hello(self.up, ChainHello(VIEW, before))
+        before = VIEW.chain[[place.member for place in VIEW.chain].index(self.chain.member) - 1].member
+        assert self.chain.receive_hello(self.up, ChainHello(VIEW, before))
 
     def join_below(self) -> None:
         """The successor has taken a new link."""
@@ -230,7 +230,7 @@
             self.down = Link()
             self.chain.link_opened(self.down, self.chain.successor.member.address)
             last = EpochSpan(3, self.chain.log.last[1])
-            self.chain.from_below(self.down, ChainPosition(4, EpochSpan(0, 0), (last,)))
+            self.chain.receive_from_successor(self.down, ChainPosition(4, EpochSpan(0, 0), (last,)))
 
     def barriers_below(self) -> list[int]:
         return [record.number for record in self.down.sent if isinstance(record, ChainBarrier)]
@@ -245,7 +245,7 @@
     if me is HEAD:
         member.chain.send_barrier()
     else:
-        member.chain.from_above(member.up, ChainBarrier(4, 1))
+        member.chain.receive_from_predecessor(member.up, ChainBarrier(4, 1))
     assert member.barriers_below() == [1]
     assert member.chain.link_lost(member.down)
     member.join_below()
@@ -255,7 +255,7 @@
 def test_a_barrier_that_came_while_the_link_below_was_open_anew_is_sent_on():
     member = Standing(MIDDLE)
     member.chain.link_lost(member.down)
-    member.chain.from_above(member.up, ChainBarrier(4, 1))
+    member.chain.receive_from_predecessor(member.up, ChainBarrier(4, 1))
     member.join_below()
     assert member.barriers_below() == [1]
 
@@ -263,13 +263,13 @@
 def test_an_answer_that_the_link_above_took_with_it_is_given_again():
     """The successor has passed the barrier, and its link is being opened anew when the barrier comes again."""
     member = Standing(MIDDLE)
-    member.chain.from_above(member.up, ChainBarrier(4, 1))
+    member.chain.receive_from_predecessor(member.up, ChainBarrier(4, 1))
     member.chain.link_lost(member.up)
-    member.chain.from_below(member.down, BarrierAck(4, 1))
+    member.chain.receive_from_successor(member.down, BarrierAck(4, 1))
     member.chain.link_lost(member.down)
     member.hello()
-    member.chain.from_above(member.up, ChainTruncate(4, 3))
-    member.chain.from_above(member.up, ChainBarrier(4, 1))
+    member.chain.receive_from_predecessor(member.up, ChainTruncate(4, 3))
+    member.chain.receive_from_predecessor(member.up, ChainBarrier(4, 1))
     member.join_below()
     assert member.answers_above() == [1] or member.barriers_below() == [1]
 
@@ -278,8 +278,8 @@
     member = Standing(TAIL, entries=5)
     member.hello()
     member.chain.log.compact()
-    member.chain.from_above(member.up, ChainTruncate(4, 3))
-    member.chain.from_above(member.up, ChainAppend(4, (LogEntry(4, 4, b"other"),)))
+    member.chain.receive_from_predecessor(member.up, ChainTruncate(4, 3))
+    member.chain.receive_from_predecessor(member.up, ChainAppend(4, (LogEntry(4, 4, b"other"),)))
     assert member.up.closed and member.ports.truncated == []
     assert member.chain.log.last == (3, 5)
     member.hello()
@@ -367,7 +367,7 @@
     member = Standing(HEAD)
     member.chain.propose(b"x")
     assert member.ports.commits == []
-    member.chain.from_below(member.down, ChainAck(4, 4))
+    member.chain.receive_from_successor(member.down, ChainAck(4, 4))
     assert member.ports.commits == [4]
 
 
--- a/tests/test_replication_model.py
+++ b/tests/test_replication_model.py
@@ -68,7 +68,7 @@
         before, self.sent = self.sent, []
         done()
         answers, self.sent = tuple(self.sent), before
-        self.register._saving += 1
+        self.register._pending_saves += 1
         self.saves.append((kept, answers))
 
 
@@ -116,18 +116,28 @@
 def freeze_round(attempt) -> tuple | None:
     if attempt is None:
         return None
-    made = attempt.round
-    calls = (made._change, made._quorums)
-    return (made.ballot, made._old_quorums, made.value, made.old, made._promised, made._accepted, made._found, calls)
+    joint = attempt.round
+    calls = (joint._change, joint._quorums)
+    return (
+        joint.ballot,
+        joint._previous_quorums,
+        joint.value,
+        joint.previous_value,
+        joint._promised,
+        joint._accepted,
+        joint._highest_accepted,
+        calls,
+    )
 
 
-def thaw_round(kept: tuple | None):
-    if kept is None:
+def thaw_round(frozen: tuple | None):
+    if frozen is None:
         return None
-    ballot, known, value, old, promised, accepted, found, (change, quorums) = kept
-    made = JointRound(ballot, known, change, quorums, agreement.voter_names)
-    made.value, made.old, made._promised, made._accepted, made._found = value, old, promised, accepted, found
-    return agreement._Attempt(made, 0.0, 0.0)
+    ballot, quorums_before, value, previous_value, promised, accepted, highest_accepted, (change, quorums) = frozen
+    joint = JointRound(ballot, quorums_before, change, quorums, agreement.voter_names)
+    joint.value, joint.previous_value, joint._highest_accepted = value, previous_value, highest_accepted
+    joint._promised, joint._accepted = promised, accepted
+    return agreement._Attempt(joint, 0.0, 0.0)
 
 
 class Running:
@@ -141,7 +151,7 @@
             machine.me, machine.incarnation, self.ports, machine.kept, Fixed(), self.adopted.append
         )
         self.ports.register = self.register
-        self.register._saving, self.register._highest = len(machine.saves), machine.highest
+        self.register._pending_saves, self.register._highest_ballot_number = len(machine.saves), machine.highest
         self.register._attempt = thaw_round(machine.attempt)
 
     def receive(self, sender: str, message: PaxosMessage) -> None:
@@ -170,7 +180,7 @@
             kept=self.register._acceptor.kept,
             saves=machine.saves + tuple(self.ports.saves),
             view=view,
-            highest=self.register._highest,
+            highest=self.register._highest_ballot_number,
             attempt=freeze_round(self.register._attempt),
         )
         machine = replace(machine, **changes)
@@ -227,7 +237,7 @@
 def saved(world: World, at: int) -> World:
     run = Running(world, at)
     (kept, answers), left = run.machine.saves[0], run.machine.saves[1:]
-    run.register._saving -= 1
+    run.register._pending_saves -= 1
     run.ports.sent.extend(answers)
     run.settle()
     return run.after(("saved", at), durable=kept, saves=left + tuple(run.ports.saves))
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 import millethead
-from millethead.replication.messages import Heard, Heartbeat, PaxosKind, PaxosMessage, ViewAnnouncement
+from millethead.replication.messages import Heartbeat, PaxosKind, PaxosMessage, PeerAge, ViewAnnouncement
 from millethead.replication.view import ChainMember, Member, View
 from millethead.rpc import codec
 from millethead.rpc.codec import CodecError, Record, decode, decode_any, encode, encode_any
@@ -25,7 +25,7 @@
 MAX_ALLOCATED_PER_INPUT_BYTE = 60  # bytes of memory that decoding may allocate
 RANGES = {"B": (0, 2**8 - 1), "H": (0, 2**16 - 1), "I": (0, 2**32 - 1), "Q": (0, 2**64 - 1), "q": (-(2**63), 2**63 - 1)}
 MEMBER = Member("10.0.0.1:7660", 7)
-BEAT = Heartbeat(MEMBER, 9, 3, 12, False, True, False, True, (Heard("10.0.0.2:7660", 250),))
+BEAT = Heartbeat(MEMBER, 9, 3, 12, False, True, False, True, (PeerAge("10.0.0.2:7660", 250),))
 
 for _module in pkgutil.walk_packages(millethead.__path__, "millethead."):
     if _module.name.rsplit(".", 1)[-1] in ("messages", "calls", "commands", "state"):
@@ -160,7 +160,7 @@
         Member("x", 2**64),
         Member(None, 1),
         Member("\ud800", 1),
-        Heard("x", 65_536),
+        PeerAge("x", 65_536),
         View(1, (Member("x", 1.5),), ()),
         View(1, None, ()),
         ViewAnnouncement(View(1, (), (ChainMember(None, 1, 1),))),
--- a/tests/test_scrubbing.py
+++ b/tests/test_scrubbing.py
@@ -298,7 +298,7 @@
     maintenance = DiskMaintenance(disk, chain, lambda: now)
     maintenance.tick()
     assert disk.done == []
-    chain.role = Role.OUTSIDE
+    chain.role = Role.NOT_IN_CHAIN
     maintenance.tick()
     maintenance.tick()
     assert disk.done == ["probe"]
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -8,9 +8,9 @@
 
 from millethead.lab.core_machine import Machine
 from millethead.lab.core_world import CoreWorld, WorldSettings
-from millethead.replication.liveness import Liveness
+from millethead.replication.liveness import HeartbeatMonitor
 from millethead.replication.messages import Heartbeat
-from millethead.replication.planning import Myself, head_is_well, keeps_chain
+from millethead.replication.planning import LocalMember, is_head_healthy, keeps_all_members
 from millethead.replication.view import ChainMember, Member, View, next_view
 
 HEAD, SECOND, THIRD = (Member(f"{name}:1", disk) for disk, name in enumerate("abc", 1))
@@ -71,49 +71,49 @@
 
 
 def test_member_that_is_missing_is_waited_for() -> None:
-    assert keeps_chain(VIEW, next_view(VIEW, VIEW.chain))
-    assert not keeps_chain(VIEW, next_view(VIEW, VIEW.chain[1:]))
+    assert keeps_all_members(VIEW, next_view(VIEW, VIEW.chain))
+    assert not keeps_all_members(VIEW, next_view(VIEW, VIEW.chain[1:]))
 
 
 def heartbeat(member: Member, incarnation: int = 10) -> Heartbeat:
     return Heartbeat(member, incarnation, VIEW.epoch, 0, False, False, False, True, ())
 
 
-def liveness() -> Liveness:
+def liveness() -> HeartbeatMonitor:
     """At the second member, which has just heard the others."""
-    known = Liveness(SECOND.address, SUSPECT_S)
+    known = HeartbeatMonitor(SECOND.address, SUSPECT_S)
     for member in (HEAD, THIRD):
-        known.heard(1.0, heartbeat(member))
+        known.record_heartbeat(1.0, heartbeat(member))
     return known
 
 
-ME = Myself(SECOND, 10, VIEW.epoch, 0.0, False, 0, False, 2)
+ME = LocalMember(SECOND, 10, VIEW.epoch, 0.0, False, 0, False, 2)
 
 
 def test_heartbeat_that_was_under_way_does_not_bring_an_ended_process_back() -> None:
     known = liveness()
     known.process_ended(1.1, HEAD.address, 10)
-    assert not known.heard(1.2, heartbeat(HEAD))
+    assert not known.record_heartbeat(1.2, heartbeat(HEAD))
     assert known.contact(HEAD.address) is None
-    assert not head_is_well(1.2, VIEW, ME, known)
+    assert not is_head_healthy(1.2, VIEW, ME, known)
 
 
 def test_process_that_is_heard_long_after_was_not_over() -> None:
     known = liveness()
     known.process_ended(1.1, HEAD.address, 10)
-    assert known.heard(1.1 + SUSPECT_S + 0.1, heartbeat(HEAD))
+    assert known.record_heartbeat(1.1 + SUSPECT_S + 0.1, heartbeat(HEAD))
     assert not known.has_ended(HEAD.address, 10)
 
 
 def test_next_process_at_the_address_is_heard_at_once() -> None:
     known = liveness()
     known.process_ended(1.1, HEAD.address, 10)
-    assert known.heard(1.15, heartbeat(HEAD, incarnation=11))
-    assert known.silent_for(1.15, HEAD.address) == 0.0
+    assert known.record_heartbeat(1.15, heartbeat(HEAD, incarnation=11))
+    assert known.silent_s(1.15, HEAD.address) == 0.0
 
 
 def test_only_the_process_that_had_the_place_is_over() -> None:
     known = liveness()
-    known.heard(1.05, heartbeat(HEAD, incarnation=11))
+    known.record_heartbeat(1.05, heartbeat(HEAD, incarnation=11))
     known.process_ended(1.1, HEAD.address, 10)
-    assert known.silent_for(1.1, HEAD.address) < math.inf
+    assert known.silent_s(1.1, HEAD.address) < math.inf
