--- a/tests/test_scrubbing.py
+++ b/tests/test_scrubbing.py
@@ -201,8 +201,8 @@
 
 
 class Chain:
-    def __init__(self, count: int = 0, role: Role = Role.HEAD, place: int = 0) -> None:
-        self.log, self.role, self.place, self.copying = Log(count), role, place, False
+    def __init__(self, count: int = 0, role: Role = Role.HEAD, index: int = 0) -> None:
+        self.log, self.role, self.index, self.copying = Log(count), role, index, False
 
 
 class Disk:
@@ -282,8 +282,8 @@
 
 def test_a_member_never_rewrites_at_the_same_entry_as_its_successor():
     rewritten_at = []
-    for place in range(5):
-        disk, chain = Disk(), Chain(place=place)
+    for index in range(5):
+        disk, chain = Disk(), Chain(index=index)
         maintenance = DiskMaintenance(disk, chain, lambda: 0.0)
         while not disk.done:
             chain.log.entries += [None] * 100
