--- a/tests/test_absence.py
+++ b/tests/test_absence.py
@@ -1,4 +1,5 @@
-"""A member that was away during hundreds of changes catches up, while the rest serve, and leads with all of it."""
+"""A member that was disconnected during hundreds of changes catches up while the others serve, and can then lead with
+the complete state."""
 
 from __future__ import annotations
 
@@ -12,14 +13,14 @@
 
 
 @pytest.mark.parametrize(("seed", "changes", "jobs"), [(1, 40, 100), (2, 300, 3000)], ids=["differences", "snapshot"])
-def test_a_member_that_was_away_holds_all_again_in_time(seed: int, changes: int, jobs: int) -> None:
-    found = play_absence(seed, changes, jobs)
-    assert found.changes == changes + 100 and found.jobs == jobs
-    assert found.back_s < CATCHUP_S and found.longest_wait_s < 1.0 and found.refused_again == 0
+def test_disconnected_member_catches_up_in_time(seed: int, changes: int, jobs: int) -> None:
+    result = play_absence(seed, changes, jobs)
+    assert result.changes == changes + 100 and result.jobs == jobs
+    assert result.back_s < CATCHUP_S and result.longest_wait_s < 1.0 and result.refused_again == 0
 
 
-def test_a_copy_that_keeps_the_old_state_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The mutant takes the snapshot's place in the log, and not its state."""
+def test_transfer_that_keeps_the_old_state_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The mutant installs the snapshot in the log but does not restore its state."""
     real = ReplicatedLog.install
 
     def install(log: ReplicatedLog, snapshot) -> None:
--- a/tests/test_core_days.py
+++ b/tests/test_core_days.py
@@ -1,4 +1,5 @@
-"""Days of our own with troubles of the core: each is one that the bench can read, and every kind stands alone once."""
+"""Generated benchmark days with faults of the core: the benchmark can read each of them, and each kind of fault occurs
+once on its own."""
 
 from __future__ import annotations
 
@@ -10,7 +11,7 @@
 PATH = Path(__file__).parent.parent / "benchmarks" / "replication" / "core_days.py"
 
 
-def core_days() -> ModuleType:
+def load_core_days() -> ModuleType:
     spec = importlib.util.spec_from_file_location("core_days", PATH)
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
@@ -18,8 +19,8 @@
     return module
 
 
-def test_days_hold_every_kind_alone_and_then_pairs(tmp_path: Path) -> None:
-    module = core_days()
+def test_days_contain_each_kind_alone_and_then_pairs(tmp_path: Path) -> None:
+    module = load_core_days()
     count = len(module.FAULTS) + 10
     module.make(tmp_path, count, 1)
     days = [tomllib.loads(file.read_text())["day"][0] for file in sorted(tmp_path.iterdir())]
@@ -30,8 +31,8 @@
     assert {day["closing"]["kind"] for day in days} == {"power_off_all", "wipe_after_ack", "kill_all"}
 
 
-def test_worst_days_hold_every_combination_and_then_again_with_other_times(tmp_path: Path) -> None:
-    module = core_days()
+def test_worst_days_contain_each_combination_and_repeat_them_at_other_times(tmp_path: Path) -> None:
+    module = load_core_days()
     count = len(module.WORST) + 5
     module.make(tmp_path, count, 1, worst=True)
     days = [tomllib.loads(file.read_text())["day"][0] for file in sorted(tmp_path.iterdir())]
@@ -46,8 +47,8 @@
     assert again != [at for at, _ in module.WORST[0]]
 
 
-def test_rows_tell_what_was_judged() -> None:
-    module = core_days()
+def test_result_rows_are_parsed() -> None:
+    module = load_core_days()
     line = "core-0                  18/0   0.53  0.900  0.990   0.000  0.000  worst windows 0.88; BROKEN: LOST 3"
     found = module.LINE.search(line)
     assert found is not None and found.groupdict() == {"score": "0.53", "worth": "0.900", "served": "0.990"}
--- a/tests/test_joint.py
+++ b/tests/test_joint.py
@@ -1,4 +1,5 @@
-"""Views that change several voters at once: agreed with a majority of those before and of those after."""
+"""Views that change several voters at once are agreed by a majority of the old voters and a majority of the new
+ones."""
 
 from __future__ import annotations
 
@@ -15,170 +16,173 @@
 
 A, B, C, D, E, F, G = (Member(f"{name}:1", disk) for disk, name in enumerate("abcdefg", 1))
 FIRST = View(4, (A, B, C, D, E), (ChainMember(A, 10, 1), ChainMember(B, 10, 1), ChainMember(C, 10, 1)))
-SECOND = next_view(FIRST, FIRST.chain, (A, F, G))  # hardly anybody stays
+SECOND = next_view(FIRST, FIRST.chain, (A, F, G))  # keeps only one voter
 BALLOT = (9, "a")
 ACCEPTED_FIRST, ACCEPTED_SECOND = (1, "a"), (2, "a")
 NOW = 100.0
 
 
-def round_of(wanted: View, known: View, expected: int, agreed: int | None = None) -> JointRound:
-    """`agreed`: the newest epoch of which the proposer knows that its view was agreed, by default `expected`."""
+def make_round(wanted: View, known: View, expected: int, agreed: int | None = None) -> JointRound:
+    """`agreed`: the newest epoch whose view the proposer knows to be agreed, `expected` by default."""
     return round_for(BALLOT, expected, wanted, KnownView(known, expected if agreed is None else agreed))
 
 
-def promise(made: JointRound, *members: Member, view: View = FIRST, accepted: tuple[int, str] = ACCEPTED_FIRST) -> None:
+def promise(
+    joint_round: JointRound, *members: Member, view: View = FIRST, accepted: tuple[int, str] = ACCEPTED_FIRST
+) -> None:
     for member in members:
-        made.handle_response(member.name, Word("promise", BALLOT, accepted, encode(view)))
+        joint_round.handle_response(member.name, Word("promise", BALLOT, accepted, encode(view)))
 
 
-def accept(made: JointRound, *members: Member) -> None:
+def accept(joint_round: JointRound, *members: Member) -> None:
     for member in members:
-        made.handle_response(member.name, Word("accepted", BALLOT))
-
-
-def test_a_view_with_other_voters_needs_a_majority_of_both() -> None:
-    made = round_of(SECOND, FIRST, FIRST.epoch)
-    promise(made, A, B, C)
-    assert made.value == encode(SECOND)
-    assert made.recipients == {member.name for member in (A, B, C, D, E, F, G)}
-    accept(made, F, G)
-    assert not made.agreed  # none of those who voted before has it
-    accept(made, A, B)
-    assert not made.agreed
-    accept(made, C)
-    assert made.agreed
-
-
-def test_a_majority_of_those_before_alone_is_not_enough() -> None:
-    made = round_of(next_view(FIRST, FIRST.chain, (E, F, G)), FIRST, FIRST.epoch)
-    promise(made, A, B, C)
-    accept(made, A, B, C, D)
-    assert not made.agreed
-    accept(made, F, G)
-    assert made.agreed
-
-
-def test_a_view_that_may_not_be_agreed_is_followed_with_those_before_it_too() -> None:
-    """G alone has accepted it: another proposer, who asks the voters before, may not hear of it."""
-    made = round_of(next_view(SECOND, SECOND.chain), FIRST, FIRST.epoch)
-    promise(made, G, view=SECOND, accepted=ACCEPTED_SECOND)
-    promise(made, F, A, view=SECOND, accepted=ACCEPTED_SECOND)
-    assert made.value is None  # a majority of its own voters, and one of the five before
-    promise(made, B, C)
-    assert made.value is not None
-
-
-def test_a_view_that_is_known_to_be_agreed_needs_those_before_it_no_more() -> None:
-    """Else the loss of two that were replaced long ago would stop the core."""
-    made = round_of(next_view(SECOND, SECOND.chain), SECOND, SECOND.epoch)
-    promise(made, F, G, view=SECOND, accepted=ACCEPTED_SECOND)
-    assert made.value is not None
-    accept(made, F, G)
-    assert made.agreed
-
-
-def test_a_member_that_restarts_does_not_know_that_the_view_on_its_disk_is_agreed() -> None:
-    made = round_of(SECOND, SECOND, -1)
-    promise(made, F, G, view=SECOND, accepted=ACCEPTED_SECOND)
-    assert made.value is None
-    promise(made, A, B, C)
-    assert made.value == encode(FIRST) or made.value == encode(SECOND)
-    assert made.previous_value == encode(SECOND)
-
-
-def test_a_member_whose_log_has_an_entry_of_the_view_knows_that_it_is_agreed() -> None:
-    """Of those before it some may be gone for good: a restart of all must not wait for them."""
-    made = round_of(SECOND, SECOND, -1, agreed=SECOND.epoch)
-    promise(made, F, G, view=SECOND, accepted=ACCEPTED_SECOND)
-    assert made.value == encode(SECOND)
-    accept(made, F, G)
-    assert made.agreed
-
-
-def test_an_older_view_is_not_followed_without_those_who_know_the_newer_one() -> None:
-    """The first to answer has an old value, whose voters are there: most of them know nothing of the newer one."""
+        joint_round.handle_response(member.name, Word("accepted", BALLOT))
+
+
+def test_view_with_other_voters_needs_both_majorities() -> None:
+    joint_round = make_round(SECOND, FIRST, FIRST.epoch)
+    promise(joint_round, A, B, C)
+    assert joint_round.value == encode(SECOND)
+    assert joint_round.recipients == {member.name for member in (A, B, C, D, E, F, G)}
+    accept(joint_round, F, G)
+    assert not joint_round.agreed  # no old voter has accepted it
+    accept(joint_round, A, B)
+    assert not joint_round.agreed
+    accept(joint_round, C)
+    assert joint_round.agreed
+
+
+def test_majority_of_the_old_voters_alone_is_not_enough() -> None:
+    joint_round = make_round(next_view(FIRST, FIRST.chain, (E, F, G)), FIRST, FIRST.epoch)
+    promise(joint_round, A, B, C)
+    accept(joint_round, A, B, C, D)
+    assert not joint_round.agreed
+    accept(joint_round, F, G)
+    assert joint_round.agreed
+
+
+def test_following_a_possibly_unagreed_view_needs_its_old_voters_too() -> None:
+    """Only G has accepted the view, so another proposer that contacts the old voters may not learn of it."""
+    joint_round = make_round(next_view(SECOND, SECOND.chain), FIRST, FIRST.epoch)
+    promise(joint_round, G, view=SECOND, accepted=ACCEPTED_SECOND)
+    promise(joint_round, F, A, view=SECOND, accepted=ACCEPTED_SECOND)
+    assert joint_round.value is None  # a majority of its own voters, but only one of the five old voters
+    promise(joint_round, B, C)
+    assert joint_round.value is not None
+
+
+def test_following_an_agreed_view_does_not_need_its_old_voters() -> None:
+    """Otherwise the loss of two voters that were replaced long ago would block the core."""
+    joint_round = make_round(next_view(SECOND, SECOND.chain), SECOND, SECOND.epoch)
+    promise(joint_round, F, G, view=SECOND, accepted=ACCEPTED_SECOND)
+    assert joint_round.value is not None
+    accept(joint_round, F, G)
+    assert joint_round.agreed
+
+
+def test_restarted_member_does_not_assume_that_its_stored_view_is_agreed() -> None:
+    joint_round = make_round(SECOND, SECOND, -1)
+    promise(joint_round, F, G, view=SECOND, accepted=ACCEPTED_SECOND)
+    assert joint_round.value is None
+    promise(joint_round, A, B, C)
+    assert joint_round.value == encode(FIRST) or joint_round.value == encode(SECOND)
+    assert joint_round.previous_value == encode(SECOND)
+
+
+def test_log_entry_of_a_view_proves_that_it_is_agreed() -> None:
+    """Some of the old voters may be lost for good, and a restart of all members must not wait for them."""
+    joint_round = make_round(SECOND, SECOND, -1, agreed=SECOND.epoch)
+    promise(joint_round, F, G, view=SECOND, accepted=ACCEPTED_SECOND)
+    assert joint_round.value == encode(SECOND)
+    accept(joint_round, F, G)
+    assert joint_round.agreed
+
+
+def test_older_view_is_not_followed_without_the_voters_of_the_known_one() -> None:
+    """The first voters to respond have an old value. Most of its voters do not know the newer view."""
     old = View(2, (A, D, E), FIRST.chain[:1])
-    made = round_of(next_view(SECOND, SECOND.chain), SECOND, SECOND.epoch)
-    promise(made, A, D, view=old)
-    assert made.value is None
-    promise(made, F, G, view=SECOND, accepted=ACCEPTED_SECOND)
-    assert made.previous_value == encode(SECOND) and made.value is not None
+    joint_round = make_round(next_view(SECOND, SECOND.chain), SECOND, SECOND.epoch)
+    promise(joint_round, A, D, view=old)
+    assert joint_round.value is None
+    promise(joint_round, F, G, view=SECOND, accepted=ACCEPTED_SECOND)
+    assert joint_round.previous_value == encode(SECOND) and joint_round.value is not None
 
 
-def test_a_view_that_an_earlier_version_wrote_is_read() -> None:
+def test_view_in_the_earlier_format_is_decoded() -> None:
     written = encode(ViewWithoutOutgoing(FIRST.epoch, FIRST.voters, FIRST.chain))
     assert decode_view(written) == FIRST
     with pytest.raises(Refused):
         decode_view(b"\0" * 7)
 
 
-def test_majorities_are_of_each_group() -> None:
+def test_majority_of_each_group_is_needed() -> None:
     groups = (frozenset("abc"), frozenset("cde"))
     assert has_majorities(frozenset("abcd"), groups)
     assert not has_majorities(frozenset("abd"), groups)
     assert not has_majorities(frozenset("ade"), groups)
 
 
-# ---- what is proposed ----------------------------------------------------------------------------------------------
+# ---- planning of views ----------------------------------------------------------------------------------------------
 
 
-def beat(member: Member, *hears: Member) -> Heartbeat:
-    heard = tuple(PeerAge(other.address, 0) for other in hears)
-    return Heartbeat(member, 10, 4, 9, False, False, False, False, heard)
+def make_heartbeat(member: Member, *hears: Member) -> Heartbeat:
+    peer_ages = tuple(PeerAge(other.address, 0) for other in hears)
+    return Heartbeat(member, 10, 4, 9, False, False, False, False, peer_ages)
 
 
-def liveness_of(*members: Member, since: float = NOW - 5.0) -> HeartbeatMonitor:
-    """All of these hear one another and the head."""
-    known = HeartbeatMonitor(A.address, 0.45)
+def monitor_of(*members: Member, since: float = NOW - 5.0) -> HeartbeatMonitor:
+    """All of these members are connected to each other and to the head."""
+    monitor = HeartbeatMonitor(A.address, 0.45)
     at = since
     while at <= NOW:
         for member in members:
-            known.record_heartbeat(at, beat(member, A, *members))
+            monitor.record_heartbeat(at, make_heartbeat(member, A, *members))
         at += 0.1
-    return known
+    return monitor
 
 
-def head(serving: bool = True) -> LocalMember:
+def head_state(serving: bool = True) -> LocalMember:
     return LocalMember(A, 10, 4, 0.0, False, 9, serving, 3)
 
 
-def test_two_that_are_gone_are_replaced_in_one_step() -> None:
-    proposal = plan_as_head(NOW, FIRST, head(), liveness_of(B, C, F, G))
+def test_two_lost_members_are_replaced_in_one_step() -> None:
+    proposal = plan_as_head(NOW, FIRST, head_state(), monitor_of(B, C, F, G))
     assert proposal is not None
     assert set(proposal.view.voters) == {A, B, C, F, G}
     assert proposal.view.outgoing == FIRST.voters
-    assert {place.member for place in proposal.view.chain} == {A, B, C, F, G}  # they join in the same step
+    # the new voters join the chain in the same step
+    assert {chain_member.member for chain_member in proposal.view.chain} == {A, B, C, F, G}
 
 
-def test_a_wiped_disk_is_replaced_by_the_one_at_its_address() -> None:
-    again = Member(C.address, 77)
-    known = liveness_of(B, D, E, again)
-    assert set(plan_voters(NOW, FIRST, head(), known)) == {A, B, again, D, E}
+def test_voter_with_a_wiped_disk_is_replaced_by_the_one_at_its_address() -> None:
+    replacement = Member(C.address, 77)
+    monitor = monitor_of(B, D, E, replacement)
+    assert set(plan_voters(NOW, FIRST, head_state(), monitor)) == {A, B, replacement, D, E}
 
 
-def test_a_wiped_disk_is_not_dropped_before_the_new_one_may_join() -> None:
-    again = Member(C.address, 77)
-    known = liveness_of(B, D, E)
-    known.record_heartbeat(NOW, beat(again, A, B, D, E))
-    assert plan_voters(NOW, FIRST, head(), known) == FIRST.voters
+def test_voter_with_a_wiped_disk_stays_until_the_new_one_may_join() -> None:
+    replacement = Member(C.address, 77)
+    monitor = monitor_of(B, D, E)
+    monitor.record_heartbeat(NOW, make_heartbeat(replacement, A, B, D, E))
+    assert plan_voters(NOW, FIRST, head_state(), monitor) == FIRST.voters
 
 
-def test_all_that_are_new_come_in_one_step() -> None:
+def test_all_new_members_become_voters_in_one_step() -> None:
     small = View(4, (A, B, C), FIRST.chain)
-    assert set(plan_voters(NOW, small, head(), liveness_of(B, C, D, E, F))) == {A, B, C, D, E, F}
+    assert set(plan_voters(NOW, small, head_state(), monitor_of(B, C, D, E, F))) == {A, B, C, D, E, F}
 
 
-def test_the_voter_of_a_process_that_has_just_ended_stays() -> None:
-    known = liveness_of(B, C, D, E, F)
+def test_voter_whose_process_has_just_ended_stays() -> None:
+    monitor = monitor_of(B, C, D, E, F)
     view = View(4, (A, B, C, D, E, F), FIRST.chain)
-    known.process_ended(NOW, F.address, 10)
-    assert plan_voters(NOW + 0.1, view, head(), known) == view.voters
+    monitor.process_ended(NOW, F.address, 10)
+    assert plan_voters(NOW + 0.1, view, head_state(), monitor) == view.voters
     later = NOW + VOTER_REMOVAL_TIMEOUT_S + 0.2
     for member in (B, C, D, E):
-        known.record_heartbeat(later, beat(member, A, B, C, D, E))
-    assert set(plan_voters(later, view, head(), known)) == {A, B, C, D, E}
+        monitor.record_heartbeat(later, make_heartbeat(member, A, B, C, D, E))
+    assert set(plan_voters(later, view, head_state(), monitor)) == {A, B, C, D, E}
 
 
-def test_no_voters_are_wanted_of_which_no_majority_is_there() -> None:
+def test_voters_are_unchanged_if_no_majority_is_connected() -> None:
     view = View(4, (A, B, C, D, E, F), FIRST.chain)
-    assert plan_voters(NOW, view, head(), liveness_of(B)) == view.voters
+    assert plan_voters(NOW, view, head_state(), monitor_of(B)) == view.voters
--- a/tests/test_large_state.py
+++ b/tests/test_large_state.py
@@ -1,4 +1,5 @@
-"""A state larger than any record: kept, copied and worked out in parts, and bounded by what the machine has."""
+"""A state larger than a record is stored, transferred and rebuilt in parts, and limited by the memory and disk of the
+machine."""
 
 from __future__ import annotations
 
@@ -8,7 +9,7 @@
 from random import Random
 
 from test_head import NAME, OTHER, HeadHarness, ended, job, task
-from test_replication import HEAD, MIDDLE, TAIL, VIEW, Link, Machine, Ports, Standing
+from test_replication import HEAD, MIDDLE, TAIL, VIEW, FakeLink, FakePorts, ReconciledChain, RecordingMachine
 
 from millethead.control.admission import MB, MIN_JOB_BYTES, max_job_bytes
 from millethead.control.retention import PURGE_INTERVAL_S, TRIM_INTERVAL_S
@@ -40,7 +41,7 @@
 from millethead.storage.records import MAX_RECORD
 
 TERMS = QueueTerms("slow", "alpha", 1, 2, 500, 2000)
-PART = 10  # bytes, in the place of the copy's own
+PART_BYTES = 10  # bytes of a snapshot part in these tests
 
 
 def submitted(number: int, spec_bytes: int = 4000) -> SubmitJob:
@@ -58,8 +59,9 @@
 # ---- on disk ---------------------------------------------------------------------------------------------
 
 
-def test_ten_thousand_jobs_with_the_longest_spec_are_kept(tmp_path):
-    """41 MB, of which a record holds 33: the rewrite failed on every member of the core at the same entry."""
+def test_ten_thousand_jobs_with_the_longest_spec_are_stored(tmp_path):
+    """The snapshot has 41 MB, but a record holds 33 MB at most: the rewrite of the log failed on all members at the
+    same entry."""
     log = ReplicatedLog(ControlState(), Recovered(None, ()))
     for sequence in range(1, 10_001):
         log.append(Entry(1, sequence, encode_any(submitted(sequence))))
@@ -74,10 +76,10 @@
     assert again.machine.snapshot() == snapshot.payload and again.last == (1, 10_000)
 
 
-# ---- without holding the loop up -------------------------------------------------------------------------
+# ---- without blocking the event loop ---------------------------------------------------------------------
 
 
-def test_a_table_is_encoded_in_slices_and_what_changes_meanwhile_again(monkeypatch):
+def test_table_is_encoded_in_slices_and_changed_jobs_are_encoded_again(monkeypatch):
     encoded = 0
     real = snapshots._job_snapshot
 
@@ -113,10 +115,10 @@
     assert encoded - before <= MAX_REMAINING_JOBS + changes
     assert whole == encode_table(table)
     table.submit(submitted(5000))
-    assert encoder.encode() == encode_table(table), "what was prepared is given up"
+    assert encoder.encode() == encode_table(table), "the prepared encoding is discarded"
 
 
-def test_every_command_that_changes_a_job_has_it_encoded_again():
+def test_each_command_that_changes_a_job_invalidates_its_encoding():
     bench = HeadHarness()
     agent = bench.agent()
     encoder = TableEncoder(bench.state.jobs)
@@ -141,7 +143,7 @@
     assert same()
 
 
-def test_a_table_is_restored_in_steps():
+def test_table_is_restored_in_steps():
     table = table_of(4 * JOBS_PER_SLICE)
     copy = JobTable()
     steps = restore_table(copy, encode_table(table))
@@ -152,8 +154,8 @@
     assert encode_table(copy) == encode_table(table) and copy.held_bytes == table.held_bytes
 
 
-class SlowMachine(Machine):
-    """Takes three steps to restore."""
+class SlowMachine(RecordingMachine):
+    """A state machine that needs three steps to restore."""
 
     def restore_steps(self, payload: bytes) -> Iterator[None]:
         yield from super().restore_steps(payload)
@@ -161,7 +163,7 @@
         yield
 
 
-def test_entries_that_come_while_the_state_is_worked_out_are_applied_in_their_turn():
+def test_entries_appended_during_a_rebuild_are_applied_in_order():
     log = ReplicatedLog(SlowMachine(), Recovered(None, ()))
     log.install(Snapshot(2, 7, b"state"))
     assert log.rebuilding and not log.rebuild()
@@ -173,16 +175,16 @@
     assert log.machine.payloads == [b"state", b"a", b"b", b"c"]
 
 
-def test_a_rebuild_goes_on_in_later_turns_and_a_head_waits_for_it():
-    member = Standing(TAIL)
+def test_rebuild_continues_in_later_iterations_and_a_new_head_completes_it():
+    member = ReconciledChain(TAIL)
     member.chain.log.machine = SlowMachine()
-    member.hello()
+    member.connect_predecessor()
     member.chain.receive_from_predecessor(member.up, ChainTruncate(4, 1))
     assert member.chain.log.rebuilding and len(member.ports.due) == 1
     while member.ports.due:
         member.ports.due.pop(0)()
     assert not member.chain.log.rebuilding and member.chain.log.machine.payloads == [b"1"]
-    member.hello()
+    member.connect_predecessor()
     member.chain.receive_from_predecessor(member.up, ChainTruncate(4, 0))
     assert member.chain.log.rebuilding
     member.chain.role = Role.HEAD
@@ -190,26 +192,26 @@
     assert not member.chain.log.rebuilding and member.chain.log.machine.payloads == [b"x"]
 
 
-# ---- from member to member -------------------------------------------------------------------------------
+# ---- snapshot transfer -----------------------------------------------------------------------------------
 
 
-class Pair:
-    """A head with a long snapshot, and a successor that has nothing; what the links carry is moved by hand."""
+class TransferPair:
+    """A head with a long snapshot and a successor with an empty log. The test delivers the records of the links."""
 
     def __init__(self, payload: bytes) -> None:
-        self.head = Standing(HEAD, 0)
-        self.head.chain._part_bytes = PART
+        self.head = ReconciledChain(HEAD, 0)
+        self.head.chain._part_bytes = PART_BYTES
         self.head.chain.log.install(Snapshot(3, 50, payload))
         self.head.chain.log.finish_rebuild()
-        self.ports = Ports()
-        self.tail = Chain(MIDDLE, 10, ReplicatedLog(Machine(), Recovered(None, ())), self.ports)
+        self.ports = FakePorts()
+        self.tail = Chain(MIDDLE, 10, ReplicatedLog(RecordingMachine(), Recovered(None, ())), self.ports)
         self.tail.enter_view(VIEW)
         self.tail._successor = None
         self.open()
 
     def open(self) -> None:
-        """A new link."""
-        self.down, self.up = Link(), Link()
+        """Opens a new link."""
+        self.down, self.up = FakeLink(), FakeLink()
         self.head.chain.link_lost(self.head.chain._successor_link.link) if self.head.chain._successor_link else None
         self.head.chain.link_opened(self.down, MIDDLE.address)
         assert self.tail.receive_hello(self.up, ChainHello(VIEW, HEAD))
@@ -220,7 +222,7 @@
             self.head.chain.receive_from_successor(self.down, record)
 
     def to_tail(self, count: int = 1000) -> int:
-        """Returns how many parts went."""
+        """Delivers records to the tail. Returns the number of snapshot parts among them."""
         sent = [record for record in self.down.sent if not isinstance(record, ChainHello)][:count]
         self.down.sent = [record for record in self.down.sent if record not in sent]
         for record in sent:
@@ -240,8 +242,8 @@
 PAYLOAD = bytes(range(65, 90)) * 20  # 500 bytes: 50 parts
 
 
-def test_a_snapshot_goes_in_parts_with_a_window_and_entries_follow():
-    pair = Pair(PAYLOAD)
+def test_snapshot_is_sent_in_parts_within_a_window_before_the_entries():
+    pair = TransferPair(PAYLOAD)
     pair.to_head()
     assert sum(isinstance(record, ChainSnapshotPart) for record in pair.down.sent) == WINDOW_PARTS
     assert pair.head.chain.copying
@@ -255,8 +257,8 @@
     assert pair.tail.log.last == (4, 52)
 
 
-def test_a_copy_goes_on_where_it_was_after_a_lost_link():
-    pair = Pair(PAYLOAD)
+def test_transfer_resumes_after_a_lost_link():
+    pair = TransferPair(PAYLOAD)
     for _ in range(3):
         pair.to_head()
         pair.to_tail(5)
@@ -267,8 +269,8 @@
     assert pair.ports.installed == [Snapshot(3, 50, PAYLOAD)]
 
 
-def test_a_copy_of_another_snapshot_begins_anew():
-    pair = Pair(PAYLOAD)
+def test_transfer_of_another_snapshot_starts_from_the_beginning():
+    pair = TransferPair(PAYLOAD)
     pair.to_head()
     pair.to_tail(5)
     pair.head.chain.log.install(Snapshot(3, 60, PAYLOAD[::-1]))
@@ -278,19 +280,21 @@
     assert pair.ports.installed == [Snapshot(3, 60, PAYLOAD[::-1])]
 
 
-def test_a_copy_that_is_not_what_was_announced_is_not_taken():
-    member = Standing(TAIL)
-    member.hello()
+def test_snapshot_with_a_wrong_checksum_is_rejected():
+    member = ReconciledChain(TAIL)
+    member.connect_predecessor()
     name = SnapshotName(3, 50, 4, zlib.crc32(b"good"), 4)
     member.chain.receive_from_predecessor(member.up, ChainSnapshotPart(4, name, 0, b"evil"))
     assert member.up.closed and member.ports.installed == [] and member.chain.log.last == (3, 3)
-    member.hello()
-    assert member.up.sent == [ChainPosition(4, EpochSpan(0, 0), (EpochSpan(3, 3),))], "no part of it is claimed"
+    member.connect_predecessor()
+    assert member.up.sent == [ChainPosition(4, EpochSpan(0, 0), (EpochSpan(3, 3),))], (
+        "the damaged parts are not reported as received"
+    )
 
 
-def test_parts_that_come_too_early_or_twice_change_nothing():
-    member = Standing(TAIL)
-    member.hello()
+def test_duplicate_and_out_of_order_parts_are_ignored():
+    member = ReconciledChain(TAIL)
+    member.connect_predecessor()
     name = SnapshotName(3, 50, 12, zlib.crc32(b"0123456789ab"), 4)
     parts = [ChainSnapshotPart(4, name, number, b"0123456789ab"[4 * number :][:4]) for number in range(3)]
     member.up.sent.clear()
@@ -301,8 +305,8 @@
     assert member.ports.installed == [Snapshot(3, 50, b"0123456789ab")]
 
 
-def test_an_acknowledgement_of_another_snapshot_moves_nothing():
-    pair = Pair(PAYLOAD)
+def test_acknowledgement_of_another_snapshot_is_ignored():
+    pair = TransferPair(PAYLOAD)
     pair.to_head()
     sent = len(pair.down.sent)
     pair.head.chain.receive_from_successor(
@@ -311,13 +315,13 @@
     assert len(pair.down.sent) == sent
 
 
-def test_a_member_that_lacks_little_needs_no_snapshot():
-    """A rewrite drops every entry from the log; some are kept behind the snapshot for those that were away."""
-    member = Standing(HEAD, entries=30)
+def test_member_that_lacks_few_entries_needs_no_snapshot():
+    """A rewrite removes all entries from the log. Some are retained for members that were disconnected briefly."""
+    member = ReconciledChain(HEAD, entries=30)
     member.chain.log.compact()
     member.chain.propose(b"new")
     member.chain.link_lost(member.down)
-    link = Link()
+    link = FakeLink()
     member.chain.link_opened(link, MIDDLE.address)
     member.chain.receive_from_successor(link, ChainPosition(4, EpochSpan(0, 0), (EpochSpan(3, 29),)))
     assert ChainTruncate(4, 29) in link.sent
@@ -325,44 +329,44 @@
     assert [entry.sequence for entry in append.entries] == [30, 31]
 
 
-def test_what_is_kept_behind_a_snapshot_is_bounded(monkeypatch):
+def test_retained_entries_are_bounded(monkeypatch):
     monkeypatch.setattr(log_module, "MAX_RETAINED_ENTRIES", 10)
-    log = ReplicatedLog(Machine(), Recovered(None, ()))
+    log = ReplicatedLog(RecordingMachine(), Recovered(None, ()))
     for sequence in range(1, 41):
         log.append(Entry(1 + sequence // 20, sequence, b"x"))
         if sequence % 7 == 0:
             log.compact()
     assert [entry.sequence for entry in log.entries_after(25)] == list(range(26, 41))
     assert log.common_point(EpochSpan(1, 5), (EpochSpan(2, 30),)) == 30
-    assert log.common_point(EpochSpan(1, 5), (EpochSpan(2, 24),)) is None, "the entry after it is kept no more"
+    assert log.common_point(EpochSpan(1, 5), (EpochSpan(2, 24),)) is None, "the entry after it is not retained"
     monkeypatch.setattr(log_module, "MAX_RETAINED_BYTES", 3)
     log.compact()
     assert [entry.sequence for entry in log.entries_after(37)] == [38, 39, 40]
 
 
-def test_entries_are_copied_in_batches_of_bytes():
-    member = Standing(HEAD, entries=0)
+def test_entries_are_copied_in_batches_limited_by_bytes():
+    member = ReconciledChain(HEAD, entries=0)
     for _ in range(5):
         member.chain.propose(bytes(COPY_BYTES // 2))
     member.chain.link_lost(member.down)
-    link = Link()
+    link = FakeLink()
     member.chain.link_opened(link, MIDDLE.address)
     member.chain.receive_from_successor(link, ChainPosition(4, EpochSpan(0, 0), ()))
     batches = [record for record in link.sent if isinstance(record, ChainAppend)]
     assert [len(batch.entries) for batch in batches] == [2, 2, 1]
 
 
-# ---- how much is taken -----------------------------------------------------------------------------------
+# ---- admission -------------------------------------------------------------------------------------------
 
 
-def test_admission_is_worked_out_from_memory_and_disk():
+def test_admission_limit_follows_from_memory_and_disk():
     assert max_job_bytes(300, 128) == int(0.25 * 300 * MB)
-    assert max_job_bytes(2000, 128) == int(0.8 * 96 * MB), "the disk is the narrower one"
+    assert max_job_bytes(2000, 128) == int(0.8 * 96 * MB), "the disk is the lower limit"
     assert max_job_bytes(300, 0) == int(0.25 * 300 * MB)
     assert max_job_bytes(1, 1) == MIN_JOB_BYTES
 
 
-def test_more_than_the_machine_holds_is_refused_with_a_time_to_come_back():
+def test_jobs_over_the_limit_are_refused_with_a_retry_time():
     bench = HeadHarness()
     bench.head._call_handler._max_job_bytes = bench.state.jobs.held_bytes + 20_000
     body = job(spec="x" * 4000)
@@ -371,13 +375,13 @@
     bench.settle()
     answer = bench.answers()[number]
     assert answer.status == 429 and answer.retry_after_s > 0
-    assert bench.ask("POST", body=body)[0] == 200, "the same job again is the job that was taken"
+    assert bench.ask("POST", body=body)[0] == 200, "a repeated submission returns the accepted job"
     assert bench.ask("DELETE")[0] == 200
     bench.pass_time(TRIM_INTERVAL_S + 1)
-    assert bench.ask("POST", OTHER, body)[0] == 200, "one that has ended holds no room"
+    assert bench.ask("POST", OTHER, body)[0] == 200, "an ended job does not use the limit"
 
 
-def test_of_a_job_that_has_ended_only_its_end_is_kept():
+def test_only_the_outcome_of_an_ended_job_is_kept():
     bench = HeadHarness()
     agent = bench.agent()
     assert bench.ask("POST", body=job(spec="secret" * 100))[0] == 200
@@ -395,10 +399,10 @@
     assert TRIM_INTERVAL_S < PURGE_INTERVAL_S
 
 
-def test_a_cancelled_job_keeps_what_its_open_runs_need():
+def test_cancelled_job_keeps_what_its_open_runs_need():
     bench = HeadHarness()
     bench.agent()
     assert bench.ask("POST", body=job())[0] == 200
     assert bench.ask("DELETE")[0] == 200
     bench.pass_time(TRIM_INTERVAL_S + 1)
-    assert not bench.state.jobs.jobs[NAME].trimmed, "its run has not ended"
+    assert not bench.state.jobs.jobs[NAME].trimmed, "its run is still open"
--- a/tests/test_leading_on.py
+++ b/tests/test_leading_on.py
@@ -1,4 +1,5 @@
-"""A head that is the head of the next view too goes on with all it knows; after any other view it begins anew."""
+"""A head that is also the head of the next view keeps its sessions and commit point. After any other view it is deposed
+and starts again."""
 
 from __future__ import annotations
 
@@ -6,8 +7,8 @@
 
 import pytest
 from test_head import FakeLink, HeadHarness, job, worker
-from test_leaving import Surroundings, replica_of
-from test_replication import Gate
+from test_leaving import FakePorts, replica_of
+from test_replication import GateHarness
 
 from millethead.control.calls import (
     CallerHello,
@@ -33,29 +34,29 @@
     return View(epoch, (A, B, C), tuple(ChainMember(member, 10, 1) for member in chain))
 
 
-class Noted(Surroundings):
-    """Notes what a replica tells of leading."""
+class RecordingPorts(FakePorts):
+    """Records the leadership callbacks of a replica."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.calls: list[str] = []
 
     def serving(self, epoch: int) -> None:
-        self.told.append(f"serving {epoch}")
+        self.calls.append(f"serving {epoch}")
 
     def continue_in_view(self, view: View) -> None:
-        self.told.append(f"leads on {view.epoch}")
+        self.calls.append(f"continue in view {view.epoch}")
 
     def deposed(self) -> None:
-        self.told.append("deposed")
+        self.calls.append("deposed")
 
 
-def leading(epoch: int = 4) -> tuple[Replica, Noted]:
-    """A replica that serves as the head of A, B, C."""
+def serving_head(epoch: int = 4) -> tuple[Replica, RecordingPorts]:
+    """Returns a replica that serves as the head of A, B and C."""
     replica = replica_of(A, view_of(epoch, A, B, C))
-    ports = replica._ports = Noted()
+    ports = replica._ports = RecordingPorts()
     replica.chain_committed(replica.chain.log.last[1])
-    assert ports.told == [f"serving {epoch}"]
-    ports.told.clear()
+    assert ports.calls == [f"serving {epoch}"]
+    ports.calls.clear()
     return replica, ports
 
 
@@ -64,54 +65,54 @@
     replica.chain_committed(replica.chain.committed)
 
 
-def test_the_head_of_the_next_view_goes_on() -> None:
-    replica, ports = leading()
+def test_head_of_the_next_view_continues() -> None:
+    replica, ports = serving_head()
     replica.chain.committed = 1
     replica.adopt(view_of(5, A, B))
-    assert ports.told == ["leads on 5"]
-    assert replica.chain.committed == 1 and not replica.serving  # the chain is not whole yet
+    assert ports.calls == ["continue in view 5"]
+    assert replica.chain.committed == 1 and not replica.serving  # the chain is not reconciled yet
     commit_all(replica)
-    assert replica.serving and ports.told == ["leads on 5"]  # and it does not begin anew then
+    assert replica.serving and ports.calls == ["continue in view 5"]  # and `serving` is not called again
     replica.adopt(view_of(6, A, B, C))
-    assert ports.told == ["leads on 5", "leads on 6"]
+    assert ports.calls == ["continue in view 5", "continue in view 6"]
 
 
 @pytest.mark.parametrize(
     "view",
     [
-        view_of(6, A, B),  # of the view between them it knows nothing: another head may have committed more
+        view_of(6, A, B),  # a view was missed: another head may have committed more entries
         view_of(5, B, A),
         replace(view_of(5, A, B), chain=(ChainMember(A, 11, 1), ChainMember(B, 10, 1))),  # another process
         view_of(5, A),  # too short to commit
     ],
     ids=["a view missed", "another head", "another process", "too short"],
 )
-def test_after_any_other_view_it_begins_anew(view: View) -> None:
-    replica, ports = leading()
+def test_head_is_deposed_by_any_other_view(view: View) -> None:
+    replica, ports = serving_head()
     replica.chain.committed = 1
     replica.adopt(view)
-    assert ports.told == ["deposed"]
+    assert ports.calls == ["deposed"]
     assert replica.chain.committed == 0
     if replica.chain.role is Role.HEAD and len(view.chain) > 1:
         commit_all(replica)
-        assert ports.told == ["deposed", f"serving {view.epoch}"]
+        assert ports.calls == ["deposed", f"serving {view.epoch}"]
 
 
-def test_a_head_that_has_not_served_has_nothing_to_go_on_with() -> None:
+def test_head_that_has_not_served_does_not_continue() -> None:
     replica = replica_of(A, view_of(4, A, B, C))
-    ports = replica._ports = Noted()
+    ports = replica._ports = RecordingPorts()
     replica.adopt(view_of(5, A, B))
-    assert ports.told == ["deposed"]
+    assert ports.calls == ["deposed"]
     commit_all(replica)
-    assert ports.told == ["deposed", "serving 5"]
+    assert ports.calls == ["deposed", "serving 5"]
 
 
-def test_reads_under_way_wait_for_a_barrier_of_the_next_view() -> None:
-    gate = Gate()
+def test_pending_reads_wait_for_a_barrier_of_the_next_view() -> None:
+    gate = GateHarness()
     gate.read("before")
     gate.turn()
     gate.read("behind")
-    gate.chain.barrier = 0  # the chain of the next view counts anew
+    gate.chain.barrier = 0  # barrier numbers restart in the next view
     gate.gate.continue_in_view()
     assert gate.released == []
     gate.turn()
@@ -119,8 +120,8 @@
     assert gate.released == ["before", "behind"]
 
 
-def test_entries_under_way_are_answered_once_they_are_committed() -> None:
-    gate = Gate()
+def test_pending_entries_are_answered_after_their_commit() -> None:
+    gate = GateHarness()
     gate.propose("order")
     gate.gate.continue_in_view()
     assert gate.released == []
@@ -129,13 +130,13 @@
 
 
 class RawLink(FakeLink):
-    """Keeps answers with the epoch that they name."""
+    """Keeps the answers with the epochs that they carry."""
 
     def send(self, record: Record) -> None:
         self.sent.append(record)
 
 
-def test_agents_and_callers_stay_and_calls_of_either_epoch_are_taken() -> None:
+def test_sessions_continue_and_calls_of_both_epochs_are_accepted() -> None:
     bench = HeadHarness(epoch=4)
     agent = bench.agent("n-1", worker())
     bench.settle()
@@ -156,8 +157,8 @@
     assert isinstance(link.sent[-1], CallerPong)
 
 
-def test_a_caller_that_has_not_acknowledged_the_configuration_gets_it_again() -> None:
-    """It may have heard of the next view before, and passed over what came under the one before it."""
+def test_unacknowledged_configuration_is_resent_in_the_next_view() -> None:
+    """The caller may have learned of the next view earlier and ignored updates of the previous epoch."""
     bench = HeadHarness(epoch=4)
     bench.link.sent.clear()
     bench.head.continue_in_view(View(5, (), ()))
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -1,6 +1,5 @@
-"""The core in virtual time: histories of troubles under an oracle, wrong cores that the oracle must notice, and the
-faults that it found.
-"""
+"""The core in virtual time: random fault histories checked by an oracle, mutants that the oracle must detect, and
+regression tests of the chain and the commit gate."""
 
 from __future__ import annotations
 
@@ -35,14 +34,14 @@
 from millethead.storage.log import Entry, Recovered, Snapshot
 
 HISTORIES = int(os.environ.get("REPLICATION_HISTORIES", "48"))
-CATCH_UP_S = 4.0  # after this time the successor of a machine that was taken away stands for it
-GROUP = 8  # histories in one test
+CATCH_UP_TIME_S = 4.0  # time in which the replacement of a machine must catch up
+HISTORIES_PER_TEST = 8  # histories per test
 HEAD, MIDDLE, TAIL = (Member(f"{name}:1", disk) for disk, name in enumerate("abc", 1))
 VIEW = View(4, (HEAD, MIDDLE, TAIL), tuple(ChainMember(member, 10, 1) for member in (HEAD, MIDDLE, TAIL)))
 
-# the first seed whose history shows the mutant; a change of the core moves them, and this finds them again:
+# the first seed whose history detects the mutant; these change with the core and are found by:
 # python benchmarks/replication/histories.py --mutants
-SHOWN_BY = {
+FIRST_DETECTING_SEED = {
     "acknowledge_before_sync": 0,
     "too_few_disks": 2,
     "vote_after_wipe": 6,
@@ -65,79 +64,82 @@
     "lead_on_after_another_head": 568,
     "read_over_a_change_of_view": 14,
 }
-MORE_SEEDS = 30  # are played after it, before the mutant counts as not noticed
+EXTRA_SEEDS = 30  # seeds tried before a mutant counts as undetected
 
 
-@pytest.mark.parametrize("first", range(0, HISTORIES, GROUP))
-def test_what_was_acknowledged_stands_through_all_troubles(first):
-    played = [play(seed) for seed in range(first, min(first + GROUP, HISTORIES))]
+@pytest.mark.parametrize("first", range(0, HISTORIES, HISTORIES_PER_TEST))
+def test_acknowledged_commands_survive_all_faults(first):
+    played = [play(seed) for seed in range(first, min(first + HISTORIES_PER_TEST, HISTORIES))]
     assert [(history.seed, history.fault) for history in played if history.fault] == []
     assert all(history.orders and history.jobs and history.views for history in played)
 
 
-def test_a_seed_stands_for_one_history():
+def test_a_seed_determines_the_history():
     assert play(5) == play(5)
 
 
-def test_a_head_that_hears_late_of_what_a_later_one_has_committed_does_no_harm():
-    """Members acknowledged its first entry, then a later head committed that entry, and only then it heard of it."""
+def test_late_acknowledgement_after_the_commit_of_a_later_head_is_harmless():
+    """Members acknowledge the first entry of a head. A later head commits that entry before the acknowledgement reaches
+    the first head."""
     assert play(381).fault == ""
 
 
-def test_members_that_outbid_each_other_agree_on_a_view():
-    """Their promises came faster than disks wrote each of them twice."""
+def test_competing_proposers_agree_on_a_view():
+    """Competing proposers sent prepare requests faster than the disks could write two promises."""
     assert play(22261).fault == ""
 
 
-def test_a_restart_of_all_needs_no_voter_that_was_replaced_for_good():
-    """The view that replaced it was agreed, as entries of its epoch show, and was still the newest on the disks."""
+def test_restart_of_all_members_does_not_need_a_replaced_voter():
+    """The view that replaced the voter was agreed, as log entries of its epoch prove, and was the newest view on the
+    disks."""
     assert play(1087).fault == ""
 
 
 def test_there_is_a_history_for_every_mutant():
-    assert set(SHOWN_BY) == set(MUTANTS)
+    assert set(FIRST_DETECTING_SEED) == set(MUTANTS)
 
 
 @pytest.mark.parametrize("mutant", MUTANTS)
-def test_the_oracle_notices(mutant):
-    first = SHOWN_BY[mutant]
+def test_the_oracle_detects(mutant):
+    first = FIRST_DETECTING_SEED[mutant]
     with MUTANTS[mutant]():
-        assert any(play(seed).fault for seed in range(first, first + MORE_SEEDS))
+        assert any(play(seed).fault for seed in range(first, first + EXTRA_SEEDS))
 
 
-# ---- the faults that were found, one by one ----------------------------------------------------------------------
+# ---- regression tests ----------------------------------------------------------------------
 
 
-def myself(member: Member, log_epoch: int) -> LocalMember:
+def local_state(member: Member, log_epoch: int) -> LocalMember:
     return LocalMember(member, 10, log_epoch, 0.0, False, 9, False, 2)
 
 
-def test_a_member_of_every_chain_may_lead_without_any_entry():
-    """All were killed before the first entry of the second epoch was synced anywhere: somebody must lead again."""
+def test_member_of_every_chain_may_lead_without_an_entry():
+    """All members were killed before the first entry of the second epoch was synced anywhere. One of them must be able
+    to lead."""
     second = next_view(View(1, VIEW.voters, VIEW.chain), VIEW.chain[1:])
-    assert may_lead(second, myself(MIDDLE, 0))
+    assert may_lead(second, local_state(MIDDLE, 0))
 
 
-def test_a_member_that_joined_later_leads_only_with_an_entry_since():
+def test_member_that_joined_later_may_lead_only_with_an_entry_since_then():
     joined = next_view(next_view(VIEW, VIEW.chain[:2]), VIEW.chain)
-    assert not may_lead(joined, myself(TAIL, 4))
-    assert may_lead(joined, myself(TAIL, joined.epoch))
-    assert may_lead(joined, myself(MIDDLE, 4))
-    assert not may_lead(next_view(VIEW, VIEW.chain[:2]), myself(TAIL, 4))
+    assert not may_lead(joined, local_state(TAIL, 4))
+    assert may_lead(joined, local_state(TAIL, joined.epoch))
+    assert may_lead(joined, local_state(MIDDLE, 4))
+    assert not may_lead(next_view(VIEW, VIEW.chain[:2]), local_state(TAIL, 4))
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_machine_may_be_lost_once_the_successor_of_another_has_had_its_time(seed):
-    """The voter of the machine that is gone must not be needed for a majority by then."""
+def test_machine_may_be_lost_after_the_replacement_of_another_has_caught_up(seed):
+    """By then the voter of the replaced machine must not be needed for a majority."""
     world = CoreWorld(seed, WorldSettings(trouble_s=9.0, by_chance=False, members=((3, 1),)))
     lost, gone = world.cluster.machines()[:2]
     world.timeline.after(2.0, lambda: world.cluster.replace(gone, 0.2))
-    world.timeline.after(2.0 + 0.2 + 0.3 + CATCH_UP_S, lambda: world.cluster.wipe(lost, 0.5))
+    world.timeline.after(2.0 + 0.2 + 0.3 + CATCH_UP_TIME_S, lambda: world.cluster.wipe(lost, 0.5))
     assert world.play().fault == ""
 
 
-class Machine:
-    """A state machine that keeps what it was given."""
+class RecordingMachine:
+    """A state machine that records the payloads it applied."""
 
     def __init__(self) -> None:
         self.payloads: list[bytes] = []
@@ -156,7 +158,7 @@
         yield
 
 
-class Link:
+class FakeLink:
     def __init__(self) -> None:
         self.sent: list[Record] = []
         self.closed = False
@@ -168,8 +170,8 @@
         self.closed = True
 
 
-class Ports:
-    """A disk whose syncs are over at once, and links that are opened by hand."""
+class FakePorts:
+    """Ports with a disk that syncs at once and links that the test opens."""
 
     def __init__(self) -> None:
         self.truncated: list[int] = []
@@ -202,92 +204,92 @@
         self.barriers.append(number)
 
     def reconciled(self) -> None:
-        """Nothing to be done."""
+        """Not used in these tests."""
 
 
-class Standing:
-    """The chain's part of one member, in `VIEW`, reconciled with its neighbours."""
+class ReconciledChain:
+    """The chain of one member in `VIEW`, reconciled with its neighbours."""
 
     def __init__(self, me: Member, entries: int = 3) -> None:
-        self.ports, self.up, self.down = Ports(), Link(), Link()
+        self.ports, self.up, self.down = FakePorts(), FakeLink(), FakeLink()
         kept = tuple(Entry(3, sequence, b"%d" % sequence) for sequence in range(1, entries + 1))
-        self.chain = Chain(me, 10, ReplicatedLog(Machine(), Recovered(None, kept)), self.ports)
+        self.chain = Chain(me, 10, ReplicatedLog(RecordingMachine(), Recovered(None, kept)), self.ports)
         self.chain.enter_view(VIEW)
         if self.chain.role is Role.RECONCILING:
-            self.hello()
+            self.connect_predecessor()
             self.chain.receive_from_predecessor(self.up, ChainTruncate(4, entries))
-        self.join_below()
+        self.connect_successor()
 
-    def hello(self) -> None:
-        """The predecessor has opened a link."""
-        self.up = Link()
-        before = VIEW.chain[[place.member for place in VIEW.chain].index(self.chain.member) - 1].member
+    def connect_predecessor(self) -> None:
+        """The predecessor opens a link."""
+        self.up = FakeLink()
+        before = VIEW.chain[[chain_member.member for chain_member in VIEW.chain].index(self.chain.member) - 1].member
         assert self.chain.receive_hello(self.up, ChainHello(VIEW, before))
 
-    def join_below(self) -> None:
-        """The successor has taken a new link."""
+    def connect_successor(self) -> None:
+        """The successor accepts a new link."""
         if self.chain.successor is not None:
-            self.down = Link()
+            self.down = FakeLink()
             self.chain.link_opened(self.down, self.chain.successor.member.address)
             last = EpochSpan(3, self.chain.log.last[1])
             self.chain.receive_from_successor(self.down, ChainPosition(4, EpochSpan(0, 0), (last,)))
 
-    def barriers_below(self) -> list[int]:
+    def barriers_to_successor(self) -> list[int]:
         return [record.number for record in self.down.sent if isinstance(record, ChainBarrier)]
 
-    def answers_above(self) -> list[int]:
+    def acks_to_predecessor(self) -> list[int]:
         return [record.number for record in self.up.sent if isinstance(record, BarrierAck)]
 
 
 @pytest.mark.parametrize("me", [HEAD, MIDDLE], ids=["head", "middle"])
-def test_a_barrier_that_a_link_took_with_it_is_sent_again(me):
-    member = Standing(me)
+def test_barrier_lost_with_a_link_is_resent(me):
+    member = ReconciledChain(me)
     if me is HEAD:
         member.chain.send_barrier()
     else:
         member.chain.receive_from_predecessor(member.up, ChainBarrier(4, 1))
-    assert member.barriers_below() == [1]
+    assert member.barriers_to_successor() == [1]
     assert member.chain.link_lost(member.down)
-    member.join_below()
-    assert member.barriers_below() == [1]
+    member.connect_successor()
+    assert member.barriers_to_successor() == [1]
 
 
-def test_a_barrier_that_came_while_the_link_below_was_open_anew_is_sent_on():
-    member = Standing(MIDDLE)
+def test_barrier_that_arrives_while_the_successor_link_is_reopened_is_forwarded():
+    member = ReconciledChain(MIDDLE)
     member.chain.link_lost(member.down)
     member.chain.receive_from_predecessor(member.up, ChainBarrier(4, 1))
-    member.join_below()
-    assert member.barriers_below() == [1]
+    member.connect_successor()
+    assert member.barriers_to_successor() == [1]
 
 
-def test_an_answer_that_the_link_above_took_with_it_is_given_again():
-    """The successor has passed the barrier, and its link is being opened anew when the barrier comes again."""
-    member = Standing(MIDDLE)
+def test_barrier_ack_lost_with_the_predecessor_link_is_resent():
+    """The successor has acknowledged the barrier, and its link is being reopened when the barrier arrives again."""
+    member = ReconciledChain(MIDDLE)
     member.chain.receive_from_predecessor(member.up, ChainBarrier(4, 1))
     member.chain.link_lost(member.up)
     member.chain.receive_from_successor(member.down, BarrierAck(4, 1))
     member.chain.link_lost(member.down)
-    member.hello()
+    member.connect_predecessor()
     member.chain.receive_from_predecessor(member.up, ChainTruncate(4, 3))
     member.chain.receive_from_predecessor(member.up, ChainBarrier(4, 1))
-    member.join_below()
-    assert member.answers_above() == [1] or member.barriers_below() == [1]
+    member.connect_successor()
+    assert member.acks_to_predecessor() == [1] or member.barriers_to_successor() == [1]
 
 
-def test_a_log_compacted_since_it_told_its_position_is_not_cut_but_told_anew():
-    member = Standing(TAIL, entries=5)
-    member.hello()
+def test_log_compacted_after_its_position_was_sent_is_not_truncated():
+    member = ReconciledChain(TAIL, entries=5)
+    member.connect_predecessor()
     member.chain.log.compact()
     member.chain.receive_from_predecessor(member.up, ChainTruncate(4, 3))
     member.chain.receive_from_predecessor(member.up, ChainAppend(4, (LogEntry(4, 4, b"other"),)))
     assert member.up.closed and member.ports.truncated == []
     assert member.chain.log.last == (3, 5)
-    member.hello()
+    member.connect_predecessor()
     assert member.up.sent == [ChainPosition(4, EpochSpan(3, 5), ())]
 
 
-class Tail:
-    """The chain as the gate sees it."""
+class FakeChain:
+    """The part of the chain that the commit gate uses."""
 
     def __init__(self) -> None:
         self.committed = self.last = self.barrier = 0
@@ -301,11 +303,11 @@
         return self.barrier
 
 
-class Gate:
-    """A gate, with what it has released."""
+class GateHarness:
+    """A commit gate that records what it releases."""
 
     def __init__(self) -> None:
-        self.chain, self.released = Tail(), list[str]()
+        self.chain, self.released = FakeChain(), list[str]()
         self._soon: list = []
         self.gate = CommitGate(self.chain, self._soon.append)
 
@@ -326,9 +328,10 @@
         self.gate.committed(sequence)
 
 
-def test_a_read_waits_for_a_barrier_even_where_a_commit_is_outstanding():
-    """The acknowledgements of that commit may be older than the read, and another head may have gone on since."""
-    gate = Gate()
+def test_read_waits_for_a_barrier_even_if_a_commit_is_pending():
+    """The acknowledgements of that commit may be older than the read, and another head may have committed entries
+    since."""
+    gate = GateHarness()
     gate.propose("order")
     gate.read("read")
     gate.turn()
@@ -338,8 +341,8 @@
     assert gate.released == ["order", "read"]
 
 
-def test_a_read_waits_for_the_commit_of_what_it_saw_after_its_barrier():
-    gate = Gate()
+def test_read_waits_for_the_commit_of_the_entries_it_saw():
+    gate = GateHarness()
     gate.propose("first")
     gate.read("read")
     gate.turn()
@@ -352,8 +355,8 @@
     assert gate.released == ["first", "read", "second"]
 
 
-def test_nothing_is_released_once_the_epoch_is_over():
-    gate = Gate()
+def test_nothing_is_released_after_the_epoch_has_ended():
+    gate = GateHarness()
     gate.propose("order")
     gate.read("read")
     gate.turn()
@@ -363,16 +366,17 @@
     assert gate.released == []
 
 
-def test_the_head_commits_what_the_chain_below_acknowledges():
-    member = Standing(HEAD)
+def test_head_commits_entries_acknowledged_by_its_successor():
+    member = ReconciledChain(HEAD)
     member.chain.propose(b"x")
     assert member.ports.commits == []
     member.chain.receive_from_successor(member.down, ChainAck(4, 4))
     assert member.ports.commits == [4]
 
 
-def test_what_an_acceptor_reads_at_its_start_is_durable_before_it_answers(tmp_path, monkeypatch):
-    """A process that was killed may have left it unsynced; a loss of power would take back what was answered since."""
+def test_acceptor_state_read_at_startup_is_synced_before_the_first_answer(tmp_path, monkeypatch):
+    """The previous process may have been killed before it synced the file. A power failure would then undo what the
+    acceptor has promised since."""
     CoreDisk(tmp_path, False, lambda: 7)
     synced: set[int] = set()
     real = os.fdatasync
--- a/tests/test_replication_model.py
+++ b/tests/test_replication_model.py
@@ -1,9 +1,9 @@
-"""All interleavings of the register that holds the view, to a stated depth: three voters, two proposers, a disk that is
-lost and comes back as another voter, which takes its place in one step.
+"""Model check of the register that holds the view: all interleavings up to a given depth, with three voters, two
+proposers, and a disk that is lost and returns as another voter, which replaces the first one in one step.
 
-The members are the program's own `ViewRegister`. A state is what all members hold, and the messages under way; each
-message may arrive at any time or never, each sync may end at any time, and a process may end at any time, its syncs
-under way done or not.
+The members run the real `ViewRegister`. A state consists of the members' states and the messages in transit. Each
+message may arrive at any time or never, each sync may complete at any time, and a process may end at any time, with its
+pending syncs completed or not.
 """
 
 from __future__ import annotations
@@ -24,36 +24,36 @@
 from millethead.rollout.register import Acceptor, Kept
 from millethead.rpc.codec import encode
 
-DEPTH = int(os.environ.get("REPLICATION_DEPTH", "7"))  # steps of which every order is explored
-WALKS = int(os.environ.get("REPLICATION_WALKS", "400"))  # longer histories, drawn by chance
+DEPTH = int(os.environ.get("REPLICATION_DEPTH", "7"))  # number of steps explored exhaustively
+WALKS = int(os.environ.get("REPLICATION_WALKS", "400"))  # number of longer random histories
 WALK_STEPS = 150
-MOST_EPOCH = 5
+MAX_EPOCH = 5
 A, B, C, FRESH = Member("a:1", 1), Member("b:1", 2), Member("c:1", 3), Member("c:1", 4)
 FIRST = View(1, (A, B, C), (ChainMember(A, 1, 1), ChainMember(B, 1, 1)))
 
 
-class TwoViews(AssertionError):
-    """Two views were agreed under one epoch."""
+class ConflictingViews(AssertionError):
+    """Two different views were agreed for one epoch."""
 
 
-class Fixed(random.Random):
-    """Pauses after a lost round make no difference here: time stands still, and there are none."""
+class NoBackoff(random.Random):
+    """Disables the random backoff after a lost round, because time does not advance in this model."""
 
     def uniform(self, a: float, b: float) -> float:
         return 0.0
 
 
 @dataclass(frozen=True)
-class Letter:
-    """A message under way, with the address it came from."""
+class Datagram:
+    """A message in transit, with the address of its sender."""
 
     sender: str
     receiver: str
     message: PaxosMessage
 
 
-class Ports:
-    """Collects what a register sends and saves."""
+class RecordingPorts:
+    """Collects the messages and saves of a register."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, PaxosMessage]] = []
@@ -64,7 +64,7 @@
         self.sent.append((address, message))
 
     def save(self, kept: Kept, done) -> None:
-        """What `done` sends is kept back until the save is over."""
+        """Holds back the messages that `done` sends until the save is complete."""
         before, self.sent = self.sent, []
         done()
         answers, self.sent = tuple(self.sent), before
@@ -73,10 +73,10 @@
 
 
 @dataclass(frozen=True)
-class Machine:
-    """What one member holds. `saves`: under way, in their order."""
+class ModelMember:
+    """The state of one member. `saves`: pending saves, in order."""
 
-    me: Member
+    identity: Member
     incarnation: int
     durable: Kept
     kept: Kept
@@ -87,7 +87,7 @@
 
     def key(self) -> tuple:
         return (
-            self.me,
+            self.identity,
             self.incarnation,
             self.durable,
             self.kept,
@@ -99,18 +99,24 @@
 
 
 @dataclass(frozen=True)
-class World:
-    """`ends`: how often processes may yet end; `wiped`: whether the third voter's disk was lost."""
+class ModelState:
+    """The state of the model. `remaining_ends`: how many more times a process may end. `wiped`: whether the disk of
+    the third voter was lost."""
 
-    machines: tuple[Machine, ...]
-    letters: tuple = ()
+    members: tuple[ModelMember, ...]
+    datagrams: tuple = ()
     agreed: tuple = (FIRST,)
-    ends: int = 1
+    remaining_ends: int = 1
     wiped: bool = False
     steps: tuple = field(default=(), compare=False)
 
     def key(self) -> tuple:
-        return (tuple(machine.key() for machine in self.machines), frozenset(self.letters), self.ends, self.wiped)
+        return (
+            tuple(member.key() for member in self.members),
+            frozenset(self.datagrams),
+            self.remaining_ends,
+            self.wiped,
+        )
 
 
 def freeze_round(attempt) -> tuple | None:
@@ -140,149 +146,149 @@
     return agreement._Attempt(joint, 0.0, 0.0)
 
 
-class Running:
-    """A member's register, set up for one step."""
+class RestoredMember:
+    """A member's register, restored for one step."""
 
-    def __init__(self, world: World, at: int) -> None:
-        self.world, self.at, self.machine = world, at, world.machines[at]
-        self.ports, self.adopted = Ports(), []
-        machine = self.machine
+    def __init__(self, state: ModelState, at: int) -> None:
+        self.state, self.at, self.member = state, at, state.members[at]
+        self.ports, self.adopted = RecordingPorts(), []
+        member = self.member
         self.register = ViewRegister(
-            machine.me, machine.incarnation, self.ports, machine.kept, Fixed(), self.adopted.append
+            member.identity, member.incarnation, self.ports, member.kept, NoBackoff(), self.adopted.append
         )
         self.ports.register = self.register
-        self.register._pending_saves, self.register._highest_ballot_number = len(machine.saves), machine.highest
-        self.register._attempt = thaw_round(machine.attempt)
+        self.register._pending_saves, self.register._highest_ballot_number = len(member.saves), member.highest
+        self.register._attempt = thaw_round(member.attempt)
 
     def receive(self, sender: str, message: PaxosMessage) -> None:
         self.register.receive(0.0, sender, message)
         self.settle()
 
     def settle(self) -> None:
-        """Take what this member sends to itself, as `Replica` does."""
-        while own := [message for address, message in self.ports.sent if address == self.machine.me.address]:
-            self.ports.sent = [pair for pair in self.ports.sent if pair[0] != self.machine.me.address]
+        """Delivers the messages that this member sends to itself, as `Replica` does."""
+        while own := [message for address, message in self.ports.sent if address == self.member.identity.address]:
+            self.ports.sent = [pair for pair in self.ports.sent if pair[0] != self.member.identity.address]
             for message in own:
-                self.register.receive(0.0, self.machine.me.address, message)
-
-    def after(self, step: tuple, letters=None, **changes) -> World:
-        """The world after the step; raises TwoViews."""
-        world, machine = self.world, self.machine
-        sent = [Letter(machine.me.address, address, message) for address, message in self.ports.sent]
-        views = dict((view.epoch, view) for view in world.agreed)
-        view = machine.view
+                self.register.receive(0.0, self.member.identity.address, message)
+
+    def after(self, step: tuple, datagrams=None, **changes) -> ModelState:
+        """Returns the state after the step. Raises ConflictingViews."""
+        state, member = self.state, self.member
+        sent = [Datagram(member.identity.address, address, message) for address, message in self.ports.sent]
+        views = dict((view.epoch, view) for view in state.agreed)
+        view = member.view
         for found in self.adopted:
             if views.setdefault(found.epoch, found) != found:
-                raise TwoViews(f"{views[found.epoch]} and {found}")
+                raise ConflictingViews(f"{views[found.epoch]} and {found}")
             view = max(view, found, key=lambda one: one.epoch)
-        machine = replace(
-            machine,
+        member = replace(
+            member,
             kept=self.register._acceptor.kept,
-            saves=machine.saves + tuple(self.ports.saves),
+            saves=member.saves + tuple(self.ports.saves),
             view=view,
             highest=self.register._highest_ballot_number,
             attempt=freeze_round(self.register._attempt),
         )
-        machine = replace(machine, **changes)
-        machines = (*world.machines[: self.at], machine, *world.machines[self.at + 1 :])
-        left = world.letters if letters is None else letters
+        member = replace(member, **changes)
+        members = (*state.members[: self.at], member, *state.members[self.at + 1 :])
+        left = state.datagrams if datagrams is None else datagrams
         return replace(
-            world,
-            machines=machines,
-            letters=tuple(dict.fromkeys([*left, *sent])),
+            state,
+            members=members,
+            datagrams=tuple(dict.fromkeys([*left, *sent])),
             agreed=tuple(views.values()),
-            steps=(*world.steps, step),
+            steps=(*state.steps, step),
         )
 
 
-def wanted(machine: Machine, world: World) -> View | None:
-    """What a proposer would have next: the head shortens the chain, or replaces a lost disk's voter; its successor
-    takes the chain over."""
-    view, epoch = machine.view, machine.view.epoch + 1
-    if epoch > MOST_EPOCH:
+def wanted(member: ModelMember, state: ModelState) -> View | None:
+    """Returns the next view that a proposer wants: the head shortens the chain or replaces the voter of a lost disk;
+    its successor takes over the chain."""
+    view, epoch = member.view, member.view.epoch + 1
+    if epoch > MAX_EPOCH:
         return None
-    if machine.me == B:
-        return View(epoch, view.voters, (ChainMember(B, machine.incarnation, 1), ChainMember(A, 1, 1)))
-    if not world.wiped:
-        return View(epoch, view.voters, (ChainMember(A, machine.incarnation, 1),))
+    if member.identity == B:
+        return View(epoch, view.voters, (ChainMember(B, member.incarnation, 1), ChainMember(A, 1, 1)))
+    if not state.wiped:
+        return View(epoch, view.voters, (ChainMember(A, member.incarnation, 1),))
     if C in view.voters:
         return next_view(view, view.chain, tuple(FRESH if voter == C else voter for voter in view.voters))
     return None
 
 
-def steps_of(world: World):
-    """Every step that may come next, as a call that makes it."""
-    for at, machine in enumerate(world.machines):
-        if machine.me in (A, B) and machine.attempt is None and wanted(machine, world) is not None:
-            yield lambda at=at: propose(world, at)
-        if machine.saves:
-            yield lambda at=at: saved(world, at)
-        if world.ends and machine.me != FRESH:
-            for done in range(len(machine.saves) + 1):
-                yield lambda at=at, done=done: ended(world, at, done)
-    for letter in world.letters:
-        yield lambda letter=letter: delivered(world, letter)
-    if not world.wiped:
-        yield lambda: wiped(world)
-
-
-def propose(world: World, at: int) -> World:
-    run = Running(world, at)
-    view = wanted(run.machine, world)
-    run.register.propose(0.0, run.machine.view.epoch, view, KnownView(run.machine.view, run.machine.view.epoch))
+def steps_of(state: ModelState):
+    """Yields every possible next step as a function that executes it."""
+    for at, member in enumerate(state.members):
+        if member.identity in (A, B) and member.attempt is None and wanted(member, state) is not None:
+            yield lambda at=at: propose(state, at)
+        if member.saves:
+            yield lambda at=at: saved(state, at)
+        if state.remaining_ends and member.identity != FRESH:
+            for done in range(len(member.saves) + 1):
+                yield lambda at=at, done=done: ended(state, at, done)
+    for datagram in state.datagrams:
+        yield lambda datagram=datagram: delivered(state, datagram)
+    if not state.wiped:
+        yield lambda: wiped(state)
+
+
+def propose(state: ModelState, at: int) -> ModelState:
+    run = RestoredMember(state, at)
+    view = wanted(run.member, state)
+    run.register.propose(0.0, run.member.view.epoch, view, KnownView(run.member.view, run.member.view.epoch))
     run.settle()
     return run.after(("propose", at, view.epoch))
 
 
-def saved(world: World, at: int) -> World:
-    run = Running(world, at)
-    (kept, answers), left = run.machine.saves[0], run.machine.saves[1:]
+def saved(state: ModelState, at: int) -> ModelState:
+    run = RestoredMember(state, at)
+    (kept, answers), left = run.member.saves[0], run.member.saves[1:]
     run.register._pending_saves -= 1
     run.ports.sent.extend(answers)
     run.settle()
     return run.after(("saved", at), durable=kept, saves=left + tuple(run.ports.saves))
 
 
-def ended(world: World, at: int, done: int) -> World:
-    """The process ends and another begins, with what is on the disk."""
-    run = Running(world, at)
-    durable = run.machine.saves[done - 1][0] if done else run.machine.durable
+def ended(state: ModelState, at: int, done: int) -> ModelState:
+    """The process ends and restarts with the state on its disk."""
+    run = RestoredMember(state, at)
+    durable = run.member.saves[done - 1][0] if done else run.member.durable
     run.register._acceptor, run.register._attempt = Acceptor(durable), None
     return replace(
-        run.after(("ended", at, done), durable=durable, saves=(), incarnation=run.machine.incarnation + 1),
-        ends=world.ends - 1,
+        run.after(("ended", at, done), durable=durable, saves=(), incarnation=run.member.incarnation + 1),
+        remaining_ends=state.remaining_ends - 1,
     )
 
 
-def delivered(world: World, letter: Letter) -> World:
-    rest = tuple(other for other in world.letters if other != letter)
-    for at, machine in enumerate(world.machines):
-        if machine.me.address == letter.receiver:
-            run = Running(world, at)
-            run.receive(letter.sender, letter.message)
-            return run.after(("delivered", at, letter.message.kind.name, letter.message.voter), rest)
-    return replace(world, letters=rest)
+def delivered(state: ModelState, datagram: Datagram) -> ModelState:
+    rest = tuple(other for other in state.datagrams if other != datagram)
+    for at, member in enumerate(state.members):
+        if member.identity.address == datagram.receiver:
+            run = RestoredMember(state, at)
+            run.receive(datagram.sender, datagram.message)
+            return run.after(("delivered", at, datagram.message.kind.name, datagram.message.voter), rest)
+    return replace(state, datagrams=rest)
 
 
-def wiped(world: World) -> World:
-    """The third member's disk is lost: another voter is at its address."""
-    fresh = Machine(FRESH, 9, Kept(), Kept())
-    return replace(world, machines=(*world.machines[:2], fresh), wiped=True, steps=(*world.steps, ("wiped",)))
+def wiped(state: ModelState) -> ModelState:
+    """The disk of the third member is lost, and another voter takes its address."""
+    fresh = ModelMember(FRESH, 9, Kept(), Kept())
+    return replace(state, members=(*state.members[:2], fresh), wiped=True, steps=(*state.steps, ("wiped",)))
 
 
-def first_world(ends: int = 1) -> World:
+def initial_state(remaining_ends: int = 1) -> ModelState:
     kept = Kept((1, "a"), (1, "a"), encode(FIRST))
-    return World(tuple(Machine(member, 1, kept, kept) for member in (A, B, C)), ends=ends)
+    return ModelState(tuple(ModelMember(member, 1, kept, kept) for member in (A, B, C)), remaining_ends=remaining_ends)
 
 
 def explore(depth: int) -> tuple[int, int]:
-    """Every order of `depth` steps; the numbers of states and steps. Raises TwoViews."""
-    seen, count = {first_world().key()}, 0
-    layer = deque([first_world()])
+    """Explores all orders of `depth` steps. Returns the numbers of states and steps. Raises ConflictingViews."""
+    seen, count = {initial_state().key()}, 0
+    layer = deque([initial_state()])
     for _ in range(depth):
-        following: deque[World] = deque()
-        for world in layer:
-            for step in steps_of(world):
+        following: deque[ModelState] = deque()
+        for state in layer:
+            for step in steps_of(state):
                 count += 1
                 after = step()
                 key = after.key()
@@ -293,26 +299,26 @@
     return len(seen), count
 
 
-def walk(seed: int) -> World:
-    """One long history by chance, which favours what makes rounds end; raises TwoViews."""
+def walk(seed: int) -> ModelState:
+    """Runs one long random history. Raises ConflictingViews."""
     chance = random.Random(seed)
-    world = first_world(ends=3)
+    state = initial_state(remaining_ends=3)
     for _ in range(WALK_STEPS):
-        possible = list(steps_of(world))
+        possible = list(steps_of(state))
         if not possible:
             break
-        world = chance.choice(possible)()
-    return world
+        state = chance.choice(possible)()
+    return state
 
 
-def test_every_order_of_steps_agrees_on_one_view_an_epoch():
+def test_every_interleaving_agrees_on_one_view_per_epoch():
     states, steps = explore(DEPTH)
     assert states > 1000 and steps > states
 
 
-def test_long_histories_agree_on_one_view_an_epoch():
+def test_random_histories_agree_on_one_view_per_epoch():
     epochs = [max(view.epoch for view in walk(seed).agreed) for seed in range(WALKS)]
-    assert sum(epoch > 1 for epoch in epochs) > WALKS / 4, "the walks reach no views"
+    assert sum(epoch > 1 for epoch in epochs) > WALKS / 4, "too few random histories agree on a new view"
     assert max(epochs) >= 3
 
 
@@ -321,13 +327,13 @@
     [(promise_before_sync, [5362]), (view_without_majority, [4, 31])],
     ids=["promise_before_sync", "view_without_majority"],
 )
-def test_the_model_notices(mutant, seeds):
+def test_the_model_detects(mutant, seeds):
     for seed in seeds:
-        with mutant(), pytest.raises(TwoViews):
+        with mutant(), pytest.raises(ConflictingViews):
             walk(seed)
 
 
-def test_the_model_notices_a_voter_that_comes_back_without_its_memory(monkeypatch):
+def test_the_model_detects_a_voter_that_returns_without_its_state(monkeypatch):
     monkeypatch.setitem(globals(), "FRESH", C)
-    with pytest.raises(TwoViews):
+    with pytest.raises(ConflictingViews):
         walk(798)
