--- a/millethead/lab/core_durability.py
+++ b/millethead/lab/core_durability.py
@@ -8,8 +8,8 @@
 from millethead.lab.core_storage import FOLDER
 from millethead.lab.disk import SimulatedDisk
 from millethead.programs.core_disk import ACCEPTOR_NAME
-from millethead.replication.agreement import decode_view
 from millethead.replication.view import View
+from millethead.replication.view_register import decode_view
 from millethead.rollout.store import PLACE
 from millethead.storage import identity as identities
 from millethead.storage.identity import COPY_AT, IDENTITY_NAME
--- a/millethead/lab/core_mutants.py
+++ b/millethead/lab/core_mutants.py
@@ -18,13 +18,13 @@
 from millethead.lab.core_storage import CoreStorage
 from millethead.lab.disk import SimulatedDisk
 from millethead.replication import planning
-from millethead.replication.agreement import ViewRegister
 from millethead.replication.chain import Chain
 from millethead.replication.chain_ports import Role
 from millethead.replication.joint import JointRound, Quorums
 from millethead.replication.messages import PaxosMessage
 from millethead.replication.replica import Replica, ReplicaSettings
 from millethead.replication.view import View
+from millethead.replication.view_register import ViewRegister
 from millethead.storage.files import Files
 from millethead.storage.identity import DiskIdentity
 from millethead.storage.log import Entry, LogFile
--- a/millethead/programs/offline.py
+++ b/millethead/programs/offline.py
@@ -14,9 +14,9 @@
 from millethead.control.state import ControlState
 from millethead.jobs.description import InvalidJob
 from millethead.programs.core_disk import ACCEPTOR_NAME
-from millethead.replication.agreement import decode_view
 from millethead.replication.log import ReplicatedLog
 from millethead.replication.view import NO_VIEW, View
+from millethead.replication.view_register import decode_view
 from millethead.rollout.register import Refused
 from millethead.rpc.codec import CodecError
 from millethead.storage.files import OS_FILES, drop_cached
--- a/millethead/replication/replica.py
+++ b/millethead/replication/replica.py
@@ -11,7 +11,6 @@
 from random import Random
 from typing import Protocol
 
-from millethead.replication.agreement import AgreementPorts, KnownView, ViewRegister
 from millethead.replication.chain import Chain
 from millethead.replication.chain_ports import ChainPorts, Link, Role
 from millethead.replication.copying import PART_BYTES
@@ -40,6 +39,7 @@
 )
 from millethead.replication.proposal import ViewCause, ViewProposal
 from millethead.replication.view import NO_VIEW, ChainMember, Member, View
+from millethead.replication.view_register import AgreementPorts, KnownView, ViewRegister
 from millethead.rollout.register import Kept
 from millethead.rpc.codec import Record
 
--- a/tests/test_replication_model.py
+++ b/tests/test_replication_model.py
@@ -16,11 +16,11 @@
 import pytest
 
 from millethead.lab.core_mutants import promise_before_sync, view_without_majority
-from millethead.replication import agreement
-from millethead.replication.agreement import KnownView, ViewRegister
+from millethead.replication import view_register
 from millethead.replication.joint import JointRound
 from millethead.replication.messages import PaxosMessage
 from millethead.replication.view import ChainMember, Member, View, next_view
+from millethead.replication.view_register import KnownView, ViewRegister
 from millethead.rollout.register import Acceptor, Kept
 from millethead.rpc.codec import encode
 
@@ -140,10 +140,10 @@
     if frozen is None:
         return None
     ballot, quorums_before, value, previous_value, promised, accepted, highest_accepted, (change, quorums) = frozen
-    joint = JointRound(ballot, quorums_before, change, quorums, agreement.voter_names)
+    joint = JointRound(ballot, quorums_before, change, quorums, view_register.voter_names)
     joint.value, joint.previous_value, joint._highest_accepted = value, previous_value, highest_accepted
     joint._promised, joint._accepted = promised, accepted
-    return agreement._Attempt(joint, 0.0, 0.0)
+    return view_register._Attempt(joint, 0.0, 0.0)
 
 
 class RestoredMember:
