--- a/millethead/replication/planning.py
+++ b/millethead/replication/planning.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from millethead.replication.liveness import PEER_SUSPICION_FACTOR, STABLE_CONTACT_S, HeartbeatMonitor
+from millethead.replication.heartbeat_monitor import PEER_SUSPICION_FACTOR, STABLE_CONTACT_S, HeartbeatMonitor
 from millethead.replication.messages import Heartbeat
 from millethead.replication.proposal import DepartedMember, Departure, ViewCause, ViewProposal
 from millethead.replication.view import ChainMember, Member, View, next_view
--- a/millethead/replication/replica.py
+++ b/millethead/replication/replica.py
@@ -14,7 +14,7 @@
 from millethead.replication.chain import Chain
 from millethead.replication.chain_ports import ChainPorts, Link, Role
 from millethead.replication.copying import PART_BYTES
-from millethead.replication.liveness import HeartbeatMonitor
+from millethead.replication.heartbeat_monitor import HeartbeatMonitor
 from millethead.replication.log import ReplicatedLog
 from millethead.replication.messages import (
     BarrierAck,
--- a/tests/test_joint.py
+++ b/tests/test_joint.py
@@ -5,8 +5,8 @@
 
 import pytest
 
+from millethead.replication.heartbeat_monitor import HeartbeatMonitor
 from millethead.replication.joint import JointRound, has_majorities
-from millethead.replication.liveness import HeartbeatMonitor
 from millethead.replication.messages import Heartbeat, PeerAge
 from millethead.replication.planning import VOTER_REMOVAL_TIMEOUT_S, LocalMember, plan_as_head, plan_voters
 from millethead.replication.view import ChainMember, Member, View, ViewWithoutOutgoing, next_view
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -10,7 +10,7 @@
 from millethead.lab.core_machine import CoreProcess
 from millethead.lab.core_world import CoreWorld, WorldSettings
 from millethead.replication.chain_ports import Role
-from millethead.replication.liveness import HeartbeatMonitor
+from millethead.replication.heartbeat_monitor import HeartbeatMonitor
 from millethead.replication.log import ReplicatedLog
 from millethead.replication.messages import Heartbeat, PeerAge
 from millethead.replication.planning import LocalMember, plan_chain
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -9,7 +9,7 @@
 
 from millethead.lab.core_machine import Machine
 from millethead.lab.core_world import CoreWorld, WorldSettings
-from millethead.replication.liveness import HeartbeatMonitor
+from millethead.replication.heartbeat_monitor import HeartbeatMonitor
 from millethead.replication.messages import Heartbeat
 from millethead.replication.planning import LocalMember, is_head_healthy, keeps_all_members
 from millethead.replication.view import ChainMember, Member, View, next_view
