--- a/benchmarks/replication/catch_up.py
+++ b/benchmarks/replication/catch_up.py
@@ -24,9 +24,9 @@
 from millethead.control.state import ControlState
 from millethead.jobs.commands import QueueTerms, SubmitJob
 from millethead.lab.table import keep
-from millethead.replication.copying import PART_BYTES, WINDOW_PARTS, IncomingSnapshot, OutgoingSnapshot
 from millethead.replication.log import ReplicatedLog
 from millethead.replication.messages import ChainSnapshotPart
+from millethead.replication.snapshot_transfer import PART_BYTES, WINDOW_PARTS, IncomingSnapshot, OutgoingSnapshot
 from millethead.rpc.codec import decode_any, encode_any
 from millethead.storage.log import Entry, LogFile, Recovered, Snapshot
 
--- a/millethead/replication/chain.py
+++ b/millethead/replication/chain.py
@@ -15,7 +15,6 @@
 from collections.abc import Sequence
 
 from millethead.replication.chain_ports import ChainPorts, Link, Role
-from millethead.replication.copying import PART_BYTES, IncomingSnapshot
 from millethead.replication.log import ReplicatedLog
 from millethead.replication.messages import (
     BarrierAck,
@@ -29,6 +28,7 @@
     ChainTruncate,
     LogEntry,
 )
+from millethead.replication.snapshot_transfer import PART_BYTES, IncomingSnapshot
 from millethead.replication.successor import SuccessorLink
 from millethead.replication.view import ChainMember, Member, View
 from millethead.rpc.codec import Record
--- a/millethead/replication/replica.py
+++ b/millethead/replication/replica.py
@@ -13,7 +13,6 @@
 
 from millethead.replication.chain import Chain
 from millethead.replication.chain_ports import ChainPorts, Link, Role
-from millethead.replication.copying import PART_BYTES
 from millethead.replication.heartbeat_monitor import HeartbeatMonitor
 from millethead.replication.log import ReplicatedLog
 from millethead.replication.messages import (
@@ -38,6 +37,7 @@
     takeover_rank,
 )
 from millethead.replication.proposal import ViewCause, ViewProposal
+from millethead.replication.snapshot_transfer import PART_BYTES
 from millethead.replication.view import NO_VIEW, ChainMember, Member, View
 from millethead.replication.view_register import AgreementPorts, KnownView, ViewRegister
 from millethead.rollout.register import Kept
--- a/millethead/replication/successor.py
+++ b/millethead/replication/successor.py
@@ -10,7 +10,6 @@
 from collections.abc import Iterator, Sequence
 
 from millethead.replication.chain_ports import Link
-from millethead.replication.copying import OutgoingSnapshot
 from millethead.replication.log import ReplicatedLog
 from millethead.replication.messages import (
     ChainAppend,
@@ -21,6 +20,7 @@
     LogEntry,
     SnapshotProgress,
 )
+from millethead.replication.snapshot_transfer import OutgoingSnapshot
 from millethead.replication.view import Member, View
 from millethead.storage.log import Entry
 
--- a/tests/test_large_state.py
+++ b/tests/test_large_state.py
@@ -22,7 +22,6 @@
 from millethead.replication import log as log_module
 from millethead.replication.chain import Chain
 from millethead.replication.chain_ports import Role
-from millethead.replication.copying import WINDOW_PARTS
 from millethead.replication.log import ReplicatedLog
 from millethead.replication.messages import (
     ChainAppend,
@@ -35,6 +34,7 @@
     SnapshotName,
     SnapshotProgress,
 )
+from millethead.replication.snapshot_transfer import WINDOW_PARTS
 from millethead.replication.successor import COPY_BYTES
 from millethead.rpc.codec import encode_any
 from millethead.storage.log import Entry, LogFile, Recovered, Snapshot
