--- a/millethead/lab/core_mutants.py
+++ b/millethead/lab/core_mutants.py
@@ -17,7 +17,7 @@
 from millethead.lab import core_world
 from millethead.lab.core_storage import CoreStorage
 from millethead.lab.disk import SimulatedDisk
-from millethead.replication import planning
+from millethead.replication import view_planning
 from millethead.replication.chain import Chain
 from millethead.replication.chain_ports import Role
 from millethead.replication.joint import JointRound, Quorums
@@ -212,10 +212,10 @@
 def lead_without_joining() -> Iterator[None]:
     """Whoever has a place in the chain may lead it, reconciled or not."""
 
-    def may_lead(view: View, local: planning.LocalMember) -> bool:
+    def may_lead(view: View, local: view_planning.LocalMember) -> bool:
         return view.chain_member(local.member) is not None
 
-    with mock.patch.object(planning, "may_lead", may_lead):
+    with mock.patch.object(view_planning, "may_lead", may_lead):
         yield
 
 
@@ -223,11 +223,11 @@
 def lead_by_log_alone() -> Iterator[None]:
     """In the second epoch and later a member without any entry may not lead, though it was in every chain."""
 
-    def may_lead(view: View, local: planning.LocalMember) -> bool:
+    def may_lead(view: View, local: view_planning.LocalMember) -> bool:
         chain_member = view.chain_member(local.member)
         return chain_member is not None and (local.log_epoch >= chain_member.joined or view.epoch <= 1)
 
-    with mock.patch.object(planning, "may_lead", may_lead):
+    with mock.patch.object(view_planning, "may_lead", may_lead):
         yield
 
 
--- a/millethead/replication/replica.py
+++ b/millethead/replication/replica.py
@@ -25,7 +25,10 @@
     PaxosMessage,
     ViewAnnouncement,
 )
-from millethead.replication.planning import (
+from millethead.replication.proposal import ViewCause, ViewProposal
+from millethead.replication.snapshot_transfer import PART_BYTES
+from millethead.replication.view import NO_VIEW, ChainMember, Member, View
+from millethead.replication.view_planning import (
     RESTART_DELAY_S,
     TAKEOVER_RANK_DELAY_S,
     LocalMember,
@@ -36,9 +39,6 @@
     plan_takeover,
     takeover_rank,
 )
-from millethead.replication.proposal import ViewCause, ViewProposal
-from millethead.replication.snapshot_transfer import PART_BYTES
-from millethead.replication.view import NO_VIEW, ChainMember, Member, View
 from millethead.replication.view_register import AgreementPorts, KnownView, ViewRegister
 from millethead.rollout.register import Kept
 from millethead.rpc.codec import Record
--- a/tests/test_joint.py
+++ b/tests/test_joint.py
@@ -8,8 +8,8 @@
 from millethead.replication.heartbeat_monitor import HeartbeatMonitor
 from millethead.replication.joint import JointRound, has_majorities
 from millethead.replication.messages import Heartbeat, PeerAge
-from millethead.replication.planning import VOTER_REMOVAL_TIMEOUT_S, LocalMember, plan_as_head, plan_voters
 from millethead.replication.view import ChainMember, Member, View, ViewWithoutOutgoing, next_view
+from millethead.replication.view_planning import VOTER_REMOVAL_TIMEOUT_S, LocalMember, plan_as_head, plan_voters
 from millethead.replication.view_register import KnownView, decode_view, round_for
 from millethead.rollout.register import Refused, Word
 from millethead.rpc.codec import encode
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -13,9 +13,9 @@
 from millethead.replication.heartbeat_monitor import HeartbeatMonitor
 from millethead.replication.log import ReplicatedLog
 from millethead.replication.messages import Heartbeat, PeerAge
-from millethead.replication.planning import LocalMember, plan_chain
 from millethead.replication.replica import Replica, ReplicaSettings
 from millethead.replication.view import ChainMember, Member, View, next_view
+from millethead.replication.view_planning import LocalMember, plan_chain
 from millethead.rollout.register import Kept
 from millethead.storage.log import Recovered
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -28,8 +28,8 @@
     LogEntry,
 )
 from millethead.replication.place import LogPlace
-from millethead.replication.planning import LocalMember, may_lead
 from millethead.replication.view import ChainMember, Member, View, next_view
+from millethead.replication.view_planning import LocalMember, may_lead
 from millethead.rpc.codec import Record
 from millethead.storage.log import Entry, Recovered, Snapshot
 
--- a/tests/test_sync_times.py
+++ b/tests/test_sync_times.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from millethead.replication.planning import SLOW_DISK_MS
+from millethead.replication.view_planning import SLOW_DISK_MS
 from millethead.storage.log import Entry
 from millethead.storage.sync_times import MEMORY_S, SyncTimes
 from millethead.storage.writer import LogWriter
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -11,8 +11,8 @@
 from millethead.lab.core_world import CoreWorld, WorldSettings
 from millethead.replication.heartbeat_monitor import HeartbeatMonitor
 from millethead.replication.messages import Heartbeat
-from millethead.replication.planning import LocalMember, is_head_healthy, keeps_all_members
 from millethead.replication.view import ChainMember, Member, View, next_view
+from millethead.replication.view_planning import LocalMember, is_head_healthy, keeps_all_members
 
 HEAD, SECOND, THIRD = (Member(f"{name}:1", disk) for disk, name in enumerate("abc", 1))
 VIEW = View(4, (HEAD, SECOND, THIRD), tuple(ChainMember(member, 10, 1) for member in (HEAD, SECOND, THIRD)))
