--- a/millethead/lab/core_mutants.py
+++ b/millethead/lab/core_mutants.py
@@ -20,7 +20,7 @@
 from millethead.replication import view_planning
 from millethead.replication.chain import Chain
 from millethead.replication.chain_ports import Role
-from millethead.replication.joint import JointRound, Quorums
+from millethead.replication.joint_round import JointRound, Quorums
 from millethead.replication.messages import PaxosMessage
 from millethead.replication.replica import Replica, ReplicaSettings
 from millethead.replication.view import View
--- a/millethead/replication/view_register.py
+++ b/millethead/replication/view_register.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Protocol
 
-from millethead.replication.joint import JointRound, Quorums
+from millethead.replication.joint_round import JointRound, Quorums
 from millethead.replication.messages import PaxosKind, PaxosMessage
 from millethead.replication.view import NO_VIEW, Member, View, ViewWithoutOutgoing
 from millethead.rollout.register import Acceptor, Ballot, Kept, Refused, Word
--- a/tests/test_joint.py
+++ b/tests/test_joint.py
@@ -6,7 +6,7 @@
 import pytest
 
 from millethead.replication.heartbeat_monitor import HeartbeatMonitor
-from millethead.replication.joint import JointRound, has_majorities
+from millethead.replication.joint_round import JointRound, has_majorities
 from millethead.replication.messages import Heartbeat, PeerAge
 from millethead.replication.view import ChainMember, Member, View, ViewWithoutOutgoing, next_view
 from millethead.replication.view_planning import VOTER_REMOVAL_TIMEOUT_S, LocalMember, plan_as_head, plan_voters
--- a/tests/test_replication_model.py
+++ b/tests/test_replication_model.py
@@ -17,7 +17,7 @@
 
 from millethead.lab.core_mutants import promise_before_sync, view_without_majority
 from millethead.replication import view_register
-from millethead.replication.joint import JointRound
+from millethead.replication.joint_round import JointRound
 from millethead.replication.messages import PaxosMessage
 from millethead.replication.view import ChainMember, Member, View, next_view
 from millethead.replication.view_register import KnownView, ViewRegister
