--- a/millethead/replication/chain.py
+++ b/millethead/replication/chain.py
@@ -29,7 +29,7 @@
     LogEntry,
 )
 from millethead.replication.snapshot_transfer import PART_BYTES, IncomingSnapshot
-from millethead.replication.successor import SuccessorLink
+from millethead.replication.successor_link import SuccessorLink
 from millethead.replication.view import ChainMember, Member, View
 from millethead.rpc.codec import Record
 from millethead.storage.log import Entry, Snapshot
--- a/tests/test_large_state.py
+++ b/tests/test_large_state.py
@@ -35,7 +35,7 @@
     SnapshotProgress,
 )
 from millethead.replication.snapshot_transfer import WINDOW_PARTS
-from millethead.replication.successor import COPY_BYTES
+from millethead.replication.successor_link import COPY_BYTES
 from millethead.rpc.codec import encode_any
 from millethead.storage.log import Entry, LogFile, Recovered, Snapshot
 from millethead.storage.records import MAX_RECORD
