--- a/millethead/configuration/change.py
+++ b/millethead/configuration/change.py
@@ -26,7 +26,7 @@
     read_record,
     read_with,
 )
-from millethead.replication.place import EARLIEST_PLACE, NO_PLACE, LogPlace
+from millethead.replication.log_position import EARLIEST_POSITION, NO_POSITION, LogPosition
 
 MOST_REMEMBERED = 4096  # accepted orders, the newest, that are recognised when they are sent again
 MOST_DOCUMENT_BYTES = 8 << 20  # of the whole configuration; a body is no longer either
@@ -85,7 +85,7 @@
 class AcceptedOrder:
     """What is remembered of an accepted order: its log entry, and the version that it builds on."""
 
-    place: LogPlace
+    place: LogPosition
     builds_on: int
 
 
@@ -107,7 +107,7 @@
     def __init__(self) -> None:
         self.document = b""
         self.configuration: Configuration | None = None
-        self.place = NO_PLACE
+        self.place = NO_POSITION
         self._accepted: dict[bytes, AcceptedOrder] = {}  # by the digest, oldest first
         self._forgotten = 0  # orders that build on a version below this may have been accepted and be forgotten
         self._refused: dict[bytes, None] = {}  # digests, oldest first
@@ -171,11 +171,11 @@
         if len(self._refused) > MOST_REFUSED:
             del self._refused[next(iter(self._refused))]
 
-    def knows(self, place: LogPlace) -> bool:
+    def knows(self, place: LogPosition) -> bool:
         """Whether the entry at a place brought a configuration, as far as is remembered; also before the first."""
-        return place in (NO_PLACE, self.place) or any(place == order.place for order in self._accepted.values())
+        return place in (NO_POSITION, self.place) or any(place == order.place for order in self._accepted.values())
 
-    def accept(self, order: Order, decision: Decision, place: LogPlace) -> None:
+    def accept(self, order: Order, decision: Decision, place: LogPosition) -> None:
         """Put an accepted order into force, which the entry at `place` brought; raises NotAcceptable, without any
         change, where the decision is not to accept it or another order has taken effect since."""
         if decision.verdict is not Verdict.ACCEPTED or decision.configuration is None or decision.document is None:
@@ -230,7 +230,7 @@
     document: bytes
     accepted: dict[bytes, AcceptedOrder]
     refused: list[bytes]
-    place: LogPlace
+    place: LogPosition
     forgotten: int
 
 
@@ -247,12 +247,12 @@
     orders = _split_items(data[accepted_at:refused_at], accepted_count, DIGEST_BYTES + ORDER.size)
     accepted = {order[:DIGEST_BYTES]: _read_order(order) for order in orders}
     refused = _split_items(data[refused_at:], refused_count, DIGEST_BYTES)
-    return _Encoded(data[HEADER.size : accepted_at], accepted, refused, LogPlace(epoch, sequence), forgotten)
+    return _Encoded(data[HEADER.size : accepted_at], accepted, refused, LogPosition(epoch, sequence), forgotten)
 
 
 def _read_order(item: bytes) -> AcceptedOrder:
     epoch, sequence, builds_on = ORDER.unpack_from(item, DIGEST_BYTES)
-    return AcceptedOrder(LogPlace(epoch, sequence), builds_on)
+    return AcceptedOrder(LogPosition(epoch, sequence), builds_on)
 
 
 def _split_first(data: bytes) -> _Encoded:
@@ -263,8 +263,8 @@
     digests_at = FIRST_HEADER.size + document_bytes
     digests = _split_items(data[digests_at:], count, DIGEST_BYTES)
     document = data[FIRST_HEADER.size : digests_at]
-    place = EARLIEST_PLACE if document else NO_PLACE
-    return _Encoded(document, dict.fromkeys(digests, AcceptedOrder(EARLIEST_PLACE, 0)), [], place, 0)
+    place = EARLIEST_POSITION if document else NO_POSITION
+    return _Encoded(document, dict.fromkeys(digests, AcceptedOrder(EARLIEST_POSITION, 0)), [], place, 0)
 
 
 def _split_items(data: bytes, count: int, size: int) -> list[bytes]:
--- a/millethead/control/calls.py
+++ b/millethead/control/calls.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from millethead.replication.place import LogPlace
+from millethead.replication.log_position import LogPosition
 from millethead.replication.view import View
 from millethead.rpc.codec import U16, U32, U64, Record, tagged
 
@@ -21,7 +21,7 @@
     node: str
     epoch: U64
     configuration: U64
-    place: LogPlace
+    place: LogPosition
     wants_configuration: bool
 
 
@@ -66,7 +66,7 @@
     """
 
     epoch: U64
-    place: LogPlace
+    place: LogPosition
     version: U64
     document: bytes
     force: bool
@@ -78,7 +78,7 @@
     """Confirms that the caller has put a configuration into force."""
 
     version: U64
-    place: LogPlace
+    place: LogPosition
 
 
 @tagged(130)
--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -15,7 +15,7 @@
 from millethead.configuration.model import Configuration
 from millethead.control.calls import CallerHello, ConfigurationAck, ConfigurationUpdate
 from millethead.control.commit import CommitGate, Committed, CommittedLink
-from millethead.replication.place import NO_PLACE, LogPlace
+from millethead.replication.log_position import NO_POSITION, LogPosition
 
 log = structlog.get_logger()
 
@@ -32,8 +32,8 @@
     link: CommittedLink
     wants_configuration: bool
     configuration: int
-    place: LogPlace
-    sent_place: LogPlace = NO_PLACE
+    place: LogPosition
+    sent_place: LogPosition = NO_POSITION
 
     def to_hello(self) -> CallerHello:
         """Return the hello that represents this session for the head of another epoch."""
@@ -45,7 +45,7 @@
     """Configuration in force at a follower of the stream: its version and its log position."""
 
     version: int = 0
-    place: LogPlace = NO_PLACE
+    place: LogPosition = NO_POSITION
 
     def accept(self, update: ConfigurationUpdate, epoch: int) -> bool:
         """Accept or reject an update; return whether it has to be put into force.
@@ -73,7 +73,7 @@
     Before the first configuration, `configuration` is None and `document` is empty.
     """
 
-    place: LogPlace
+    place: LogPosition
     document: bytes
     configuration: Configuration | None
 
@@ -109,7 +109,7 @@
         self._epoch = epoch
         for caller in self.callers:
             if caller.wants_configuration and caller.place != self._state.place:
-                caller.sent_place = NO_PLACE
+                caller.sent_place = NO_POSITION
                 self._send_newest(caller)
 
     def add_caller(self, link: CommittedLink, hello: CallerHello) -> CallerSession:
--- a/millethead/control/state.py
+++ b/millethead/control/state.py
@@ -21,7 +21,7 @@
 from millethead.jobs.drained import DrainedNodes
 from millethead.jobs.snapshot import TableEncoder, restore_table
 from millethead.jobs.state import JobTable, Outcome
-from millethead.replication.place import LogPlace
+from millethead.replication.log_position import LogPosition
 from millethead.rpc.codec import CodecError, Record, decode, decode_any, encode
 
 
@@ -64,13 +64,13 @@
         self.drained = DrainedNodes()
         self._encoder = TableEncoder(self.jobs)
 
-    def apply(self, payload: bytes, place: LogPlace) -> Decision | Outcome | None:
+    def apply(self, payload: bytes, place: LogPosition) -> Decision | Outcome | None:
         """Apply the command of the log entry at `place`. The first entry of an epoch has no command."""
         if not payload:
             return None
         return self.apply_command(decode_any(payload), place)
 
-    def apply_command(self, command: Record, place: LogPlace) -> Decision | Outcome | None:
+    def apply_command(self, command: Record, place: LogPosition) -> Decision | Outcome | None:
         """Apply a decoded command; `place` is its log position."""
         match command:
             case ChangeConfiguration():
@@ -97,7 +97,7 @@
                 return None
         raise ValueError(f"{type(command).__name__} is not a command")
 
-    def _change(self, command: ChangeConfiguration, place: LogPlace) -> Decision:
+    def _change(self, command: ChangeConfiguration, place: LogPosition) -> Decision:
         order = configuration_order(command)
         decision = self.configuration.decide(order)
         if decision.verdict is Verdict.ACCEPTED:
--- a/millethead/lab/core_oracle.py
+++ b/millethead/lab/core_oracle.py
@@ -13,7 +13,7 @@
 from millethead.jobs.state import JobPhase
 from millethead.lab.core_machine import CoreProcess
 from millethead.lab.streamed import StreamedConfigurations
-from millethead.replication.place import LogPlace
+from millethead.replication.log_position import LogPosition
 from millethead.replication.view import View
 from millethead.rpc.codec import decode_any
 from millethead.storage.log import Entry
@@ -116,7 +116,7 @@
         payload = self._known[number].payload
         self._committed.append(number[0])
         self._committed_in.append(view_epoch)
-        result = self.reference.apply(payload, LogPlace(*number))
+        result = self.reference.apply(payload, LogPosition(*number))
         self.streamed.committed(self.reference.configuration)
         command = decode_any(payload) if payload else None
         if isinstance(command, ChangeConfiguration):
--- a/millethead/lab/streamed.py
+++ b/millethead/lab/streamed.py
@@ -4,7 +4,7 @@
 
 from millethead.configuration.change import ConfigurationState
 from millethead.control.calls import ConfigurationUpdate
-from millethead.replication.place import NO_PLACE, LogPlace
+from millethead.replication.log_position import NO_POSITION, LogPosition
 
 
 class UncommittedConfiguration(AssertionError):
@@ -15,8 +15,8 @@
     """All configurations that were ever committed, by the place of their entry."""
 
     def __init__(self) -> None:
-        self._documents: dict[LogPlace, bytes] = {}
-        self.newest = NO_PLACE
+        self._documents: dict[LogPosition, bytes] = {}
+        self.newest = NO_POSITION
 
     def committed(self, state: ConfigurationState) -> None:
         """A state all of which is committed."""
--- a/millethead/lab/system_core.py
+++ b/millethead/lab/system_core.py
@@ -20,7 +20,7 @@
 from millethead.lab.core_time import Timeline
 from millethead.lab.system_clock import MachineClock
 from millethead.lab.system_wire import WireEnd
-from millethead.replication.place import LogPlace
+from millethead.replication.log_position import LogPosition
 from millethead.replication.view import NO_VIEW, View
 from millethead.rpc.codec import Record
 from millethead.storage.log import Entry
@@ -36,7 +36,7 @@
 class CoreEvents(Protocol):
     """What the core tells the world."""
 
-    def committed(self, place: LogPlace, state: ControlState) -> None:
+    def committed(self, place: LogPosition, state: ControlState) -> None:
         """The entry at a place is at every member of the chain, and leads to this state."""
         ...
 
@@ -79,7 +79,7 @@
 
     def propose(self, payload: bytes) -> tuple[int, object]:
         sequence = len(self.log) + 1
-        result = self._process.state.apply(payload, LogPlace(self._epoch, sequence))
+        result = self._process.state.apply(payload, LogPosition(self._epoch, sequence))
         self.log.append(Entry(self._epoch, sequence, payload))
         self._sync(sequence)
         return sequence, result
@@ -290,7 +290,7 @@
 
     def commit(self, entry: Entry) -> None:
         """An entry is at every member."""
-        place = LogPlace(entry.epoch, entry.sequence)
+        place = LogPosition(entry.epoch, entry.sequence)
         self.log.append(entry)
         self.reference.apply(entry.payload, place)
         self._events.committed(place, self.reference)
--- a/millethead/lab/system_world.py
+++ b/millethead/lab/system_world.py
@@ -28,7 +28,7 @@
 from millethead.lab.system_wire import Wire
 from millethead.lab.system_worker import Condition, GangRegistry, SystemWorker
 from millethead.lab.worker import TaskWork, WorkerProfile
-from millethead.replication.place import LogPlace
+from millethead.replication.log_position import LogPosition
 
 FIRST_JOB_S = 0.5
 HEAL_S = 2.0  # from the end of the troubles until all machines are back
@@ -213,7 +213,7 @@
 
     # ---- the core ----------------------------------------------------------------------------------------
 
-    def committed(self, place: LogPlace, state: ControlState) -> None:
+    def committed(self, place: LogPosition, state: ControlState) -> None:
         self.history.entries += 1
         self.oracle.streamed.committed(state.configuration)
 
--- a/millethead/replication/log.py
+++ b/millethead/replication/log.py
@@ -14,8 +14,8 @@
 from collections.abc import Iterator, Sequence
 from typing import Protocol
 
+from millethead.replication.log_position import LogPosition
 from millethead.replication.messages import EpochSpan
-from millethead.replication.place import LogPlace
 from millethead.storage.log import Entry, Recovered, Snapshot
 
 MAX_RETAINED_ENTRIES = 2000  # limit of the entries retained after compaction, for members that lack only a few
@@ -26,8 +26,8 @@
 class StateMachine(Protocol):
     """A deterministic state machine: the same entries produce the same state on each member."""
 
-    def apply(self, payload: bytes, place: LogPlace) -> object:
-        """Applies the command of the entry at `place` and returns its result."""
+    def apply(self, payload: bytes, position: LogPosition) -> object:
+        """Applies the command of the entry at `position` and returns its result."""
         ...
 
     def prepare_snapshot(self) -> bool:
@@ -70,7 +70,7 @@
         return None if self.rebuilding else self._apply(entry)
 
     def _apply(self, entry: Entry) -> object:
-        return self.machine.apply(entry.payload, LogPlace(entry.epoch, entry.sequence))
+        return self.machine.apply(entry.payload, LogPosition(entry.epoch, entry.sequence))
 
     def entries_after(self, sequence: int) -> Sequence[Entry]:
         """Returns the entries above `sequence`. These must be in the log or among the retained entries."""
--- a/millethead/replication/place.py
+++ b/millethead/replication/log_position.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class LogPlace(Record):
+class LogPosition(Record):
     """Epoch and sequence of an entry. A later committed entry always has a greater position. No two entries have the
     same position, including entries that were dropped."""
 
@@ -16,5 +16,5 @@
     sequence: U64
 
 
-NO_PLACE = LogPlace(0, 0)  # before the first entry
-EARLIEST_PLACE = LogPlace(0, 1)  # assigned to data accepted before positions were stored
+NO_POSITION = LogPosition(0, 0)  # before the first entry
+EARLIEST_POSITION = LogPosition(0, 1)  # assigned to data accepted before positions were stored
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -20,7 +20,7 @@
 from millethead.lab.local_machine import HOST, PREFIX, ROUTE, SERVICE, configuration
 from millethead.programs.command_line import ExitCode, app
 from millethead.programs.core_client import CoreClient
-from millethead.replication.place import NO_PLACE, LogPlace
+from millethead.replication.log_position import NO_POSITION, LogPosition
 from millethead.replication.view import ChainMember, Member, View
 from millethead.rollout.register import Kept
 from millethead.rollout.store import Store
@@ -54,7 +54,7 @@
     def propose(self, payload):
         self.payloads.append(payload)
         self.committed += 1
-        return self.committed, self.state.apply(payload, LogPlace(1, self.committed))
+        return self.committed, self.state.apply(payload, LogPosition(1, self.committed))
 
     def send_barrier(self):
         self.barrier += 1
@@ -108,7 +108,7 @@
         self.head = Head(VIEW, self.state, self.chain, self.clock, Random(1), 120.0)
         self.clock.after = lambda: self.head.gate.barrier_passed(self.chain.barrier)
         self.link = Link()
-        self.caller = self.head.caller_hello(self.link, CallerHello("dispatcher-1", 0, 0, NO_PLACE, True))
+        self.caller = self.head.caller_hello(self.link, CallerHello("dispatcher-1", 0, 0, NO_POSITION, True))
         self.head.call(self.caller, ConfigurationCall(1, "PUT", 0, json.dumps(configuration(3)).encode()))
         self.head.caller_record(self.caller, ConfigurationAck(3, self.state.configuration.place))
 
@@ -166,7 +166,8 @@
 def test_status_tells_view_configuration_queues_and_workers(core):
     core.add_worker()
     core.submit(JOB_A, ONE)
-    core.head.caller_hello(Link(), CallerHello("dispatcher-2", 0, 0, NO_PLACE, True))  # has put nothing into force yet
+    # has put nothing into force yet
+    core.head.caller_hello(Link(), CallerHello("dispatcher-2", 0, 0, NO_POSITION, True))
     result = run("status", *AT)
     assert result.exit_code == ExitCode.OK
     lines = result.stdout.splitlines()
--- a/tests/test_committed.py
+++ b/tests/test_committed.py
@@ -12,7 +12,7 @@
 from millethead.control.commit import Committed, CommittedLink, UncommittedRelease
 from millethead.control.configuration_stream import ActiveConfiguration
 from millethead.lab.streamed import StreamedConfigurations, UncommittedConfiguration
-from millethead.replication.place import NO_PLACE, LogPlace
+from millethead.replication.log_position import NO_POSITION, LogPosition
 
 PACKAGE = Path(millethead.__file__).parent
 GATE_MODULE = PACKAGE / "control" / "commit.py"
@@ -104,7 +104,7 @@
     assert raw_link_uses("def hello(self, link: HeadLink): return CommittedLink(link, self._chain)") == []
 
 
-def update(epoch: int, place: LogPlace, version: int, force: bool = False) -> ConfigurationUpdate:
+def update(epoch: int, place: LogPosition, version: int, force: bool = False) -> ConfigurationUpdate:
     return ConfigurationUpdate(epoch, place, version, b"{}", force)
 
 
@@ -129,40 +129,40 @@
 
 def test_follower_orders_updates_by_log_position_not_version() -> None:
     held = ActiveConfiguration()
-    assert held.accept(update(2, LogPlace(2, 7), 5), 2)
-    assert not held.accept(update(2, LogPlace(2, 7), 5), 2), "the same update again"
-    assert held.accept(update(3, LogPlace(3, 9), 5), 3), "another order under the same number"
-    assert not held.accept(update(3, LogPlace(2, 8), 6), 3), "an earlier entry, whatever its version"
-    assert held.ack().place == LogPlace(3, 9)
+    assert held.accept(update(2, LogPosition(2, 7), 5), 2)
+    assert not held.accept(update(2, LogPosition(2, 7), 5), 2), "the same update again"
+    assert held.accept(update(3, LogPosition(3, 9), 5), 3), "another order under the same number"
+    assert not held.accept(update(3, LogPosition(2, 8), 6), 3), "an earlier entry, whatever its version"
+    assert held.ack().place == LogPosition(3, 9)
 
 
 def test_follower_ignores_updates_of_earlier_heads() -> None:
     held = ActiveConfiguration()
-    assert held.accept(update(4, LogPlace(4, 9), 6), 4)
-    assert not held.accept(update(3, LogPlace(3, 20), 7), 4)
-    assert not held.accept(update(3, LogPlace(3, 8), 5, force=True), 4)
+    assert held.accept(update(4, LogPosition(4, 9), 6), 4)
+    assert not held.accept(update(3, LogPosition(3, 20), 7), 4)
+    assert not held.accept(update(3, LogPosition(3, 8), 5, force=True), 4)
     assert held.version == 6
 
 
 def test_follower_replaces_an_uncommitted_configuration() -> None:
-    held = ActiveConfiguration(9, LogPlace(3, 50))
-    assert held.accept(update(4, LogPlace(2, 7), 5, force=True), 4)
-    assert (held.version, held.place) == (5, LogPlace(2, 7))
+    held = ActiveConfiguration(9, LogPosition(3, 50))
+    assert held.accept(update(4, LogPosition(2, 7), 5, force=True), 4)
+    assert (held.version, held.place) == (5, LogPosition(2, 7))
 
 
 def test_stream_oracle_detects_invalid_updates() -> None:
     streamed = StreamedConfigurations()
 
     class State:
-        place, document = LogPlace(1, 2), b"{}"
+        place, document = LogPosition(1, 2), b"{}"
 
     streamed.committed(State())  # type: ignore[arg-type]
-    assert streamed.newest == LogPlace(1, 2) > NO_PLACE
-    streamed.told(update(1, LogPlace(1, 2), 1))
+    assert streamed.newest == LogPosition(1, 2) > NO_POSITION
+    streamed.told(update(1, LogPosition(1, 2), 1))
     for invalid in (
-        update(1, LogPlace(1, 3), 2),
-        ConfigurationUpdate(1, LogPlace(1, 2), 1, b"other", False),
-        update(1, LogPlace(1, 2), 1, force=True),
+        update(1, LogPosition(1, 3), 2),
+        ConfigurationUpdate(1, LogPosition(1, 2), 1, b"other", False),
+        update(1, LogPosition(1, 2), 1, force=True),
     ):
         with pytest.raises(UncommittedConfiguration):
             streamed.told(invalid)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -35,7 +35,7 @@
     load_settings,
     parse_settings,
 )
-from millethead.replication.place import EARLIEST_PLACE, NO_PLACE, LogPlace
+from millethead.replication.log_position import EARLIEST_POSITION, NO_POSITION, LogPosition
 
 
 def route(name: str = "r-one", **fields: Any) -> dict[str, Any]:
@@ -434,7 +434,7 @@
 def apply(state: ConfigurationState, order: Order) -> Decision:
     decision = state.decide(order)
     if decision.verdict is Verdict.ACCEPTED:
-        state.accept(order, decision, LogPlace(1, state.place.sequence + 1))
+        state.accept(order, decision, LogPosition(1, state.place.sequence + 1))
     return decision
 
 
@@ -542,12 +542,12 @@
 
 def test_the_place_is_that_of_the_entry_that_brought_the_configuration() -> None:
     state = ConfigurationState()
-    assert state.knows(NO_PLACE) and not state.knows(LogPlace(2, 9))
-    for version, place in ((0, LogPlace(2, 9)), (1, LogPlace(4, 11))):
+    assert state.knows(NO_POSITION) and not state.knows(LogPosition(2, 9))
+    for version, place in ((0, LogPosition(2, 9)), (1, LogPosition(4, 11))):
         order = put(version, whole(version + 1))
         state.accept(order, state.decide(order), place)
     for kept in (state, ConfigurationState.decode(state.encode())):
-        assert kept.place == LogPlace(4, 11) and kept.knows(LogPlace(2, 9)) and not kept.knows(LogPlace(3, 9))
+        assert kept.place == LogPosition(4, 11) and kept.knows(LogPosition(2, 9)) and not kept.knows(LogPosition(3, 9))
 
 
 def test_a_state_without_places_can_still_be_read() -> None:
@@ -555,7 +555,7 @@
     document, digest = put(0, whole(3)).body, put(0, whole(3)).digest()
     first = change_module.FIRST_HEADER.pack(change_module.FIRST_MAGIC, len(document), 1) + document + digest
     state = ConfigurationState.decode(first)
-    assert state.version == 3 and state.place == EARLIEST_PLACE > NO_PLACE
+    assert state.version == 3 and state.place == EARLIEST_POSITION > NO_POSITION
     assert state.decide(put(0, whole(3))).verdict is Verdict.REPEATED
     for length in range(4, len(first)):
         with pytest.raises(DamagedState):
@@ -566,9 +566,9 @@
     state = state_at(3)
     first, second = put(3, whole(5, colour="red")), put(3, whole(5, colour="blue"))
     decisions = state.decide(first), state.decide(second)
-    state.accept(first, decisions[0], LogPlace(1, 2))
+    state.accept(first, decisions[0], LogPosition(1, 2))
     with pytest.raises(NotAcceptable):
-        state.accept(second, decisions[1], LogPlace(1, 3))
+        state.accept(second, decisions[1], LogPosition(1, 3))
     assert state.document == first.body
 
 
@@ -577,7 +577,7 @@
     order = put(2, whole(9))
     before = state.encode()
     with pytest.raises(NotAcceptable):
-        state.accept(order, state.decide(order), LogPlace(1, 2))
+        state.accept(order, state.decide(order), LogPosition(1, 2))
     assert state.encode() == before
 
 
--- a/tests/test_configuration_scenarios.py
+++ b/tests/test_configuration_scenarios.py
@@ -10,7 +10,7 @@
 
 from millethead.configuration.change import ConfigurationState, Decision, Method, Order, Verdict
 from millethead.configuration.routing import RouteTable
-from millethead.replication.place import LogPlace
+from millethead.replication.log_position import LogPosition
 
 scenarios("features/configuration.feature")
 
@@ -29,7 +29,7 @@
     def send(self, order: Order) -> Decision:
         decision = self.state.decide(order)
         if decision.verdict is Verdict.ACCEPTED:
-            self.state.accept(order, decision, LogPlace(1, self.state.place.sequence + 1))
+            self.state.accept(order, decision, LogPosition(1, self.state.place.sequence + 1))
         return decision
 
     def send_own(self, order: Order) -> None:
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -9,13 +9,13 @@
 import structlog
 
 from millethead.control.calls import CallerHello, CallerPing, CallerPong
-from millethead.replication.place import NO_PLACE
+from millethead.replication.log_position import NO_POSITION
 from millethead.rpc import connection as connections
 from millethead.rpc.codec import Record, encode_any
 from millethead.rpc.connection import MAX_FIRST_FRAME_BYTES, Connection, InputBudget
 
 FRAME = struct.Struct(">I")
-HELLO = encode_any(CallerHello("d1", 0, 0, NO_PLACE, True))
+HELLO = encode_any(CallerHello("d1", 0, 0, NO_POSITION, True))
 LARGE = 1 << 20
 
 
--- a/tests/test_head.py
+++ b/tests/test_head.py
@@ -51,7 +51,7 @@
 )
 from millethead.jobs.commands import AssignRuns, SubmitJob
 from millethead.jobs.state import JobPhase
-from millethead.replication.place import NO_PLACE, LogPlace
+from millethead.replication.log_position import NO_POSITION, LogPosition
 from millethead.replication.view import View
 from millethead.rpc.codec import Record, decode_any, encode_any
 from millethead.scheduling.model import StepKey
@@ -75,7 +75,7 @@
 
     def propose(self, payload: bytes) -> tuple[int, object]:
         self.log.append(decode_any(payload))
-        return len(self.log), self.state.apply(payload, LogPlace(self.epoch, len(self.log)))
+        return len(self.log), self.state.apply(payload, LogPosition(self.epoch, len(self.log)))
 
     def send_barrier(self) -> int:
         self.barrier += 1
@@ -196,7 +196,7 @@
         self.chain = FakeChain(self.state, epoch)
         self.head = Head(View(epoch, (), ()), self.state, self.chain, self.clock, Random(1), STATUS_S)
         self.link = FakeLink()
-        self.caller: CallerSession = self.head.caller_hello(self.link, CallerHello("d1", 0, 0, NO_PLACE, True))
+        self.caller: CallerSession = self.head.caller_hello(self.link, CallerHello("d1", 0, 0, NO_POSITION, True))
         self._number = 0
         if configured and state is None:
             self.configure(document())
@@ -394,26 +394,26 @@
 def test_new_caller_gets_welcome_and_configuration() -> None:
     harness = HeadHarness()
     link = FakeLink()
-    caller = harness.head.caller_hello(link, CallerHello("d2", 0, 0, NO_PLACE, True))
+    caller = harness.head.caller_hello(link, CallerHello("d2", 0, 0, NO_POSITION, True))
     assert link.take(CallerWelcome)[0].serving
     assert not link.take(ConfigurationUpdate)
     harness.settle()
     assert [update.version for update in link.take(ConfigurationUpdate)] == [1]
-    harness.head.caller_record(caller, ConfigurationAck(1, LogPlace(1, 1)))
+    harness.head.caller_record(caller, ConfigurationAck(1, LogPosition(1, 1)))
     assert caller.configuration == 1
 
 
 def test_caller_with_the_current_configuration_gets_no_update() -> None:
     harness = HeadHarness()
     link = FakeLink()
-    harness.head.caller_hello(link, CallerHello("d2", 0, 1, LogPlace(1, 1), True))
+    harness.head.caller_hello(link, CallerHello("d2", 0, 1, LogPosition(1, 1), True))
     harness.settle()
     assert not link.take(ConfigurationUpdate)
 
 
 def test_new_configuration_is_sent_to_all_connected_callers() -> None:
     harness = HeadHarness()
-    gone = harness.head.caller_hello(FakeLink(), CallerHello("d2", 0, 1, LogPlace(1, 1), True))
+    gone = harness.head.caller_hello(FakeLink(), CallerHello("d2", 0, 1, LogPosition(1, 1), True))
     harness.head.caller_disconnected(gone)
     harness.link.take(ConfigurationUpdate)
     assert harness.configure(document(4), 1) == 200
@@ -450,13 +450,13 @@
     harness = HeadHarness()
     harness.head.call(harness.caller, ConfigurationCall(77, "PUT", 1, document(2)))
     link = FakeLink()
-    harness.head.caller_hello(link, CallerHello("d2", 0, 0, NO_PLACE, True))
+    harness.head.caller_hello(link, CallerHello("d2", 0, 0, NO_POSITION, True))
     harness.clock.run()
     harness.head.gate.barrier_passed(harness.chain.barrier)
     assert not link.take(ConfigurationUpdate)
     harness.commit()
     (update,) = link.take(ConfigurationUpdate)
-    assert (update.version, update.place, update.force) == (2, LogPlace(1, len(harness.chain.log)), False)
+    assert (update.version, update.place, update.force) == (2, LogPosition(1, len(harness.chain.log)), False)
 
 
 def test_each_of_two_pending_orders_is_published_with_its_own_commit() -> None:
@@ -470,7 +470,7 @@
         harness.chain.committed = sequence
         harness.head.gate.committed(sequence)
         (update,) = harness.link.take(ConfigurationUpdate)
-        assert (update.version, update.place) == (version, LogPlace(1, sequence))
+        assert (update.version, update.place) == (version, LogPosition(1, sequence))
         assert json.loads(update.document)["version"] == version
 
 
@@ -478,7 +478,7 @@
     harness = HeadHarness(epoch=3)
     link = FakeLink()
     with structlog.testing.capture_logs() as lines:
-        harness.head.caller_hello(link, CallerHello("d2", 0, 9, LogPlace(2, 50), True))
+        harness.head.caller_hello(link, CallerHello("d2", 0, 9, LogPosition(2, 50), True))
         harness.settle()
     (update,) = link.take(ConfigurationUpdate)
     assert update.force and (update.epoch, update.version) == (3, 1)
--- a/tests/test_head_caller.py
+++ b/tests/test_head_caller.py
@@ -19,7 +19,7 @@
     JobCall,
 )
 from millethead.control.client import CallFailed, HeadClient
-from millethead.replication.place import LogPlace
+from millethead.replication.log_position import LogPosition
 from millethead.replication.view import ChainMember, Member, View
 from millethead.rpc.codec import Record, decode_any
 from millethead.rpc.connection import Connection, InputBudget
@@ -143,14 +143,14 @@
 async def test_configuration_of_an_earlier_head_is_ignored() -> None:
     applied: list[int] = []
     member, client = await joined(lambda version, _: applied.append(version))
-    member.send(ConfigurationUpdate(1, LogPlace(1, 4), 7, b"{}", False))
+    member.send(ConfigurationUpdate(1, LogPosition(1, 4), 7, b"{}", False))
     await member.next(ConfigurationAck)
     member.serve(2)
-    member.send(ConfigurationUpdate(1, LogPlace(1, 9), 8, b"{}", False))
+    member.send(ConfigurationUpdate(1, LogPosition(1, 9), 8, b"{}", False))
     ack = await member.next(ConfigurationAck)
-    assert ack == ConfigurationAck(7, LogPlace(1, 4))
-    member.send(ConfigurationUpdate(2, LogPlace(2, 6), 8, b"{}", False))
-    assert await member.next(ConfigurationAck) == ConfigurationAck(8, LogPlace(2, 6))
+    assert ack == ConfigurationAck(7, LogPosition(1, 4))
+    member.send(ConfigurationUpdate(2, LogPosition(2, 6), 8, b"{}", False))
+    assert await member.next(ConfigurationAck) == ConfigurationAck(8, LogPosition(2, 6))
     assert applied == [7, 8]
     client.close()
     member.stop()
--- a/tests/test_leading_on.py
+++ b/tests/test_leading_on.py
@@ -22,7 +22,7 @@
 )
 from millethead.execution.messages import AgentWelcome
 from millethead.replication.chain_ports import Role
-from millethead.replication.place import NO_PLACE
+from millethead.replication.log_position import NO_POSITION
 from millethead.replication.replica import Replica
 from millethead.replication.view import ChainMember, Member, View
 from millethead.rpc.codec import Record, encode_any
@@ -142,7 +142,7 @@
     bench.settle()
     agent.link.sent.clear()
     link = RawLink()
-    caller = bench.head.caller_hello(link, CallerHello("d2", 0, 0, NO_PLACE, False))
+    caller = bench.head.caller_hello(link, CallerHello("d2", 0, 0, NO_POSITION, False))
     bench.head.continue_in_view(View(5, (), ()))
     assert [record.view.epoch for record in link.sent if isinstance(record, CallerWelcome)] == [4, 5]
     for number, epoch in ((70, 4), (71, 5), (72, 3), (73, 6)):
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -95,7 +95,7 @@
 
 
 class EmptyMachine:
-    def apply(self, payload, place):
+    def apply(self, payload, position):
         """Ignores the entry."""
 
     def prepare_snapshot(self) -> bool:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -16,6 +16,7 @@
 from millethead.replication.chain import Chain
 from millethead.replication.chain_ports import Role
 from millethead.replication.log import ReplicatedLog
+from millethead.replication.log_position import LogPosition
 from millethead.replication.messages import (
     BarrierAck,
     ChainAck,
@@ -27,7 +28,6 @@
     EpochSpan,
     LogEntry,
 )
-from millethead.replication.place import LogPlace
 from millethead.replication.view import ChainMember, Member, View, next_view
 from millethead.replication.view_planning import LocalMember, may_lead
 from millethead.rpc.codec import Record
@@ -144,7 +144,7 @@
     def __init__(self) -> None:
         self.payloads: list[bytes] = []
 
-    def apply(self, payload: bytes, place: LogPlace) -> None:
+    def apply(self, payload: bytes, position: LogPosition) -> None:
         self.payloads.append(payload)
 
     def snapshot(self) -> bytes:
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -11,13 +11,13 @@
 
 from millethead.control.calls import CallerHello, CallerPing
 from millethead.programs.loop_ports import MOST_DATAGRAMS, DatagramSocket
-from millethead.replication.place import NO_PLACE
+from millethead.replication.log_position import NO_POSITION
 from millethead.rpc.codec import Record
 from millethead.rpc.connection import MAX_DEFERRED_INPUT_BYTES, Connection, InputBudget
 from millethead.rpc.loop_budget import ITERATION_BUDGET_S, IterationBudget
 
 COST_S = 0.003  # time that handling one record takes
-HELLO = CallerHello("d1", 0, 0, NO_PLACE, True)
+HELLO = CallerHello("d1", 0, 0, NO_POSITION, True)
 
 
 class FakeLoop:
