--- a/millethead/replication/heartbeat_monitor.py
+++ b/millethead/replication/heartbeat_monitor.py
@@ -1,4 +1,4 @@
-"""Failure detection among the core members, by heartbeats that contain the time since the sender last heard each peer.
+"""Failure detection among the core members, by heartbeats that contain the ages of the last heartbeats from each peer.
 
 The core has at most nine members, so each member sends heartbeats to all others. The ages in a heartbeat replace the
 indirect probes of SWIM: a member that is silent only for one peer has lost its connection to that peer only. The result
@@ -115,9 +115,9 @@
             and now - second_contact.peer_received_at.get(first, float("-inf")) <= limit
         )
 
-    def hears(self, now: float, listener: str, address: str) -> bool:
-        """Whether `listener`, another member that sends heartbeats here, recently received one from `address`."""
-        contact = self._contacts.get(listener)
+    def peer_receives(self, now: float, peer: str, address: str) -> bool:
+        """Whether `peer`, another member that sends heartbeats here, recently received one from `address`."""
+        contact = self._contacts.get(peer)
         if contact is None or now - contact.received_at > self.suspicion_timeout_s:
             return False
         return (
--- a/millethead/replication/log.py
+++ b/millethead/replication/log.py
@@ -156,13 +156,13 @@
         """Returns the last sequence up to which this log and another log, described by its base and spans, are
         identical. Returns None if it cannot be determined because the entries there were compacted."""
         own = (self._retained_after, *_spans(self._retained_entries), self.base_span(), *self.spans())
-        mine = {span.epoch: span.last for span in own}
-        theirs = {span.epoch: span.last for span in (base, *spans)}
-        shared = [epoch for epoch in mine if epoch in theirs]
+        own_last = {span.epoch: span.last for span in own}
+        other_last = {span.epoch: span.last for span in (base, *spans)}
+        shared = [epoch for epoch in own_last if epoch in other_last]
         if not shared:
             return None
         newest = max(shared)
-        point = min(mine[newest], theirs[newest])
+        point = min(own_last[newest], other_last[newest])
         if point < self._retained_after.last or point < base.last:
             return None
         return point
--- a/millethead/replication/view_planning.py
+++ b/millethead/replication/view_planning.py
@@ -65,8 +65,8 @@
 
 
 def head_failure(now: float, view: View, local: LocalMember, monitor: HeartbeatMonitor) -> ViewCause | None:
-    """Returns what is wrong with the head of the view. Returns None if it is running and a majority of the voters
-    connected to this member still receives its heartbeats."""
+    """Returns what is wrong with the head of the view. Returns None if it is running and, according to the heartbeats
+    of the voters, a majority of them still receives its heartbeats."""
     head = view.head
     if head is None:
         return ViewCause.HEAD_ENDED
@@ -82,14 +82,16 @@
         if heartbeat.leaving:
             return ViewCause.HEAD_LEAVING
         # a head that does not receive the heartbeats of a majority cannot commit
-        hears_majority = _head_hears_majority(now, view, contact.peer_received_at, monitor.suspicion_timeout_s)
-        return None if hears_majority else ViewCause.HEAD_ISOLATED
-    hearing_voters = sum(
-        voter != head.member and monitor.hears(now, voter.address, head.member.address)
+        receives_from_majority = _head_receives_from_majority(
+            now, view, contact.peer_received_at, monitor.suspicion_timeout_s
+        )
+        return None if receives_from_majority else ViewCause.HEAD_ISOLATED
+    receiving_voters = sum(
+        voter != head.member and monitor.peer_receives(now, voter.address, head.member.address)
         for voter in view.voters
         if voter != local.member
     )
-    return None if hearing_voters + 1 >= view.majority() else ViewCause.HEAD_SILENT
+    return None if receiving_voters + 1 >= view.majority() else ViewCause.HEAD_SILENT
 
 
 def is_head_healthy(now: float, view: View, local: LocalMember, monitor: HeartbeatMonitor) -> bool:
@@ -97,16 +99,16 @@
     return head_failure(now, view, local, monitor) is None
 
 
-def _head_hears_majority(
+def _head_receives_from_majority(
     now: float, view: View, peer_received_at: dict[str, float], suspicion_timeout_s: float
 ) -> bool:
     """Whether the head receives heartbeats from a majority of the voters."""
-    heard = 1 + sum(
+    received_voters = 1 + sum(
         now - peer_received_at.get(voter.address, float("-inf")) <= PEER_SUSPICION_FACTOR * suspicion_timeout_s
         for voter in view.voters
         if view.head is not None and voter != view.head.member
     )
-    return heard >= view.majority()
+    return received_voters >= view.majority()
 
 
 def _mutually_connected(
@@ -213,7 +215,7 @@
     vacant = len(view.voters) - len(kept)
     for voter in silent[: max(0, len(joining) - vacant)]:
         kept.remove(voter)
-    voters = _without_dead(now, [*kept, *joining], local, monitor)
+    voters = _without_silent_voters(now, [*kept, *joining], local, monitor)
     connected = sum(voter == local.member or _is_connected(now, voter, monitor) for voter in voters)
     if 2 * connected <= len(voters) or set(voters) == set(view.voters):
         return view.voters
@@ -241,29 +243,31 @@
     return found
 
 
-def _without_dead(now: float, voters: list[Member], local: LocalMember, monitor: HeartbeatMonitor) -> list[Member]:
+def _without_silent_voters(
+    now: float, voters: list[Member], local: LocalMember, monitor: HeartbeatMonitor
+) -> list[Member]:
     """Removes the voters that have been silent for a long time, where that gives the rest a larger margin over a
     majority."""
-    dead = [
+    long_silent = [
         voter
         for voter in voters
         if voter != local.member
         and min(monitor.silent_s(now, voter.address), now - local.started) > VOTER_REMOVAL_TIMEOUT_S
     ]
     remaining = list(voters)
-    for voter in dead:
-        live = sum(other == local.member or _is_connected(now, other, monitor) for other in remaining)
-        if len(remaining) <= MIN_VOTERS or _majority_margin(live, len(remaining) - 1) <= _majority_margin(
-            live, len(remaining)
+    for voter in long_silent:
+        connected = sum(other == local.member or _is_connected(now, other, monitor) for other in remaining)
+        if len(remaining) <= MIN_VOTERS or _majority_margin(connected, len(remaining) - 1) <= _majority_margin(
+            connected, len(remaining)
         ):
             continue
         remaining.remove(voter)
     return remaining
 
 
-def _majority_margin(live: int, voters: int) -> int:
+def _majority_margin(connected: int, voters: int) -> int:
     """Returns how many connected voters can fail before there is no majority."""
-    return live - (voters // 2 + 1)
+    return connected - (voters // 2 + 1)
 
 
 def plan_as_head(now: float, view: View, local: LocalMember, monitor: HeartbeatMonitor) -> ViewProposal | None:
--- a/millethead/replication/view_register.py
+++ b/millethead/replication/view_register.py
@@ -43,11 +43,12 @@
 
 
 def _decode_earlier_format(value: bytes) -> View:
-    """Decodes the format that was written before views contained the outgoing voters."""
+    """Decodes the format that was written before views contained the outgoing voters. The text of the error is part of
+    the output of the offline check of a data directory."""
     try:
         earlier = decode(ViewWithoutOutgoing, value)
     except CodecError as error:
-        raise Refused(f"the register value is not a view: {error}") from None
+        raise Refused(f"the register holds no view: {error}") from None
     return View(earlier.epoch, earlier.voters, earlier.chain)
 
 
@@ -58,8 +59,8 @@
 
 def quorums_of(view: View, agreed_epoch: int) -> Quorums:
     """Returns the groups of voters of each of which a majority must promise before `view` can be followed by another
-    view. The outgoing voters are not needed once the view is known to be agreed, because a majority
-    of each group has accepted it by then."""
+    view. The outgoing voters are not needed once the view is known to be agreed, because a majority of each group has
+    accepted it by then."""
     outgoing = view.outgoing if view.epoch > agreed_epoch else ()
     groups = (view.voters, outgoing)
     return tuple(frozenset(voter.name for voter in group) for group in groups if group)
