--- a/millethead/lab/core_mutants.py
+++ b/millethead/lab/core_mutants.py
@@ -17,14 +17,14 @@
 from millethead.lab import core_world
 from millethead.lab.core_storage import CoreStorage
 from millethead.lab.disk import SimulatedDisk
-from millethead.replication import planning
-from millethead.replication.agreement import ViewRegister
+from millethead.replication import view_planning
 from millethead.replication.chain import Chain
 from millethead.replication.chain_ports import Role
-from millethead.replication.joint import JointRound, Quorums
+from millethead.replication.joint_round import JointRound, Quorums
 from millethead.replication.messages import PaxosMessage
 from millethead.replication.replica import Replica, ReplicaSettings
 from millethead.replication.view import View
+from millethead.replication.view_register import ViewRegister
 from millethead.storage.files import FileSystem
 from millethead.storage.identity import DiskIdentity
 from millethead.storage.log import Entry, LogFile
@@ -54,8 +54,8 @@
 def too_few_disks() -> Iterator[None]:
     """One member of the chain fewer than t + 1 is enough to answer."""
 
-    def settings(least_chain: int, snapshot_part_bytes: int) -> ReplicaSettings:
-        return ReplicaSettings(least_chain=least_chain - 1, snapshot_part_bytes=snapshot_part_bytes)
+    def settings(min_chain_length: int, snapshot_part_bytes: int) -> ReplicaSettings:
+        return ReplicaSettings(min_chain_length=min_chain_length - 1, snapshot_part_bytes=snapshot_part_bytes)
 
     with mock.patch.object(core_world, "ReplicaSettings", settings):
         yield
@@ -83,19 +83,19 @@
 def swap_with_new_majority() -> AbstractContextManager[object]:
     """A view that changes the voters is agreed with a majority of its own voters, whoever voted before."""
 
-    def needed(self: JointRound) -> Quorums:
-        return self._old_quorums if self.value is None else (self._voters(self.value),)
+    def required_quorums(self: JointRound) -> Quorums:
+        return self._previous_quorums if self.value is None else (self._voters(self.value),)
 
-    return mock.patch.object(JointRound, "needed", property(needed))
+    return mock.patch.object(JointRound, "required_quorums", property(required_quorums))
 
 
 def swap_with_old_majority() -> AbstractContextManager[object]:
     """A view that changes the voters is agreed with a majority of those before."""
 
-    def needed(self: JointRound) -> Quorums:
-        return self._old_quorums
+    def required_quorums(self: JointRound) -> Quorums:
+        return self._previous_quorums
 
-    return mock.patch.object(JointRound, "needed", property(needed))
+    return mock.patch.object(JointRound, "required_quorums", property(required_quorums))
 
 
 @contextmanager
@@ -212,10 +212,10 @@
 def lead_without_joining() -> Iterator[None]:
     """Whoever has a place in the chain may lead it, reconciled or not."""
 
-    def may_lead(view: View, me: planning.Myself) -> bool:
-        return view.place(me.member) is not None
+    def may_lead(view: View, local: view_planning.LocalMember) -> bool:
+        return view.chain_member(local.member) is not None
 
-    with mock.patch.object(planning, "may_lead", may_lead):
+    with mock.patch.object(view_planning, "may_lead", may_lead):
         yield
 
 
@@ -223,18 +223,18 @@
 def lead_by_log_alone() -> Iterator[None]:
     """In the second epoch and later a member without any entry may not lead, though it was in every chain."""
 
-    def may_lead(view: View, me: planning.Myself) -> bool:
-        place = view.place(me.member)
-        return place is not None and (me.log_epoch >= place.joined or view.epoch <= 1)
+    def may_lead(view: View, local: view_planning.LocalMember) -> bool:
+        chain_member = view.chain_member(local.member)
+        return chain_member is not None and (local.log_epoch >= chain_member.joined or view.epoch <= 1)
 
-    with mock.patch.object(planning, "may_lead", may_lead):
+    with mock.patch.object(view_planning, "may_lead", may_lead):
         yield
 
 
 @contextmanager
 def promise_before_sync() -> Iterator[None]:
     """An acceptor answers before its state is on the disk."""
-    vote = ViewRegister._vote
+    vote = ViewRegister._handle_request
 
     def vote_at_once(self: ViewRegister, sender: str, message: PaxosMessage) -> None:
         ports = self._ports
@@ -253,7 +253,7 @@
         finally:
             self._ports = ports
 
-    with mock.patch.object(ViewRegister, "_vote", vote_at_once):
+    with mock.patch.object(ViewRegister, "_handle_request", vote_at_once):
         yield
 
 
@@ -273,12 +273,12 @@
     """In the middle of the chain a barrier that was under way on a link that ended is not sent again."""
 
     def pass_barrier(self: Chain, number: int) -> None:
-        if self.role is not Role.FOLLOWING:
+        if self.role is not Role.FOLLOWER:
             return
         if self._successor is None:
-            self._barrier_back(number)
-        elif self._down is not None:
-            self._down.pass_barrier(number)
+            self._barrier_returned(number)
+        elif self._successor_link is not None:
+            self._successor_link.forward_barrier(number)
 
     with mock.patch.object(Chain, "_pass_barrier", pass_barrier):
         yield
