--- a/millethead/__main__.py
+++ b/millethead/__main__.py
@@ -12,9 +12,9 @@
 
 def main() -> None:
     """Hand the arguments to the command line that knows the command; ends the process."""
-    from millethead.programs.serving import serve_plainly
+    from millethead.programs.serving import serve_program
 
-    if serve_plainly(sys.argv[1:]):
+    if serve_program(sys.argv[1:]):
         return
     first = sys.argv[1] if len(sys.argv) > 1 else ""
     if first in SYSTEM_COMMANDS | COMPLETION_OPTIONS or COMPLETION_VARIABLE in os.environ:
--- a/millethead/configuration/__init__.py
+++ b/millethead/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration and a process's settings: records, checks, changes and route look-up."""
+"""The operator's configuration and the settings of a process: records, validation, changes and route lookup."""
--- a/millethead/configuration/check.py
+++ b/millethead/configuration/check.py
@@ -1,7 +1,7 @@
-"""Whether a configuration is valid: each item by itself, then what the items say of one another.
+"""Validation of a configuration: each item by itself, then references and duplicates across items.
 
-All findings are collected, and raised together as InvalidConfiguration. Items that cannot be read are passed over where
-items are compared, so that one fault is not reported twice.
+All findings are collected and raised together as InvalidConfiguration. Comparisons across items skip values that cannot
+be read, so that one error is not reported twice.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 from millethead.configuration.document import JsonObject, UnreadableDocument, read_document
 from millethead.configuration.findings import Finding, FindingsError, quoted
 from millethead.configuration.model import Configuration, InvalidConfiguration
-from millethead.configuration.records import filled_text, findings_of, integer_above_zero, read_record
-from millethead.configuration.routing import normal_host
+from millethead.configuration.records import findings_of, nonempty_text, positive_integer, read_record
+from millethead.configuration.routing import normalize_host
 
-Items = list[tuple[int, JsonObject]]  # with their places in the list
+Items = list[tuple[int, JsonObject]]  # each with its index in the list
 
 
 def parse(body: bytes) -> Configuration:
-    """The whole configuration that the bytes (JSON in UTF-8) stand for; raises InvalidConfiguration."""
+    """Parse and validate a whole configuration (JSON in UTF-8). Raises InvalidConfiguration."""
     return check(read_body(body))
 
 
 def read_body(body: bytes) -> object:
-    """The JSON value of an order's body; raises InvalidConfiguration if it cannot be read whole."""
+    """Parse the body of an order as JSON. Raises InvalidConfiguration if that fails."""
     try:
         return read_document(body)
     except UnreadableDocument as error:
@@ -32,7 +32,10 @@
 
 
 def check(raw: object, above: int = 0) -> Configuration:
-    """The whole configuration for a JSON value, whose version must exceed `above`; raises InvalidConfiguration."""
+    """Validate a whole configuration given as a JSON value; its version must exceed `above`.
+
+    Raises InvalidConfiguration.
+    """
     findings: list[Finding] = []
     configuration = None
     try:
@@ -41,7 +44,7 @@
         findings.extend(error.findings)
     if isinstance(raw, dict):
         findings.extend(_version_findings(raw, above))
-        findings.extend(_relation_findings(raw))
+        findings.extend(_reference_findings(raw))
     if configuration is None or findings:
         raise InvalidConfiguration(findings)
     return configuration
@@ -49,17 +52,17 @@
 
 def _version_findings(raw: JsonObject, above: int) -> Iterator[Finding]:
     version = raw.get("version")
-    if not findings_of(integer_above_zero, version, "version") and integer_above_zero(version) <= above:
+    if not findings_of(positive_integer, version, "version") and positive_integer(version) <= above:
         yield Finding("version", f"does not exceed the current one, {above}")
 
 
-def _relation_findings(raw: JsonObject) -> Iterator[Finding]:
+def _reference_findings(raw: JsonObject) -> Iterator[Finding]:
     routes, services = _items(raw, "routes"), _items(raw, "services")
-    yield from repeated_names(routes, "routes")
-    yield from repeated_names(services, "services")
-    yield from _shared_prefixes(routes)
+    yield from duplicate_name_findings(routes, "routes")
+    yield from duplicate_name_findings(services, "services")
+    yield from _duplicate_prefix_findings(routes)
     if isinstance(raw.get("services"), list):
-        yield from _unknown_services(routes, services)
+        yield from _unknown_service_findings(routes, services)
 
 
 def _items(raw: JsonObject, key: str) -> Items:
@@ -69,33 +72,33 @@
     return [(index, item) for index, item in enumerate(items) if isinstance(item, dict)]
 
 
-def repeated_names(items: Items, place: str) -> Iterator[Finding]:
-    """A finding for each item of the list at `place` that has the name of one before it."""
+def duplicate_name_findings(items: Items, place: str) -> Iterator[Finding]:
+    """Yield a finding for each item of the list at `place` whose name an earlier item has."""
     first: dict[Hashable, int] = {}
     for index, item in items:
         name = item.get("name")
-        if _filled(name) and first.setdefault(name, index) != index:
+        if _is_nonempty_text(name) and first.setdefault(name, index) != index:
             yield Finding(f"{place}[{index}].name", f"{quoted(name)} is the name of {place}[{first[name]}] as well")
 
 
-def _shared_prefixes(routes: Items) -> Iterator[Finding]:
+def _duplicate_prefix_findings(routes: Items) -> Iterator[Finding]:
     first: dict[Hashable, int] = {}
     for index, route in routes:
         host, prefix = route.get("host"), route.get("path_prefix")
-        if not _filled(host) or not _filled(prefix):
+        if not _is_nonempty_text(host) or not _is_nonempty_text(prefix):
             continue
-        key = (normal_host(host), prefix)
+        key = (normalize_host(host), prefix)
         if first.setdefault(key, index) != index:
             yield Finding(f"routes[{index}].path_prefix", f"routes[{first[key]}] has the same host and prefix")
 
 
-def _unknown_services(routes: Items, services: Items) -> Iterator[Finding]:
-    known = {service["name"] for _, service in services if _filled(service.get("name"))}
+def _unknown_service_findings(routes: Items, services: Items) -> Iterator[Finding]:
+    known = {service["name"] for _, service in services if _is_nonempty_text(service.get("name"))}
     for index, route in routes:
         name = route.get("service")
-        if _filled(name) and name not in known:
+        if _is_nonempty_text(name) and name not in known:
             yield Finding(f"routes[{index}].service", f"there is no service {quoted(name)}")
 
 
-def _filled(value: object) -> TypeGuard[str]:
-    return not findings_of(filled_text, value, "")
+def _is_nonempty_text(value: object) -> TypeGuard[str]:
+    return not findings_of(nonempty_text, value, "")
--- a/millethead/configuration/document.py
+++ b/millethead/configuration/document.py
@@ -1,4 +1,4 @@
-"""JSON documents from outside: read strictly, so that each replica reaches the same verdict on the same bytes."""
+"""Strict parsing of JSON documents from outside, with the same result on each replica for the same bytes."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 JsonObject = dict[str, Any]
 
-MOST_NESTED = 64  # arrays and objects within one another
-MOST_DIGITS = 300  # of a whole number
+MAX_NESTING = 64  # levels of arrays and objects
+MAX_DIGITS = 300  # of an integer
 
 
 class UnreadableDocument(ValueError):
-    """The bytes are no JSON document that can be used; the text says why."""
+    """The bytes are not an acceptable JSON document; the message has the reason."""
 
 
 def read_document(body: bytes) -> object:
-    """The value that the bytes stand for; raises UnreadableDocument.
+    """Parse JSON in UTF-8. Raises UnreadableDocument.
 
-    Nesting and digits are bounded here and not left to the interpreter, whose own bounds depend on who calls.
+    Nesting and digits are limited here, because the limits of the interpreter depend on the depth of the call stack.
     """
     try:
         value = json.loads(
-            body.decode(), parse_constant=_refuse_constant, parse_float=_finite, parse_int=_short_integer
+            body.decode(), parse_constant=_refuse_constant, parse_float=_finite_float, parse_int=_short_integer
         )
     except RecursionError:
         raise UnreadableDocument("is nested too deeply") from None
     except ValueError as error:
         raise UnreadableDocument(f"cannot be read whole: {error}") from None
-    if _nested_beyond(value, MOST_NESTED):
+    if _is_nested_deeper(value, MAX_NESTING):
         raise UnreadableDocument("is nested too deeply")
     return value
 
 
 def write_document(value: JsonObject) -> bytes:
-    """The bytes for a value that `read_document` returned, or that is made up of such values."""
+    """Serialise a value returned by `read_document`, or composed of such values."""
     return json.dumps(value, separators=(",", ":")).encode()
 
 
@@ -43,7 +43,7 @@
     raise ValueError(f"{name} is not a number")
 
 
-def _finite(text: str) -> float:
+def _finite_float(text: str) -> float:
     value = float(text)
     if not math.isfinite(value):
         raise ValueError("a number is too large")
@@ -51,15 +51,15 @@
 
 
 def _short_integer(text: str) -> int:
-    if len(text) > MOST_DIGITS:
+    if len(text) > MAX_DIGITS:
         raise ValueError("a number has too many digits")
     return int(text)
 
 
-def _nested_beyond(value: object, most: int) -> bool:
-    """Whether arrays and objects lie more than `most` deep, found level by level."""
+def _is_nested_deeper(value: object, limit: int) -> bool:
+    """Return whether arrays and objects are nested more than `limit` levels deep, without recursion."""
     level = [value]
-    for _ in range(most + 1):
+    for _ in range(limit + 1):
         level = [inner for outer in level for inner in _inner_values(outer)]
         if not level:
             return False
--- a/millethead/configuration/findings.py
+++ b/millethead/configuration/findings.py
@@ -1,16 +1,16 @@
-"""What is wrong with a document: every problem with its place, reported together."""
+"""Findings: the problems of a document, each with its location, reported together."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-LONGEST_QUOTE = 80  # characters of a document's own text that a finding repeats
+MAX_QUOTE_CHARS = 80  # length at which text quoted from a document is truncated
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One problem. `place`: where it is, such as `routes[2].timeout_ms`; empty for the document as a whole."""
+    """One problem. `place` is its location, such as `routes[2].timeout_ms`; empty for the document as a whole."""
 
     place: str
     problem: str
@@ -19,13 +19,13 @@
         return f"{self.place or 'the document'}: {self.problem}"
 
     def within(self, place: str) -> Finding:
-        """The same problem, seen from the record that holds this one at `place`."""
+        """Return the same problem with its location prefixed by `place`, the location of the nested record."""
         separator = "" if not place or not self.place or self.place.startswith("[") else "."
         return Finding(f"{place}{separator}{self.place}", self.problem)
 
 
 class FindingsError(Exception):
-    """A document cannot be used; `findings` holds every reason, and there is at least one."""
+    """A document is invalid. `findings` has all reasons, at least one."""
 
     def __init__(self, findings: Iterable[Finding]) -> None:
         self.findings: tuple[Finding, ...] = tuple(findings)
@@ -36,5 +36,5 @@
 
 
 def quoted(text: str) -> str:
-    """A text of the document as a finding repeats it: escaped, and cut when long."""
-    return repr(text if len(text) <= LONGEST_QUOTE else text[:LONGEST_QUOTE] + "...")
+    """Quote text of the document for a finding: escaped, and truncated if it is long."""
+    return repr(text if len(text) <= MAX_QUOTE_CHARS else text[:MAX_QUOTE_CHARS] + "...")
--- a/millethead/configuration/model.py
+++ b/millethead/configuration/model.py
@@ -1,6 +1,6 @@
-"""The operator's configuration as records: routes (each a queue), the services that work for them, and limits.
+"""Records of the operator's configuration: routes (each of which is a queue), services of workers, and limits.
 
-Fields that these records do not know are kept in the document that the operator sent, and passed over here.
+Fields unknown to these records are ignored here, but stay in the stored document.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 from millethead.configuration.findings import Finding, FindingsError
 from millethead.configuration.records import (
     Record,
-    filled_text,
     flag,
     integer,
-    integer_above_zero,
-    integer_from_zero,
     list_of,
     nested,
-    number_above_zero,
-    number_from_zero,
+    nonempty_text,
+    nonnegative_integer,
+    nonnegative_number,
+    positive_integer,
+    positive_number,
     read_with,
     text,
 )
@@ -27,40 +27,44 @@
 
 
 class InvalidConfiguration(FindingsError):
-    """A configuration, or a change of one, is invalid; `findings` holds every reason."""
+    """A configuration or a change of it is invalid. `findings` has all reasons."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Route(Record):
-    """One queue. A request belongs to it by its host and the longest `path_prefix` with which its path begins.
+    """One queue. A request is matched by its host and the longest `path_prefix` of its path.
 
-    `name`: unique among routes; `host`: of the requests; `path_prefix`: with a slash at both ends, unique for its host;
-    `type`: kept, not used; `timeout_ms`: within which an answer is owed; `target_ms`: what a job's objective adds to
-    its work; `prio`: 0 goes first; `service`: the name of the workers' service; `retries`: ends `failed` of a task with
-    which its job has failed; `skew`: the factor of a job's longest chain of work in its objective.
+    `name`: unique among routes; `host`: host name in the requests; `path_prefix`: with a slash at both ends, unique for
+    its host; `type`: stored, not used; `timeout_ms`: time within which a request must be answered; `target_ms`: time
+    that a job's latency objective allows in addition to its work; `prio`: priority, 0 is the highest; `service`: name
+    of the service that runs the tasks; `retries`: number of runs of one task that end as `failed` after which its job
+    fails; `skew`: factor applied to a job's longest chain of work in its latency objective.
     """
 
-    name: str = field(metadata=read_with(filled_text))
-    host: str = field(metadata=read_with(filled_text))
-    path_prefix: str = field(metadata=read_with(filled_text))
+    name: str = field(metadata=read_with(nonempty_text))
+    host: str = field(metadata=read_with(nonempty_text))
+    path_prefix: str = field(metadata=read_with(nonempty_text))
     type: str = field(default="non_idempotent", metadata=read_with(text))
-    timeout_ms: float = field(metadata=read_with(number_above_zero))
-    target_ms: float = field(default=1000, metadata=read_with(number_from_zero))
+    timeout_ms: float = field(metadata=read_with(positive_number))
+    target_ms: float = field(default=1000, metadata=read_with(nonnegative_number))
     prio: int = field(default=0, metadata=read_with(integer))
-    service: str = field(metadata=read_with(filled_text))
-    retries: int = field(default=3, metadata=read_with(integer_from_zero))
-    skew: float = field(default=1.5, metadata=read_with(number_from_zero))
+    service: str = field(metadata=read_with(nonempty_text))
+    retries: int = field(default=3, metadata=read_with(nonnegative_integer))
+    skew: float = field(default=1.5, metadata=read_with(nonnegative_number))
 
 
 @dataclass(frozen=True, kw_only=True)
 class Service(Record):
-    """The workers of one kind. `name`: by which routes and workers name it; `health_path`: where a worker tells its
-    health; `max_conns`: connections that one worker takes; `protocol`, `tls`: kept, not used; `guards`: its workers
-    reject whatever does not fit, else they start whatever they are told."""
+    """The workers of one kind.
 
-    name: str = field(metadata=read_with(filled_text))
+    `name`: name used by routes and workers; `health_path`: path of a worker's health check; `max_conns`: maximum number
+    of connections to one worker; `protocol`, `tls`: stored, not used; `guards`: whether workers reject tasks that exceed
+    their free resources, otherwise they start every task.
+    """
+
+    name: str = field(metadata=read_with(nonempty_text))
     health_path: str = field(default="/healthz", metadata=read_with(text))
-    max_conns: int = field(default=64, metadata=read_with(integer_from_zero))
+    max_conns: int = field(default=64, metadata=read_with(nonnegative_integer))
     protocol: str = field(default="h1", metadata=read_with(text))
     tls: bool = field(default=False, metadata=read_with(flag))
     guards: bool = field(default=False, metadata=read_with(flag))
@@ -68,20 +72,24 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Limits(Record):
-    """What a client's connection may use. `max_header_bytes`: of a request's head; `max_body_bytes`: of its body;
-    `header_timeout_ms`: for the head to come whole; `idle_timeout_ms`: between two requests."""
+    """Limits of a client connection.
+
+    `max_header_bytes`: size limit of a request's header section; `max_body_bytes`: size limit of its body;
+    `header_timeout_ms`: time within which the whole header section must arrive; `idle_timeout_ms`: maximum idle time
+    between two requests.
+    """
 
-    max_header_bytes: int = field(default=16_384, metadata=read_with(integer_from_zero))
-    max_body_bytes: int = field(default=262_144, metadata=read_with(integer_from_zero))
-    header_timeout_ms: float = field(default=3_000, metadata=read_with(number_from_zero))
-    idle_timeout_ms: float = field(default=15_000, metadata=read_with(number_from_zero))
+    max_header_bytes: int = field(default=16_384, metadata=read_with(nonnegative_integer))
+    max_body_bytes: int = field(default=262_144, metadata=read_with(nonnegative_integer))
+    header_timeout_ms: float = field(default=3_000, metadata=read_with(nonnegative_number))
+    idle_timeout_ms: float = field(default=15_000, metadata=read_with(nonnegative_number))
 
 
 @dataclass(frozen=True, kw_only=True)
 class Configuration(Record):
-    """A whole configuration. `version`: rises with every change."""
+    """A whole configuration. `version`: increases with every change."""
 
-    version: int = field(metadata=read_with(integer_above_zero))
+    version: int = field(metadata=read_with(positive_integer))
     routes: tuple[Route, ...] = field(metadata=read_with(list_of(nested(Route))))
     services: tuple[Service, ...] = field(metadata=read_with(list_of(nested(Service))))
     limits: Limits = field(default_factory=Limits, metadata=read_with(nested(Limits)))
--- a/millethead/configuration/records.py
+++ b/millethead/configuration/records.py
@@ -1,7 +1,7 @@
-"""Records read from JSON by mashumaro, with every problem of a record found and not only the first.
+"""Records that mashumaro reads from JSON, with all problems of a record reported and not only the first.
 
-A field names its reader in its metadata. A reader takes the JSON value and returns the field's, or raises Unfit (one
-problem with the value itself) or FindingsError (problems within it, at places seen from it).
+The metadata of a field has its reader. A reader converts a JSON value to the value of the field. It raises InvalidValue
+for a problem with the value itself, or FindingsError for problems inside it, with locations relative to the value.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 from millethead.configuration.document import JsonObject
 from millethead.configuration.findings import Finding, FindingsError, quoted
 
-LARGEST = 2**63 - 1  # of a number that the system works with
+MAX_NUMBER = 2**63 - 1  # absolute limit of all numbers
 
 T = TypeVar("T")
 R = TypeVar("R", bound="Record")
 Reader = Callable[[Any], T]
 
 
-class Unfit(ValueError):
-    """A value cannot be used; the text says why, following the place."""
+class InvalidValue(ValueError):
+    """A value is invalid. The message completes a sentence that starts with its location."""
 
 
 class Record(DataClassDictMixin):
-    """The base of records. Fields that a record does not know are ignored, and null stands for an absent field."""
+    """Base class of records. Unknown fields are ignored, and null is the same as an absent field."""
 
     class Config(BaseConfig):
-        lazy_compilation = True  # a process that never reads a record does not pay for its code
+        lazy_compilation = True  # saves the generation of code for records that a process never reads
 
 
 def read_with(reader: Reader[Any], key: str | None = None) -> dict[str, Any]:
-    """Metadata of a field: who reads it, and its key in JSON where that is not the field's name."""
+    """Return the metadata of a field: its reader, and its JSON key if that differs from the name of the field."""
     return field_options(deserialize=reader, alias=key)
 
 
 def read_record(record: type[R], raw: object) -> R:
-    """The record for a JSON value; raises FindingsError with all that is wrong with it."""
+    """Read a record from a JSON value. Raises FindingsError with all problems."""
     if not isinstance(raw, dict):
         raise FindingsError([Finding("", "is not an object")])
     given = {key: value for key, value in raw.items() if value is not None}
@@ -57,19 +57,19 @@
         key = field.metadata.get("alias") or field.name
         if key in given:
             yield from findings_of(field.metadata["deserialize"], given[key], key)
-        elif not _may_be_absent(field):
+        elif not _is_optional(field):
             yield Finding(key, "is missing")
 
 
-def _may_be_absent(field: Field[Any]) -> bool:
+def _is_optional(field: Field[Any]) -> bool:
     return field.default is not MISSING or field.default_factory is not MISSING
 
 
 def findings_of(reader: Reader[Any], value: object, place: str) -> list[Finding]:
-    """What a reader finds wrong with the value at a place."""
+    """Return the problems that a reader reports for the value at `place`."""
     try:
         reader(value)
-    except Unfit as problem:
+    except InvalidValue as problem:
         return [Finding(place, str(problem))]
     except FindingsError as error:
         return [finding.within(place) for finding in error.findings]
@@ -77,94 +77,94 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RecordWithin:
-    """The record that a reader makes, and what its place has behind the key: "[]" in a list."""
+class NestedRecord:
+    """The record that a reader returns, and the suffix of its key in locations ("[]" for a list)."""
 
     record: type[Record]
     suffix: str
 
 
-_WITHIN: dict[Reader[Any], RecordWithin] = {}
+_NESTED_RECORDS: dict[Reader[Any], NestedRecord] = {}
 
 
-def record_within(reader: Reader[Any]) -> RecordWithin | None:
-    """What `nested`, or a list of it, reads; None for other readers."""
-    return _WITHIN.get(reader)
+def nested_record_of(reader: Reader[Any]) -> NestedRecord | None:
+    """Return the record that a reader made by `nested`, or a list of it, reads; None for other readers."""
+    return _NESTED_RECORDS.get(reader)
 
 
 def nested(record: type[R]) -> Reader[R]:
-    """A reader of a record within another."""
+    """Return a reader of a nested record."""
 
     def read(value: Any) -> R:
         return read_record(record, value)
 
-    _WITHIN[read] = RecordWithin(record, "")
+    _NESTED_RECORDS[read] = NestedRecord(record, "")
     return read
 
 
 def list_of(reader: Reader[T]) -> Reader[tuple[T, ...]]:
-    """A reader of lists, each item of which `reader` reads."""
+    """Return a reader of lists that reads each item with `reader`."""
 
     def read(value: Any) -> tuple[T, ...]:
         if not isinstance(value, list):
-            raise Unfit("is not a list")
+            raise InvalidValue("is not a list")
         return tuple(_read_all(reader, ((f"[{index}]", item) for index, item in enumerate(value))))
 
-    inner = record_within(reader)
+    inner = nested_record_of(reader)
     if inner is not None:
-        _WITHIN[read] = RecordWithin(inner.record, f"[]{inner.suffix}")
+        _NESTED_RECORDS[read] = NestedRecord(inner.record, f"[]{inner.suffix}")
     read.__doc__ = f"A list, each item: {reader.__doc__}"
     return read
 
 
 def mapping_of(reader: Reader[T]) -> Reader[Mapping[str, T]]:
-    """A reader of objects with any keys, each value of which `reader` reads; null counts as absent."""
+    """Return a reader of objects that reads each value with `reader`; null is the same as an absent key."""
 
     def read(value: Any) -> Mapping[str, T]:
         if not isinstance(value, dict):
-            raise Unfit("is not an object")
+            raise InvalidValue("is not an object")
         given = {key: inner for key, inner in value.items() if inner is not None}
-        read_values = _read_all(reader, ((place_of(key), inner) for key, inner in given.items()))
+        read_values = _read_all(reader, ((key_path(key), inner) for key, inner in given.items()))
         return dict(zip(given, read_values, strict=True))
 
     read.__doc__ = f"An object, each value: {reader.__doc__}"
     return read
 
 
-def place_of(key: str) -> str:
-    """A key that the sender chose, as part of a place."""
+def key_path(key: str) -> str:
+    """Format an arbitrary key as a part of a location, quoted unless it is a short identifier."""
     return key if key.isidentifier() and quoted(key) == repr(key) else quoted(key)
 
 
 def _read_all(reader: Reader[T], values: Iterable[tuple[str, Any]]) -> list[T]:
-    """What `reader` makes of each value; raises FindingsError for all of those that are unfit."""
-    made: list[T] = []
+    """Read all values with `reader`. Raises FindingsError with the problems of all invalid ones."""
+    results: list[T] = []
     findings: list[Finding] = []
     for place, value in values:
         try:
-            made.append(reader(value))
-        except (Unfit, FindingsError):
+            results.append(reader(value))
+        except (InvalidValue, FindingsError):
             findings.extend(findings_of(reader, value, place))
     if findings:
         raise FindingsError(findings)
-    return made
+    return results
 
 
 def text(value: Any) -> str:
     """Any text."""
     if not isinstance(value, str):
-        raise Unfit("is not a text")
+        raise InvalidValue("is not a text")
     try:
         value.encode()
     except UnicodeEncodeError:
-        raise Unfit("is not valid Unicode") from None
+        raise InvalidValue("is not valid Unicode") from None
     return value
 
 
-def filled_text(value: Any) -> str:
+def nonempty_text(value: Any) -> str:
     """A text that is not empty."""
     if not text(value):
-        raise Unfit("is empty")
+        raise InvalidValue("is empty")
     return text(value)
 
 
@@ -176,51 +176,51 @@
 def flag(value: Any) -> bool:
     """true or false."""
     if not isinstance(value, bool):
-        raise Unfit("is neither true nor false")
+        raise InvalidValue("is neither true nor false")
     return value
 
 
 def number(value: Any) -> float:
     """A number within the system's range."""
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise Unfit("is not a number")
-    if not math.isfinite(value) or abs(value) > LARGEST:
-        raise Unfit("is too large")
+        raise InvalidValue("is not a number")
+    if not math.isfinite(value) or abs(value) > MAX_NUMBER:
+        raise InvalidValue("is too large")
     return value
 
 
-def number_from_zero(value: Any) -> float:
+def nonnegative_number(value: Any) -> float:
     """A number of 0 or more."""
     if number(value) < 0:
-        raise Unfit("is below 0")
+        raise InvalidValue("is below 0")
     return number(value)
 
 
-def number_above_zero(value: Any) -> float:
+def positive_number(value: Any) -> float:
     """A number above 0."""
     if number(value) <= 0:
-        raise Unfit("is not above 0")
+        raise InvalidValue("is not above 0")
     return number(value)
 
 
 def integer(value: Any) -> int:
     """A whole number, as 7 or 7.0."""
     if number(value) != int(value):
-        raise Unfit("is not a whole number")
-    if abs(int(value)) > LARGEST:
-        raise Unfit("is too large")
+        raise InvalidValue("is not a whole number")
+    if abs(int(value)) > MAX_NUMBER:
+        raise InvalidValue("is too large")
     return int(value)
 
 
-def integer_from_zero(value: Any) -> int:
+def nonnegative_integer(value: Any) -> int:
     """A whole number of 0 or more."""
     if integer(value) < 0:
-        raise Unfit("is below 0")
+        raise InvalidValue("is below 0")
     return integer(value)
 
 
-def integer_above_zero(value: Any) -> int:
+def positive_integer(value: Any) -> int:
     """A whole number above 0."""
     if integer(value) <= 0:
-        raise Unfit("is not above 0")
+        raise InvalidValue("is not above 0")
     return integer(value)
--- a/millethead/configuration/reference.py
+++ b/millethead/configuration/reference.py
@@ -1,7 +1,7 @@
-"""The reference page of all settings, made from the records that read them: what is accepted, unit, default, meaning.
+"""Generates the reference page of all settings from their records: accepted values, unit, default and meaning.
 
-What is accepted is the first line of the reader's doc comment; a unit follows from the end of a key; the meaning stands
-in the doc comment of the record, as "`key`: meaning;".
+The accepted values are the first line of the reader's docstring. The unit follows from the suffix of the key. The
+meaning is taken from the docstring of the record, where it has the form "`key`: meaning;".
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from dataclasses import MISSING, Field, dataclass, fields
 
 from millethead.configuration.model import Configuration
-from millethead.configuration.records import Record, record_within
+from millethead.configuration.records import Record, nested_record_of
 from millethead.configuration.settings import ProcessSettings
 
 UNITS = {
@@ -25,12 +25,12 @@
     "_share": "share of a core",
 }
 _MEANING = re.compile(r"((?:`\w+`(?:, | and )?)+): (.*?)(?=;|\.(?:\s|$)|$)", re.DOTALL)
-HEAD = "| key | accepted | unit | default | meaning |\n| --- | --- | --- | --- | --- |"
+TABLE_HEADER = "| key | accepted | unit | default | meaning |\n| --- | --- | --- | --- | --- |"
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One figure that may be set. `default` is empty where the key must be there."""
+    """One setting. `default` is empty if the key is required."""
 
     key: str
     accepted: str
@@ -40,12 +40,12 @@
 
 
 def entries(record: type[Record], within: str = "") -> Iterator[Entry]:
-    """All keys of a record and of the records within it, in their order; places are written as in findings."""
+    """Yield all keys of a record and of its nested records, in order. Keys have the form of locations in findings."""
     meanings = _meanings(record)
     for field in fields(record):  # type: ignore[arg-type]  # each record is a dataclass
         reader = field.metadata["deserialize"]
         key = field.metadata.get("alias") or field.name
-        inner = record_within(reader)
+        inner = nested_record_of(reader)
         if inner is not None:
             yield from entries(inner.record, f"{within}{key}{inner.suffix}.")
             continue
@@ -53,7 +53,7 @@
 
 
 def page() -> str:
-    """The whole page, in Markdown."""
+    """Return the reference page in Markdown."""
     parts = [
         "# Reference of all settings",
         "Made by `millethead settings reference`; a test holds it against the program. A key without a default must be"
@@ -72,7 +72,7 @@
         f"| `{entry.key}` | {entry.accepted} | {entry.unit} | {entry.default} | {entry.meaning} |"
         for entry in entries(record)
     ]
-    return "\n".join([HEAD, *rows])
+    return "\n".join([TABLE_HEADER, *rows])
 
 
 def _meanings(record: type[Record]) -> dict[str, str]:
@@ -93,13 +93,13 @@
 
 def _default(field: Field[object]) -> str:
     if field.default is not MISSING:
-        return "none" if field.default is None else f"`{_written(field.default)}`"
+        return "none" if field.default is None else f"`{_format_value(field.default)}`"
     if field.default_factory is not MISSING:
         return "empty"
     return ""
 
 
-def _written(value: object) -> str:
+def _format_value(value: object) -> str:
     match value:
         case bool():
             return str(value).lower()
--- a/millethead/configuration/routing.py
+++ b/millethead/configuration/routing.py
@@ -1,4 +1,4 @@
-"""Which route a request belongs to, by its host and the longest prefix with which its path begins."""
+"""Route lookup by the host and the longest matching path prefix of a request."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from millethead.configuration.model import Configuration, Route, Service
 
 
-def normal_host(host: str) -> str:
-    """A host as it is compared: without a port, in lower case."""
+def normalize_host(host: str) -> str:
+    """Return a host in the form used for comparison: in lower case, without a port."""
     name, colon, port = host.strip().rpartition(":")
     has_port = colon and (not port or (port.isascii() and port.isdigit())) and (":" not in name or name.endswith("]"))
     return (name if has_port else host.strip()).lower()
 
 
 class HostRoutes:
-    """The routes of one host: a look-up for each length that a prefix has there, longest first."""
+    """The routes of one host. Looks up each prefix length that occurs, longest first."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self._by_prefix = {route.path_prefix: route for route in routes}
@@ -31,7 +31,7 @@
 
 
 class RouteTable:
-    """The routes and services of one valid configuration; it never changes."""
+    """The routes and services of one valid configuration. Immutable."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.version = configuration.version
@@ -41,14 +41,14 @@
         self._by_name = {route.name: route for route in configuration.routes}
         by_host: dict[str, list[Route]] = {}
         for route in configuration.routes:
-            by_host.setdefault(normal_host(route.host), []).append(route)
+            by_host.setdefault(normalize_host(route.host), []).append(route)
         self._by_host = {host: HostRoutes(routes) for host, routes in by_host.items()}
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of a request with this `Host` header (any case, with or without a port) and path; None: none."""
-        routes = self._by_host.get(host) or self._by_host.get(normal_host(host))
+        """Return the route for a `Host` header (in any case, with or without a port) and a path, or None."""
+        routes = self._by_host.get(host) or self._by_host.get(normalize_host(host))
         return routes.find(path) if routes is not None else None
 
     def by_name(self, name: str) -> Route | None:
-        """The route of this name; None: there is none."""
+        """Return the route with this name, or None."""
         return self._by_name.get(name)
--- a/millethead/configuration/settings.py
+++ b/millethead/configuration/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of a process: who it is, where it listens, whom it may call, and the figures of the rules.
+"""The settings file of a process: its identity, addresses, peers, machine limits and time bounds.
 
-The file is read anew at SIGHUP and may be replaced at any time: a reader that finds it invalid keeps what it has.
+The file is read again on SIGHUP and may be replaced at any time. A process that finds it invalid keeps its settings.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 from millethead.configuration.document import UnreadableDocument, read_document
 from millethead.configuration.findings import Finding, FindingsError
 from millethead.configuration.records import (
+    InvalidValue,
     Record,
-    Unfit,
-    filled_text,
     flag,
-    integer_above_zero,
-    integer_from_zero,
     list_of,
     mapping_of,
     nested,
-    number_above_zero,
-    number_from_zero,
+    nonempty_text,
+    nonnegative_integer,
+    nonnegative_number,
+    positive_integer,
+    positive_number,
     read_record,
     read_with,
     text,
     text_or_none,
 )
 
-VARIABLE = "MILLETHEAD_NODE_FILE"  # of the environment: the path of the settings file
-LARGEST_PORT = 65_535
+SETTINGS_PATH_VARIABLE = "MILLETHEAD_NODE_FILE"  # environment variable with the path of the settings file
+MAX_PORT = 65_535
 
 
 class InvalidSettings(FindingsError):
-    """The settings file cannot be used; `findings` holds every reason."""
+    """The settings file is invalid. `findings` has all reasons."""
 
 
 class Served(StrEnum):
-    """Who may call a role from outside."""
+    """Callers that a role serves from outside the system."""
 
     EDGE = "edge"  # clients
     SIDE = "side"  # the worker on the same machine
@@ -49,7 +49,7 @@
 
 
 class Commands(StrEnum):
-    """How a worker is told what to do."""
+    """How commands are sent to a worker."""
 
     RPC = "rpc"
     HEARTBEAT = "heartbeat"
@@ -57,8 +57,8 @@
 
 def _port(value: Any) -> int:
     """A port."""
-    if integer_above_zero(value) > LARGEST_PORT:
-        raise Unfit("is not a port")
+    if positive_integer(value) > MAX_PORT:
+        raise InvalidValue("is not a port")
     return int(value)
 
 
@@ -66,15 +66,15 @@
     """A list of the first and the last port."""
     ports = list_of(_port)(value)
     if len(ports) != 2 or ports[0] > ports[1]:
-        raise Unfit("is not a first and a last port")
+        raise InvalidValue("is not a first and a last port")
     return ports[0], ports[1]
 
 
 def _address(value: Any) -> str:
     """An address, HOST:PORT."""
-    host, _, port = filled_text(value).rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port[:6]) <= LARGEST_PORT:
-        raise Unfit("is not an address")
+    host, _, port = nonempty_text(value).rpartition(":")
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port[:6]) <= MAX_PORT:
+        raise InvalidValue("is not an address")
     return text(value)
 
 
@@ -85,8 +85,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Listen(Record):
-    """The addresses for what the role serves; None for what it does not. `front`: for clients; `ready`: asked by the
-    platform whether new connections are wanted; `control`: for the operator, or for the worker on this machine."""
+    """Listen addresses of the role; None if it does not serve an endpoint.
+
+    `front`: address for clients; `ready`: address of the readiness check for the platform; `control`: address for the
+    operator, or for the worker on this machine.
+    """
 
     front: str | None = field(default=None, metadata=read_with(_address_or_none))
     ready: str | None = field(default=None, metadata=read_with(_address_or_none))
@@ -95,81 +98,88 @@
 
 @dataclass(frozen=True, kw_only=True)
 class MachineLimits(Record):
-    """What the machine gives. `cpu_share`: part of a core; `cores`: by which that core runs faster; `memory_mb`: for
-    each process; `max_fds`: descriptors of each process; `link_mbps`: the machine's own link; `disk_mb`: its disk, 0
-    without one."""
+    """Resources of the machine.
+
+    `cpu_share`: share of a CPU core; `cores`: speed factor of that core; `memory_mb`: memory of each process;
+    `max_fds`: maximum number of file descriptors of each process; `link_mbps`: bandwidth of the machine's network link;
+    `disk_mb`: size of its disk, 0 without a disk.
+    """
 
-    cpu_share: float = field(default=1.0, metadata=read_with(number_above_zero))
-    cores: float = field(default=1, metadata=read_with(number_above_zero))
-    memory_mb: float = field(default=256, metadata=read_with(number_above_zero))
-    max_fds: int = field(default=1024, metadata=read_with(integer_above_zero))
-    link_mbps: float = field(default=1000.0, metadata=read_with(number_above_zero))
-    disk_mb: float = field(default=0, metadata=read_with(number_from_zero))
+    cpu_share: float = field(default=1.0, metadata=read_with(positive_number))
+    cores: float = field(default=1, metadata=read_with(positive_number))
+    memory_mb: float = field(default=256, metadata=read_with(positive_number))
+    max_fds: int = field(default=1024, metadata=read_with(positive_integer))
+    link_mbps: float = field(default=1000.0, metadata=read_with(positive_number))
+    disk_mb: float = field(default=0, metadata=read_with(nonnegative_number))
 
 
 @dataclass(frozen=True, kw_only=True)
 class Tolerate(Record):
-    """What may be lost at the same time while every rule still holds. `machines`: that count for the quorum; a chain
-    has one more, or commits nothing; `zones`, `regions`: read, not yet used."""
+    """Simultaneous failures that the system tolerates.
+
+    `machines`: number of machines that count for the quorum, a chain needs one member more to commit;
+    `zones`, `regions`: read, not used yet.
+    """
 
-    machines: int = field(default=0, metadata=read_with(integer_from_zero))
-    zones: int = field(default=0, metadata=read_with(integer_from_zero))
-    regions: int = field(default=0, metadata=read_with(integer_from_zero))
+    machines: int = field(default=0, metadata=read_with(nonnegative_integer))
+    zones: int = field(default=0, metadata=read_with(nonnegative_integer))
+    regions: int = field(default=0, metadata=read_with(nonnegative_integer))
 
 
-def _figure(default: float) -> Any:
-    return field(default=default, metadata=read_with(number_from_zero))
+def _bound(default: float) -> Any:
+    return field(default=default, metadata=read_with(nonnegative_number))
 
 
 @dataclass(frozen=True, kw_only=True)
 class Bounds(Record):
-    """The figures of the rules: `_ms` milliseconds, `_s` seconds, `_x` a factor."""
-
-    seed_lag_s: float = _figure(3.0)
-    reuse_after_s: float = _figure(2.0)
-    contact_ms: float = _figure(3000.0)
-    ack_ms: float = _figure(4000.0)
-    catchup_s: float = _figure(4.0)
-    drain_ms: float = _figure(2000.0)
-    grace_s: float = _figure(6.0)
-    loss_slack_ms: float = _figure(200.0)
-    config_apply_ms: float = _figure(2000.0)
-    downgrade_ms: float = _figure(250.0)
-    max_skew_ms: float = _figure(5000.0)
-    recovery_s: float = _figure(12.0)
-    hold_max_ms: float = _figure(6000.0)
-    stop_ms: float = _figure(200.0)
-    gang_ms: float = _figure(3000.0)
-    cancel_ms: float = _figure(3000.0)
-    visible_ms: float = _figure(3000.0)
-    early_ms: float = _figure(250.0)
-    finish_s: float = _figure(14.0)
-    status_s: float = _figure(120.0)
-    far_x: float = _figure(1.5)
-    save_s: float = _figure(2.0)
-    restore_ms: float = _figure(250.0)
+    """Bounds guaranteed by the system. Suffixes are units: `_ms` milliseconds, `_s` seconds, `_x` a factor."""
+
+    seed_lag_s: float = _bound(3.0)
+    reuse_after_s: float = _bound(2.0)
+    contact_ms: float = _bound(3000.0)
+    ack_ms: float = _bound(4000.0)
+    catchup_s: float = _bound(4.0)
+    drain_ms: float = _bound(2000.0)
+    grace_s: float = _bound(6.0)
+    loss_slack_ms: float = _bound(200.0)
+    config_apply_ms: float = _bound(2000.0)
+    downgrade_ms: float = _bound(250.0)
+    max_skew_ms: float = _bound(5000.0)
+    recovery_s: float = _bound(12.0)
+    hold_max_ms: float = _bound(6000.0)
+    stop_ms: float = _bound(200.0)
+    gang_ms: float = _bound(3000.0)
+    cancel_ms: float = _bound(3000.0)
+    visible_ms: float = _bound(3000.0)
+    early_ms: float = _bound(250.0)
+    finish_s: float = _bound(14.0)
+    status_s: float = _bound(120.0)
+    far_x: float = _bound(1.5)
+    save_s: float = _bound(2.0)
+    restore_ms: float = _bound(250.0)
 
 
 @dataclass(frozen=True, kw_only=True)
 class ProcessSettings(Record):
     """The settings of one process.
 
-    `node`: the machine's name, in logs and in `millethead status`; `role`: as the deploy file names it;
-    `machine_class`: `edge` or `side`; `serves`: who calls it from outside (`edge`, `side`, `control_plane`); `ip`: of
-    the machine; `zone`, `region`: where it stands; `zones`: the region of each zone; `port_range`: free for what
-    dispatchers say among themselves, the first for internal calls; `seeds`: `control` addresses of a few machines;
-    `bootstrap`: true on the very first start of the whole system; `counts_for_quorum`: whether its loss counts under
-    `tolerate`; `contracts`: the parts of the rules in force; `data_dir`: folder on its disk, none without one;
-    `heartbeat_ms`: roughly how often a worker reports; `commands`: how a worker is told what to do, `rpc` or
-    `heartbeat`; `app`: address of the worker on this machine, for a role that serves `side`; `service`: the service of
-    that worker.
+    `node`: name of the machine in logs and in `millethead status`; `role`: name of the role in the deploy file;
+    `machine_class`: `edge` or `side`; `serves`: callers from outside the system (`edge`, `side`, `control_plane`);
+    `ip`: address of the machine; `zone`, `region`: location of the machine; `zones`: region of each zone;
+    `port_range`: ports
+    for traffic within the system, the first is used for internal calls; `seeds`: `control` addresses of a few machines;
+    `bootstrap`: true on the first start of the whole system; `counts_for_quorum`: whether a failure of the machine
+    counts under `tolerate`; `contracts`: features of the specification that are enabled; `data_dir`: data folder on the
+    disk, none without a disk; `heartbeat_ms`: approximate interval of worker heartbeats; `commands`: how commands are
+    sent to workers, `rpc` or `heartbeat`; `app`: address of the worker on this machine, for a role that serves `side`;
+    `service`: service of that worker.
     """
 
-    node: str = field(metadata=read_with(filled_text))
-    role: str = field(metadata=read_with(filled_text))
+    node: str = field(metadata=read_with(nonempty_text))
+    role: str = field(metadata=read_with(nonempty_text))
     machine_class: str = field(default="", metadata=read_with(text, key="class"))
     serves: tuple[str, ...] = field(default=(), metadata=read_with(list_of(text)))
-    ip: str = field(metadata=read_with(filled_text))
+    ip: str = field(metadata=read_with(nonempty_text))
     zone: str = field(default="", metadata=read_with(text))
     region: str = field(default="", metadata=read_with(text))
     zones: Mapping[str, str] = field(default_factory=dict, metadata=read_with(mapping_of(text)))
@@ -180,7 +190,7 @@
     counts_for_quorum: bool = field(default=False, metadata=read_with(flag))
     limits: MachineLimits = field(default_factory=MachineLimits, metadata=read_with(nested(MachineLimits)))
     data_dir: str | None = field(default=None, metadata=read_with(text_or_none))
-    heartbeat_ms: float = field(default=1000, metadata=read_with(number_above_zero))
+    heartbeat_ms: float = field(default=1000, metadata=read_with(positive_number))
     contracts: tuple[str, ...] = field(default=(), metadata=read_with(list_of(text)))
     tolerate: Tolerate = field(default_factory=Tolerate, metadata=read_with(nested(Tolerate)))
     bounds: Bounds = field(default_factory=Bounds, metadata=read_with(nested(Bounds)))
@@ -190,10 +200,10 @@
 
 
 def load_settings(path: str | Path | None = None, environment: Mapping[str, str] = os.environ) -> ProcessSettings:
-    """The settings in the file at `path`, or else in the one that the environment names; raises InvalidSettings."""
-    chosen = path or environment.get(VARIABLE)
+    """Load the settings file at `path`, or else the one named by the environment. Raises InvalidSettings."""
+    chosen = path or environment.get(SETTINGS_PATH_VARIABLE)
     if not chosen:
-        raise InvalidSettings([Finding("", f"no path is given, and {VARIABLE} is not set")])
+        raise InvalidSettings([Finding("", f"no path is given, and {SETTINGS_PATH_VARIABLE} is not set")])
     try:
         body = Path(chosen).read_bytes()
     except OSError as error:
@@ -202,7 +212,7 @@
 
 
 def parse_settings(body: bytes) -> ProcessSettings:
-    """The settings that the bytes (JSON in UTF-8) stand for; raises InvalidSettings."""
+    """Parse settings (JSON in UTF-8). Raises InvalidSettings."""
     try:
         return read_record(ProcessSettings, read_document(body))
     except UnreadableDocument as error:
--- a/millethead/control/configuration_stream.py
+++ b/millethead/control/configuration_stream.py
@@ -142,7 +142,7 @@
             self._send(caller, configuration, False)
 
     def _start(self, caller: CallerSession, newest: Committed[StoredConfiguration]) -> None:
-        force = not self._state.knows(caller.place)
+        force = not self._state.is_configuration_place(caller.place)
         if force:
             log.warning(
                 "caller_configuration_not_committed",
--- a/millethead/lab/local_system.py
+++ b/millethead/lab/local_system.py
@@ -21,7 +21,7 @@
 import msgspec
 import urllib3
 
-from millethead.configuration.settings import VARIABLE
+from millethead.configuration.settings import SETTINGS_PATH_VARIABLE
 from millethead.control.inspect import StatusReport
 from millethead.execution.messages import Resources
 from millethead.lab.local_machine import (
@@ -180,7 +180,7 @@
             machine.log = (machine.folder / "log").open("ab")
         else:
             self._write_settings(machine, bootstrap=False)
-        environment = {**os.environ, VARIABLE: str(machine.settings_file)}
+        environment = {**os.environ, SETTINGS_PATH_VARIABLE: str(machine.settings_file)}
         machine.process = subprocess.Popen(
             [sys.executable, "-m", "millethead", machine.role.value],
             stdin=subprocess.DEVNULL,
--- a/millethead/programs/__init__.py
+++ b/millethead/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The programs of the system: thin assemblies of the planes' libraries."""
+"""Entry points of the system: long-running programs and the command line, assembled from the other packages."""
--- a/millethead/programs/agent.py
+++ b/millethead/programs/agent.py
@@ -1,4 +1,4 @@
-"""The agent's program, on each machine that carries a worker."""
+"""The agent program, which runs on each machine with a worker."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class AgentProgram:
-    """The agent beside one worker. SIGTERM and SIGINT end it, SIGHUP has it read the settings file again."""
+    """The agent of one worker. SIGTERM and SIGINT stop it, SIGHUP reloads the settings file."""
 
     def __init__(self, settings: ProcessSettings) -> None:
         self._settings = settings
 
     async def run(self) -> None:
-        """Serve until a signal ends it. Raises UnfitSettings, or OSError if it cannot listen."""
+        """Serve until a signal stops the program. Raises OSError if it cannot listen."""
         shell = AgentShell(self._settings)
         shell.add_metrics(agent_figures)
         await run_until_signal(shell)
--- a/millethead/programs/agent_figures.py
+++ b/millethead/programs/agent_figures.py
@@ -1,4 +1,4 @@
-"""What an agent tells of itself at `GET /-/metrics`. It imports nothing that an agent would not."""
+"""Metrics of an agent at `GET /-/metrics`. Imports only modules that an agent loads anyway."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def agent_figures(agent: Agent, now: float) -> Iterator[MetricFamily]:
-    """Of an agent; `now`: its steady clock."""
+    """Yield the metrics of an agent. `now` is its monotonic time in seconds."""
     life = agent.life
     yield gauge("fence", "Epoch of the newest head that has welcomed this agent.", agent.epoch)
     yield gauge("lease_left_seconds", "For how long runs may still be held.", max(0.0, agent.lease_end - now))
--- a/millethead/programs/chain_links.py
+++ b/millethead/programs/chain_links.py
@@ -1,7 +1,7 @@
-"""The links of one control process to its neighbours in the chain: opened, opened again, and what their end tells.
+"""The connections (links) of a control process to its neighbours in the chain.
 
-A neighbour whose link has ended and whose port refuses connections has no process any more. That is known at once so,
-and not only when its heartbeats have stayed away.
+Opens links and reopens lost ones. If a link is lost and the neighbour's port refuses connections, the neighbour's
+process has ended. This detects the failure at once, without waiting for a heartbeat timeout.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from millethead.rpc.codec import Record
 from millethead.rpc.connection import Connection, connect
 
-LINK_TIMEOUT_S = 0.4  # to open a link
-LINK_RETRY_S = 0.05
+LINK_CONNECT_TIMEOUT_S = 0.4
+LINK_RETRY_INTERVAL_S = 0.05
 
 
 class ChainLinks:
-    """`replica` gives the one that is in place: a disk that was read anew brings another."""
+    """Opens and accepts links. `replica` returns the current replica, which changes when the disk is reopened."""
 
     def __init__(self, replica: Callable[[], Replica]) -> None:
         self._replica = replica
@@ -30,22 +30,22 @@
         return connection in self._links
 
     def open(self) -> None:
-        """Open a link to the successor of the epoch in place."""
+        """Open a link to the successor in the current epoch, if there is one."""
         chain = self._replica().chain
         if chain.successor is not None:
             self._spawn(self._open(chain.successor, chain.epoch))
 
-    def taken(self, link: Connection) -> None:
-        """A predecessor has opened a link."""
+    def accepted(self, link: Connection) -> None:
+        """Register a link that a predecessor has opened."""
         self._links.add(link)
 
     def received(self, link: Connection, record: Record) -> None:
-        """A record came on a link."""
+        """Pass a record from a link to the replica."""
         if not self._replica().link_record(_now(), link, record):
             link.close()
 
     def closed(self, link: Connection) -> None:
-        """A link has ended."""
+        """Handle the loss of a link."""
         self._links.discard(link)
         chain = self._replica().chain
         neighbour = chain.neighbour_of(link)
@@ -55,7 +55,7 @@
             self._spawn(self._probe(neighbour))
 
     def close_all(self) -> None:
-        """End all links."""
+        """Close all links."""
         for link in list(self._links):
             link.close()
 
@@ -63,7 +63,7 @@
         while self._replica().chain.epoch == epoch:
             link = await self._connect(successor)
             if link is None:
-                await asyncio.sleep(LINK_RETRY_S)
+                await asyncio.sleep(LINK_RETRY_INTERVAL_S)
                 continue
             if self._replica().chain.epoch != epoch:
                 link.close()
@@ -74,26 +74,26 @@
 
     async def _reopen(self, successor: ChainMember, epoch: int) -> None:
         await self._probe(successor)
-        await asyncio.sleep(LINK_RETRY_S)
+        await asyncio.sleep(LINK_RETRY_INTERVAL_S)
         await self._open(successor, epoch)
 
     async def _probe(self, neighbour: ChainMember) -> None:
-        """Find out whether a neighbour whose link has ended still listens."""
+        """Check whether a neighbour whose link was lost still accepts connections."""
         link = await self._connect(neighbour)
         if link is not None:
             link.close()
 
     async def _connect(self, neighbour: ChainMember) -> Connection | None:
         try:
-            return await connect(neighbour.member.address, self.received, self.closed, LINK_TIMEOUT_S)
+            return await connect(neighbour.member.address, self.received, self.closed, LINK_CONNECT_TIMEOUT_S)
         except ConnectionRefusedError:
             self._replica().process_ended(_now(), neighbour)
         except OSError:
             pass
         return None
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
--- a/millethead/programs/command_line.py
+++ b/millethead/programs/command_line.py
@@ -1,7 +1,7 @@
-"""The command line of the system: its programs, and the tools for the people who run it.
+"""The command line: the programs of the system and tools for operators.
 
-Every command ends with one of `ExitCode`. What goes wrong is written to standard error, one line a finding, each with
-its place. Modules that only one command needs are imported by it: a start of a program is charged for its imports.
+Every command ends with an `ExitCode`. Errors are written to standard error, one line per finding with its location.
+Modules that only one command needs are imported inside it, because imports slow down the start of a program.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import typer
 
-from millethead.configuration.settings import VARIABLE, InvalidSettings, load_settings
+from millethead.configuration.settings import SETTINGS_PATH_VARIABLE, InvalidSettings, load_settings
 from millethead.programs.command_support import (
     CODES,
     AsJson,
@@ -51,7 +51,7 @@
 
 
 def main() -> None:
-    """Run the command line; ends the process."""
+    """Run the command line and exit."""
     app(prog_name="millethead")
 
 
@@ -91,7 +91,7 @@
         raise fail(ExitCode.NEGATIVE, f"demo: {error}") from None
 
 
-# ---- the core's state ------------------------------------------------------------------------------------
+# ---- state of the core -----------------------------------------------------------------------------------
 
 
 @app.command(epilog=CODES)
@@ -164,7 +164,7 @@
 @settings_app.command("check", epilog=CODES)
 def settings_check(
     file: Annotated[
-        Path | None, typer.Argument(metavar="[FILE]", envvar=VARIABLE, help="Settings file of a process.")
+        Path | None, typer.Argument(metavar="[FILE]", envvar=SETTINGS_PATH_VARIABLE, help="Settings file of a process.")
     ] = None,
 ) -> None:
     """Says whether a process can use its settings file; all findings together."""
--- a/millethead/programs/command_support.py
+++ b/millethead/programs/command_support.py
@@ -1,4 +1,4 @@
-"""What the commands share: exit codes, options, how a command ends, and the way to the core."""
+"""Helpers shared by the commands: exit codes, options, errors, output and the connection to the core."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 import typer
 
-from millethead.configuration.settings import VARIABLE, InvalidSettings, ProcessSettings, load_settings
+from millethead.configuration.settings import SETTINGS_PATH_VARIABLE, InvalidSettings, ProcessSettings, load_settings
 
 if TYPE_CHECKING:
     from millethead.programs.core_client import CoreClient
 
 
 class ExitCode(IntEnum):
-    """How a command ended."""
+    """Exit codes of the commands."""
 
     OK = 0
-    NEGATIVE = 1  # invalid document, difference, unknown job, damaged disk, failed demo: what was asked does not hold
-    UNUSABLE = 2  # arguments, files or settings that cannot be used
-    UNREACHABLE = 3  # no control process gave a clear answer
-    CONFLICT = 4  # another version of the configuration is in place
+    NEGATIVE = 1  # invalid document, difference, unknown job, damaged disk or failed demo
+    UNUSABLE = 2  # unusable arguments, files or settings
+    UNREACHABLE = 3  # no control process gave a definite answer
+    CONFLICT = 4  # the configuration has another version
 
 
 CODES = (
@@ -51,7 +51,8 @@
     ),
 ]
 SettingsFile = Annotated[
-    Path | None, typer.Option("--settings", envvar=VARIABLE, help="Settings file of any process of the system.")
+    Path | None,
+    typer.Option("--settings", envvar=SETTINGS_PATH_VARIABLE, help="Settings file of any process of the system."),
 ]
 AsJson = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 Document = Annotated[Path, typer.Argument(metavar="FILE", help="JSON file; - reads standard input.")]
@@ -60,14 +61,14 @@
 
 
 def fail(code: ExitCode, *texts: object) -> typer.Exit:
-    """Say why, a line each; what is returned is to be raised."""
+    """Print the reasons to standard error, one a line, and return the exception to raise."""
     for text in texts:
         typer.echo(f"millethead: {text}", err=True)
     return typer.Exit(code)
 
 
 def print_report(report: Any, as_json: bool, lines: Callable[[Any], Iterable[str]]) -> None:
-    """A report of the core, as one line of JSON or as text."""
+    """Print a report of the core, as one line of JSON or as text."""
     import msgspec
 
     print_lines([msgspec.json.encode(report).decode()] if as_json else lines(report))
@@ -94,17 +95,17 @@
 
 @contextmanager
 def connected_core(control: list[str] | None, internal_port: int | None, settings: Path | None) -> Iterator[CoreClient]:
-    """A client of the core; what its calls raise ends the command."""
-    from millethead.programs.core_client import CoreClient, CoreUnreachable, NoAddresses, Refused, addresses
+    """Provide a client of the core. Errors of its calls end the command with the matching exit code."""
+    from millethead.programs.core_client import CallRejected, CoreClient, CoreUnreachable, NoCoreAddress, addresses
 
     read = read_settings(settings) if settings is not None else None
     try:
         yield CoreClient(addresses(control or (), internal_port, read))
-    except NoAddresses as error:
+    except NoCoreAddress as error:
         raise fail(ExitCode.UNUSABLE, error) from None
     except CoreUnreachable as error:
         raise fail(ExitCode.UNREACHABLE, f"the core cannot be reached: {error}") from None
-    except Refused as error:
+    except CallRejected as error:
         if error.version is not None:
             raise fail(ExitCode.CONFLICT, f"version {error.version} is in place") from None
         raise fail(ExitCode.NEGATIVE, *error.findings) from None
--- a/millethead/programs/config_commands.py
+++ b/millethead/programs/config_commands.py
@@ -1,4 +1,4 @@
-"""`millethead config`: the configuration checked, read, compared and changed."""
+"""`millethead config`: checks, reads, compares and changes the configuration."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     """Has a configuration, or a change of one, taken and committed."""
     body = read_file(file)
     with connected_core(control, None, settings) as core:
-        base = _version_in_place(core) if if_match is None else if_match
+        base = _current_version(core) if if_match is None else if_match
         version = core.change("PATCH" if patch else "PUT", body, base)
     typer.echo(f"version {version} is in place")
 
@@ -87,7 +87,7 @@
         raise typer.Exit(ExitCode.NEGATIVE)
 
 
-def _version_in_place(core: CoreClient) -> int:
+def _current_version(core: CoreClient) -> int:
     from millethead.configuration.check import parse
 
     document = core.configuration()
--- a/millethead/programs/configuration_diff.py
+++ b/millethead/programs/configuration_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, item by item and field by field, as lines of text."""
+"""Differences between two configurations by item and field, as lines of text."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from millethead.configuration.model import Configuration, Route, Service
 
-Named = Route | Service
+NamedItem = Route | Service
 
 
 def differences(old: Configuration | None, new: Configuration) -> list[str]:
-    """One line a difference but for the version; `old` None stands for none at all."""
+    """Return one line for each difference except the version. `old` is None if there is no configuration yet."""
     lines: list[str] = []
     for name in ("routes", "services"):
         before = {item.name: item for item in getattr(old, name, ())}
@@ -23,7 +23,7 @@
     return lines
 
 
-def _item_lines(place: str, before: dict[str, Named], after: dict[str, Named]) -> Iterator[str]:
+def _item_lines(place: str, before: dict[str, NamedItem], after: dict[str, NamedItem]) -> Iterator[str]:
     for name in before:
         if name not in after:
             yield f"- {place} {name}"
@@ -37,6 +37,6 @@
 
 def _changed_fields(old: object, new: object) -> Iterator[str]:
     for field in fields(new):  # type: ignore[arg-type]
-        one, other = getattr(old, field.name), getattr(new, field.name)
-        if one != other:
-            yield f"{field.name} {one} -> {other}"
+        old_value, new_value = getattr(old, field.name), getattr(new, field.name)
+        if old_value != new_value:
+            yield f"{field.name} {old_value} -> {new_value}"
--- a/millethead/programs/control.py
+++ b/millethead/programs/control.py
@@ -1,4 +1,7 @@
-"""The control program: a member of the core with its disk, or a relay without one; takes the operator's calls."""
+"""The control program: one process of the core.
+
+With a disk it is a member of the core, without one it only relays. It also serves the operator's HTTP interface.
+"""
 
 from __future__ import annotations
 
@@ -20,12 +23,12 @@
 from millethead.programs.addresses import internal_address, seed_addresses, split_address
 from millethead.programs.chain_links import ChainLinks
 from millethead.programs.control_figures import head_figures, member_figures
-from millethead.programs.core_disk import REVIVE_S, CoreDisk, DiskUnusable, await_disk, open_disk
+from millethead.programs.core_disk import DISK_RETRY_INTERVAL_S, CoreDisk, DiskUnusable, open_disk, wait_for_disk
 from millethead.programs.core_sessions import CoreSessions
 from millethead.programs.disk_maintenance import DiskMaintenance
 from millethead.programs.loop_ports import DatagramSocket, LoopClock
 from millethead.programs.operator_api import operator_app
-from millethead.programs.signals import on_signals
+from millethead.programs.signals import install_signal_handlers
 from millethead.replication.log import ReplicatedLog
 from millethead.replication.proposal import ViewProposal
 from millethead.replication.replica import Replica, ReplicaSettings
@@ -41,15 +44,15 @@
 
 log = structlog.get_logger()
 
-HANDOVER_SHARE = 0.5  # of grace_s, for handing over at SIGTERM
+HANDOVER_SHARE = 0.5  # fraction of grace_s for the handover on SIGTERM
 OPERATOR_BODY_BYTES = 8 << 20
-SHORTEST_TICK_S = 0.005
-HELD_UP_LOGGED_S = 0.2  # the log tells of a loop that was held up for so long
-INPUT_SHARE = 0.125  # of the memory, for frames of all connections that are not whole yet
+MIN_TICK_INTERVAL_S = 0.005
+LOOP_DELAY_LOG_THRESHOLD_S = 0.2  # delays of the event loop above this are logged
+INPUT_BUFFER_SHARE = 0.125  # fraction of the memory for incomplete frames of all connections
 
 
 class ControlProgram:
-    """One process of the core; `run` lasts until a signal ends it."""
+    """One process of the core. `run` returns after a signal has stopped it."""
 
     def __init__(self, settings: ProcessSettings) -> None:
         if settings.listen.control is None:
@@ -57,12 +60,12 @@
         self._settings, self._control_address = settings, settings.listen.control
         self._address = internal_address(settings)
         self._loop = asyncio.get_running_loop()
-        self._clock = LoopClock(self._failed)
+        self._clock = LoopClock(self._on_unexpected_error)
         self._random = Random(secrets.randbits(64))
         self._disk: CoreDisk | None = None
         if settings.data_dir is not None:
-            self._disk = await_disk(Path(settings.data_dir), settings.bootstrap)
-        self._reviving: asyncio.Task[None] | None = None
+            self._disk = wait_for_disk(Path(settings.data_dir), settings.bootstrap)
+        self._reopen_task: asyncio.Task[None] | None = None
         self._state = ControlState()
         self._replica = self._make_replica()
         self._head: Head | None = None
@@ -71,12 +74,12 @@
         self._maintenance: DiskMaintenance | None = None
         self._links = ChainLinks(lambda: self._replica)
         self._sessions = CoreSessions(lambda: self._replica, self._links)
-        self._input = InputBudget(int(INPUT_SHARE * settings.limits.memory_mb * MB))
-        self._caller = HeadClient(settings.node, self._caller_seeds, self._random)
+        self._input_budget = InputBudget(int(INPUT_BUFFER_SHARE * settings.limits.memory_mb * MB))
+        self._head_client = HeadClient(settings.node, self._head_client_seeds, self._random)
         self._http = HttpServer(
-            operator_app(self._caller, self._figures), HttpLimits(max_body_bytes=OPERATOR_BODY_BYTES)
+            operator_app(self._head_client, self._metrics), HttpLimits(max_body_bytes=OPERATOR_BODY_BYTES)
         )
-        self._slices = IterationBudget(self._loop.time, self._clock.soon)
+        self._iteration_budget = IterationBudget(self._loop.time, self._clock.soon)
         self._datagrams: DatagramSocket | None = None
         self._server: asyncio.Server | None = None
         self._stopped = asyncio.Event()
@@ -103,49 +106,51 @@
             self._random,
         )
 
-    def _figures(self) -> Iterator[MetricFamily]:
+    def _metrics(self) -> Iterator[MetricFamily]:
         scrubber = self._maintenance.scrubber if self._maintenance is not None else None
         yield from member_figures(self._replica, self._disk, scrubber)
         yield from head_figures(self._head)
 
-    def _caller_seeds(self) -> tuple[str, ...]:
+    def _head_client_seeds(self) -> tuple[str, ...]:
         return (self._address, *(seed for seed in seed_addresses(self._settings) if seed != self._address))
 
-    # ---- life --------------------------------------------------------------------------------------------
+    # ---- lifecycle ---------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        on_signals(self._stopped.set, self._reload)
+        install_signal_handlers(self._stopped.set, self._reload)
         if self._disk is not None:
             self._start_disk(self._disk)
         host, port = split_address(self._address)
         sessions = self._sessions
-        # connections first: whoever is heard listens, so that a refused connection tells of its end
+        # listen before the first heartbeat: a refused connection then means that the process has ended
         self._server = await self._loop.create_server(
-            lambda: Connection(sessions.received, sessions.closed, sessions.opened, self._input, self._slices),
+            lambda: Connection(
+                sessions.received, sessions.closed, sessions.opened, self._input_budget, self._iteration_budget
+            ),
             host,
             port,
             backlog=512,
         )
         self._datagrams = DatagramSocket(host, port, self._datagram)
         await self._http.listen(*split_address(self._control_address))
-        self._caller.start()
+        self._head_client.start()
         log.info("control_started", node=self._settings.node, disk=self._disk is not None)
         self._tick()
         await self._stopped.wait()
-        await self._end()
+        await self._shut_down()
 
-    async def _end(self) -> None:
-        """Hand over what this member does, answer what is under way, and end."""
+    async def _shut_down(self) -> None:
+        """Hand over the duties of this member, answer pending requests, and stop."""
         self._replica.leave(self._loop.time())
-        until = self._loop.time() + HANDOVER_SHARE * self._settings.bounds.grace_s
-        while not self._replica.handed_over and self._loop.time() < until:
+        deadline = self._loop.time() + HANDOVER_SHARE * self._settings.bounds.grace_s
+        while not self._replica.handed_over and self._loop.time() < deadline:
             await asyncio.sleep(0.02)
         if self._replica.handed_over:
             log.info("handed_over", epoch=self._replica.view.epoch)
         else:
             log.warning("not_handed_over", epoch=self._replica.view.epoch, role=self._replica.chain.role.value)
         await self._http.drain(min(2.0, self._settings.bounds.grace_s / 4))
-        self._caller.close()
+        self._head_client.close()
         if self._server is not None:
             self._server.close()
         if self._disk is not None:
@@ -158,34 +163,36 @@
         except InvalidSettings as error:
             log.warning("settings_not_read", why=str(error))
 
-    def _failed(self, error: Exception) -> None:
-        """Something unexpected was raised in this member's decisions. It ends at once, as by a loss of power: another
-        member takes over, and the next process begins from its disk. State that is half changed is not gone on with."""
+    def _on_unexpected_error(self, error: Exception) -> None:
+        """End the process at once after an unexpected exception, because the state may be partly changed.
+
+        As after a power failure, another member takes over and the next process recovers from the disk.
+        """
         log.critical("unexpected_error", node=self._settings.node, exc_info=error)
         sys.stdout.flush()
         os._exit(os.EX_SOFTWARE)
 
     def _tick(self) -> None:
-        self._clock.guarded(self._work)
+        self._clock.run_guarded(self._run_tick)
 
-    def _work(self) -> None:
+    def _run_tick(self) -> None:
         now = self._loop.time()
-        self._note_hold_up(now)
+        self._check_loop_delay(now)
         self._replica.tick(now)
         if self._head is not None and now >= self._head_tick:
             self._head_tick = self._head.tick()
         self._maintain_disk()
-        self._tick_due = max(now + SHORTEST_TICK_S, self._replica.next_tick())
+        self._tick_due = max(now + MIN_TICK_INTERVAL_S, self._replica.next_tick())
         self._loop.call_at(self._tick_due, self._tick)
 
-    def _note_hold_up(self, now: float) -> None:
-        """Where this tick is late, the disk is not to blame for what has waited meanwhile."""
+    def _check_loop_delay(self, now: float) -> None:
+        """Detect a delayed event loop, so that the delay does not count as disk latency."""
         late_s = now - self._tick_due
         if late_s < HELD_UP_S:
             return
         if self._disk is not None:
-            self._disk.held_up(self._tick_due)
-        if late_s > HELD_UP_LOGGED_S:
+            self._disk.record_loop_delay(self._tick_due)
+        if late_s > LOOP_DELAY_LOG_THRESHOLD_S:
             log.warning("loop_held_up", ms=int(late_s * 1000), head=self._head is not None)
 
     # ---- the disk ----------------------------------------------------------------------------------------
@@ -195,19 +202,21 @@
         self._maintenance = DiskMaintenance(disk, self._replica.chain, self._loop.time)
 
     def _maintain_disk(self) -> None:
-        """A disk that refused a write: what is on it is read anew as soon as it takes writes again, and this member
-        goes on as a new process would."""
+        """Run disk maintenance, or start to reopen a disk that failed a write.
+
+        After the disk is reopened, this member continues like a newly started process.
+        """
         if self._disk is None or self._maintenance is None:
             return
         if not self._disk.broken:
             self._maintenance.tick()
-        elif self._reviving is None:
-            self._reviving = self._loop.create_task(self._revive())
+        elif self._reopen_task is None:
+            self._reopen_task = self._loop.create_task(self._reopen_disk())
 
-    async def _revive(self) -> None:
+    async def _reopen_disk(self) -> None:
         folder = Path(self._settings.data_dir or "")
         while True:
-            await asyncio.sleep(REVIVE_S)
+            await asyncio.sleep(DISK_RETRY_INTERVAL_S)
             try:
                 disk = await asyncio.to_thread(open_disk, folder)
                 break
@@ -219,13 +228,13 @@
         self._state = ControlState()
         self._replica = self._make_replica()
         self._start_disk(disk)
-        self._reviving = None
+        self._reopen_task = None
         log.info("disk_revived", entry=self._replica.chain.log.last[1])
 
     def _post(self, call: Callable[[], None]) -> None:
         self._loop.call_soon_threadsafe(call)
 
-    # ---- what the replica asks for -----------------------------------------------------------------------
+    # ---- callbacks of the replica ------------------------------------------------------------------------
 
     def datagram(self, address: str, record: Record) -> None:
         if self._datagrams is not None:
@@ -303,7 +312,7 @@
             max_job_bytes(self._settings.limits.memory_mb, self._settings.limits.disk_mb),
         )
         self._head_tick = 0.0
-        self._sessions.begin(self._head)
+        self._sessions.start_serving(self._head)
 
     def leads_on(self, view: View) -> None:
         assert self._head is not None
@@ -315,7 +324,7 @@
         if head is None:
             return
         log.info("head_deposed", epoch=head.view.epoch)
-        self._sessions.end()
+        self._sessions.stop_serving()
         head.close()
 
     # ---- datagrams and connections -----------------------------------------------------------------------
--- a/millethead/programs/control_figures.py
+++ b/millethead/programs/control_figures.py
@@ -1,4 +1,4 @@
-"""What a control program tells of itself at `GET /-/metrics`, read from what it holds anyway."""
+"""Metrics of a control program at `GET /-/metrics`, read from its existing state."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def member_figures(replica: Replica, disk: CoreDisk | None, scrubber: Scrubber | None) -> Iterator[MetricFamily]:
-    """Of a member of the core, whether or not it is the head."""
+    """Yield the metrics of any member of the core."""
     chain, view = replica.chain, replica.view
     yield gauge("view_epoch", "Epoch of the view that this member has adopted.", view.epoch)
     yield gauge("chain_members", "Members of the chain in that view.", len(view.chain))
@@ -33,12 +33,12 @@
 
 
 def head_figures(head: Head | None) -> Iterator[MetricFamily]:
-    """Of the member that is the head; of the others only that they are not."""
+    """Yield the metrics of the head; `head` is None on other members, which only report that they are not the head."""
     yield gauge("is_head", "1 on the member that answers calls and schedules.", head is not None)
     if head is None:
         return
     status = status_report(head)
-    configuration = head.configuration_stream.current  # the status may tell of one that is not committed yet
+    configuration = head.configuration_stream.current  # the status may contain an uncommitted one
     followers = [caller for caller in head.configuration_stream.callers if caller.wants_configuration]
     behind = sum(caller.place < configuration.place for caller in followers)
     yield gauge("uncommitted_entries", "Entries that the chain has not all synced yet.", status.uncommitted)
--- a/millethead/programs/core_client.py
+++ b/millethead/programs/core_client.py
@@ -1,4 +1,4 @@
-"""The command line's way to the core: the configuration over HTTP, the state of the core over the internal protocol."""
+"""Client of the core for the command line: HTTP for the configuration, the internal protocol for everything else."""
 
 from __future__ import annotations
 
@@ -19,44 +19,50 @@
 from millethead.rpc.codec import Record
 
 CONFIG_PATH = "/-/config"
-CALL_TIMEOUT_S = 3.0  # for one address
-MOST_REDIRECTS = 2
-HEAD_TIMEOUT_S = 6.0  # to find the head and have its answer
+HTTP_TIMEOUT_S = 3.0  # per address
+MAX_REDIRECTS = 2
+HEAD_TIMEOUT_S = 6.0  # to find the head, and again to get its answer
 NODE = "command-line"
 
 
 class CoreUnreachable(Exception):
-    """No control process gave a clear answer; the text names the addresses and what each did."""
+    """No control process gave a definite answer. The message has the addresses and the error of each."""
 
 
-class Refused(Exception):
-    """The core does not take an order. `version`: the one in place, where that is the reason; `findings` otherwise."""
+class CallRejected(Exception):
+    """The core rejected a request.
+
+    `version` is the current version of the configuration if that is the reason, otherwise `findings` has the reasons.
+    """
 
     def __init__(self, status: int, findings: Sequence[Finding], version: int | None = None) -> None:
         super().__init__(f"{status}: " + "; ".join(str(finding) for finding in findings))
         self.status, self.findings, self.version = status, tuple(findings), version
 
 
-class NoAddresses(Exception):
+class NoCoreAddress(Exception):
     """Neither an option nor a settings file names a control process."""
 
 
 @dataclass(frozen=True, slots=True)
 class CoreAddresses:
-    """Where control processes are (host:port): `control` for the operator's calls, `internal` for programs' calls."""
+    """Addresses of control processes (host:port): `control` for HTTP, `internal` for the internal protocol."""
 
     control: tuple[str, ...]
     internal: tuple[str, ...]
 
 
 def addresses(options: Sequence[str], internal_port: int | None, settings: ProcessSettings | None) -> CoreAddresses:
-    """The addresses that options name, else those of the settings file: its own and the seeds. Raises NoAddresses."""
+    """Return the addresses from the options, else the own address and the seeds from the settings.
+
+    Raises NoCoreAddress if there is none.
+    """
     control = tuple(options)
     if not control and settings is not None:
         own = (settings.listen.control,) if settings.listen.control and settings.app is None else ()
         control = tuple(dict.fromkeys((*own, *settings.seeds)))
     if not control:
-        raise NoAddresses("name a control process with --control HOST:PORT, or a settings file with --settings")
+        raise NoCoreAddress("name a control process with --control HOST:PORT, or a settings file with --settings")
     if internal_port is None and settings is not None:
         internal_port = settings.port_range[0]
     if internal_port is None:
@@ -66,83 +72,88 @@
 
 
 class CoreClient:
-    """Calls that wait for their answer; each goes to one address after the other until one answers clearly."""
+    """Blocking calls to the core. The addresses are tried in turn until one gives a definite answer."""
 
     def __init__(self, core: CoreAddresses) -> None:
         self._core = core
         self._http = urllib3.PoolManager(
-            retries=urllib3.Retry(total=None, connect=0, read=0, status=0, other=0, redirect=MOST_REDIRECTS)
+            retries=urllib3.Retry(total=None, connect=0, read=0, status=0, other=0, redirect=MAX_REDIRECTS)
         )
 
     # ---- configuration -----------------------------------------------------------------------------------
 
     def configuration(self) -> bytes:
-        """The configuration in force; empty before the first. Raises CoreUnreachable."""
-        status, body = self._ask("GET", None, {}, lambda status: status in (OK, 404))
+        """Return the configuration in force; empty before the first. Raises CoreUnreachable."""
+        status, body = self._request("GET", None, {}, lambda status: status in (OK, 404))
         return body if status == OK else b""
 
     def change(self, method: str, body: bytes, if_match: int) -> int:
-        """Have an order (PUT or PATCH) taken; the version in place then. Raises Refused and CoreUnreachable."""
+        """Change the configuration by PUT or PATCH and return the new version.
+
+        Raises CallRejected and CoreUnreachable.
+        """
         headers = {"Content-Type": "application/json", "If-Match": str(if_match)}
-        status, answer = self._ask(method, body, headers, lambda status: 200 <= status < 300 or 400 <= status < 500)
+        status, answer = self._request(method, body, headers, lambda status: 200 <= status < 300 or 400 <= status < 500)
         value = _object(answer)
         version = value.get("version")
         if status >= 300:
-            raise Refused(status, _findings(value), version if isinstance(version, int) else None)
+            raise CallRejected(status, _findings(value), version if isinstance(version, int) else None)
         return version if isinstance(version, int) else 0
 
-    def _ask(
-        self, method: str, body: bytes | None, headers: dict[str, str], clear: Callable[[int], bool]
+    def _request(
+        self, method: str, body: bytes | None, headers: dict[str, str], is_definite: Callable[[int], bool]
     ) -> tuple[int, bytes]:
-        said = []
+        failures = []
         for address in self._core.control:
             try:
                 answer = self._http.request(
-                    method, f"http://{address}{CONFIG_PATH}", body=body, headers=headers, timeout=CALL_TIMEOUT_S
+                    method, f"http://{address}{CONFIG_PATH}", body=body, headers=headers, timeout=HTTP_TIMEOUT_S
                 )
             except (urllib3.exceptions.HTTPError, ValueError) as error:
-                said.append(f"{address}: {_cause(error)}")
+                failures.append(f"{address}: {_cause(error)}")
                 continue
-            if clear(answer.status) and answer.status not in (408, 429):
+            if is_definite(answer.status) and answer.status not in (408, 429):
                 return answer.status, answer.data
-            said.append(f"{address}: answered {answer.status}")
-        raise CoreUnreachable("; ".join(said))
+            failures.append(f"{address}: answered {answer.status}")
+        raise CoreUnreachable("; ".join(failures))
 
     # ---- state -------------------------------------------------------------------------------------------
 
     def status(self) -> StatusReport:
-        """The core as its head sees it. Raises CoreUnreachable."""
+        """Return the status of the core from its head. Raises CoreUnreachable."""
         return msgspec.json.decode(self._inspect(STATUS), type=StatusReport)
 
     def jobs(self, queue: str = "") -> list[JobSummary]:
-        """The newest jobs, of one queue or of all. Raises CoreUnreachable."""
+        """Return the newest jobs of one queue or of all. Raises CoreUnreachable."""
         return msgspec.json.decode(self._inspect(f"{JOBS}:{queue}"), type=list[JobSummary])
 
     def job(self, name: str) -> JobReport | None:
-        """One job; None for one that the core does not know. Raises CoreUnreachable."""
+        """Return one job, or None if the core does not know it. Raises CoreUnreachable."""
         return msgspec.json.decode(self._inspect(f"{JOB}:{name}"), type=JobReport | None)
 
     def _inspect(self, what: str) -> bytes:
         return self._call(lambda number: InspectCall(number, what)).body
 
-    # ---- orders of the staff -----------------------------------------------------------------------------
+    # ---- operator commands -------------------------------------------------------------------------------
 
     def drain(self, node: str, drained: bool) -> DrainReport:
-        """Have the worker at a node taken out, or put back; committed when this returns. Raises Refused and
-        CoreUnreachable."""
+        """Drain the worker at a node, or undo that. Returns after the change is committed.
+
+        Raises CallRejected and CoreUnreachable.
+        """
         answer = self._call(lambda number: DrainCall(number, node, drained), (OK, NOT_FOUND, TOO_MANY))
         if answer.status != OK:
-            raise Refused(answer.status, _findings(_object(answer.body)))
+            raise CallRejected(answer.status, _findings(_object(answer.body)))
         return msgspec.json.decode(answer.body, type=DrainReport)
 
-    def _call(self, make: Callable[[int], Record], clear: Sequence[int] = (OK,)) -> CallAnswer:
-        """Make a call of the internal protocol; raises CoreUnreachable for an answer of none of the statuses."""
+    def _call(self, make: Callable[[int], Record], definite: Sequence[int] = (OK,)) -> CallAnswer:
+        """Call the head over the internal protocol. Raises CoreUnreachable if the status is not in `definite`."""
         if not self._core.internal:
-            raise NoAddresses(
+            raise NoCoreAddress(
                 "name the port for internal calls with --internal-port, or a settings file with --settings"
             )
         answer = asyncio.run(_call_head(self._core.internal, make))
-        if answer.status not in clear:
+        if answer.status not in definite:
             raise CoreUnreachable(f"{', '.join(self._core.internal)}: answered {answer.status}")
         return answer
 
@@ -182,5 +193,5 @@
     if isinstance(error, urllib3.exceptions.NewConnectionError):
         return "no connection"
     if isinstance(error, urllib3.exceptions.TimeoutError):
-        return f"no answer in {CALL_TIMEOUT_S:g} s"
+        return f"no answer in {HTTP_TIMEOUT_S:g} s"
     return type(error).__name__
--- a/millethead/programs/core_disk.py
+++ b/millethead/programs/core_disk.py
@@ -1,4 +1,4 @@
-"""The disk of a member of the core: identity, log and acceptor, opened, and how long its syncs take."""
+"""The disk of a member of the core: identity, log and acceptor state, with measurements of the sync latency."""
 
 from __future__ import annotations
 
@@ -28,14 +28,15 @@
 
 log = structlog.get_logger()
 
-REVIVE_S = 0.5  # between tries of a disk that takes no writes
-BROKEN_MS = 60_000  # told as the time of a sync while the disk takes no writes
-ACCEPTOR_NAME = "view.agreed"  # the acceptor's file
-TRIAL, TRIAL_BYTES = "trial", 16_384  # a file that is written and removed to see whether the disk takes writes
+DISK_RETRY_INTERVAL_S = 0.5  # between attempts to open a disk that fails writes
+BROKEN_DISK_LATENCY_MS = 60_000  # reported as sync latency while the disk fails writes
+ACCEPTOR_NAME = "view.agreed"  # file name of the acceptor state
+PROBE_FILE_NAME = "trial"  # file written and removed to check that the disk accepts writes
+PROBE_FILE_BYTES = 16_384
 
 
 def _make_folder(folder: Path) -> None:
-    """Make the folder, its name on disk too; raises OSError."""
+    """Create the folder and sync its entry in the parent folder. Raises OSError."""
     if folder.is_dir():
         return
     folder.mkdir(parents=True, exist_ok=True)
@@ -47,17 +48,19 @@
 
 
 class DiskUnusable(Exception):
-    """The disk takes or gives nothing at present; what is on it stays as it is."""
+    """The disk cannot be read or written at present. Its content is unchanged."""
 
 
 class CoreDisk:
-    """Opens what is in `folder`; raises DiskUnusable. A disk whose content cannot be believed is emptied, and is
-    another disk then."""
+    """The disk in `folder`. Raises DiskUnusable if it cannot be opened.
+
+    A disk with corrupt content is emptied and gets a new identity.
+    """
 
     def __init__(self, folder: Path, bootstrap: bool, random: Callable[[], int]) -> None:
         self._folder, self._random = folder, random
         try:
-            self._open_believed(bootstrap)
+            self._open_or_discard(bootstrap)
         except OSError as error:
             raise DiskUnusable(str(error)) from error
         self._writer: LogWriter | None = None
@@ -66,7 +69,7 @@
         self._sync_times = SyncTimes(self._clock)
         self.broken = False
 
-    def _open_believed(self, bootstrap: bool) -> None:
+    def _open_or_discard(self, bootstrap: bool) -> None:
         _make_folder(self._folder)
         try:
             self._open(bootstrap)
@@ -75,31 +78,33 @@
             discard_disk(self._folder, (ACCEPTOR_NAME,))
             self._open(False)
 
-    def _check_writes(self) -> None:
-        """Raises OSError where the disk takes no more bytes."""
-        path = self._folder / TRIAL
+    def _probe_write(self) -> None:
+        """Write, sync and remove a small file. Raises OSError if the disk does not accept writes."""
+        path = self._folder / PROBE_FILE_NAME
         with path.open("wb") as file:
-            file.write(bytes(TRIAL_BYTES))
+            file.write(bytes(PROBE_FILE_BYTES))
             file.flush()
             os.fsync(file.fileno())
         path.unlink()
 
     def _open(self, bootstrap: bool) -> None:
-        self._check_writes()
+        self._probe_write()
         self.identity: DiskIdentity = load_identity(self._folder, bootstrap, self._random)
         self._log = LogFile(self._folder)
         self.recovered: Recovered = self._log.recover()
         self._register = RegisterFile(OS_FILES, self._folder / ACCEPTOR_NAME)
         self.kept: Kept = self._register.load()
-        self._write_anew()
+        self._rewrite_log()
+
+    def _rewrite_log(self) -> None:
+        """Rewrite the recovered log, because its content may not be durable.
 
-    def _write_anew(self) -> None:
-        """Write again what was read: a process that was killed may have left it unsynced, and what a failed sync gave
-        up can still be read."""
+        A killed process may not have synced it, and data that a failed sync has dropped can still be readable.
+        """
         self._log.rewrite(self.recovered.snapshot or Snapshot(0, 0, b""), self.recovered.entries)
 
     def start(self, post: Callable[[Callable[[], None]], None], clock: Callable[[], float]) -> None:
-        """Begin to take writes."""
+        """Start the writers. `post` runs a callback on the event loop, `clock` returns monotonic seconds."""
         self._clock, self._sync_times = clock, SyncTimes(clock)
         self._writer = LogWriter(self._log, post, self._failed, clock=clock, times=self._sync_times)
         self._register_writer = RegisterWriter(self._register, self._writer)
@@ -115,18 +120,18 @@
 
     @property
     def size(self) -> int:
-        """Bytes of the log."""
+        """Size of the log in bytes."""
         return self._log.size
 
     @property
     def busy(self) -> bool:
-        """Whether any job waits for the disk."""
+        """Whether any disk operation is pending."""
         return self.writer.pending_since is not None
 
     def close(self, timeout_s: float) -> None:
         self.writer.close(timeout_s)
 
-    # ---- jobs --------------------------------------------------------------------------------------------
+    # ---- operations --------------------------------------------------------------------------------------
 
     def append(self, entries: Sequence[Entry], durable: Callable[[], None]) -> None:
         self.writer.append(entries, durable)
@@ -138,7 +143,7 @@
         self.writer.truncate(sequence)
 
     def rewrite(self, snapshot: Snapshot) -> None:
-        """Put a new file with just the snapshot in the log's place."""
+        """Replace the log by a file with only the snapshot."""
         self.writer.rewrite(snapshot, ())
 
     def save(self, kept: Kept, done: Callable[[], None]) -> None:
@@ -146,47 +151,47 @@
         self._register_writer.save(kept, done)
 
     def probe(self) -> None:
-        """Time a write: a sync of nothing new says nothing of a slow disk."""
-        self.writer.run(self._check_writes, lambda: None, timed=True)
+        """Measure the latency of a write. A sync without new data would not reveal a slow disk."""
+        self.writer.run(self._probe_write, lambda: None, timed=True)
 
     def bootstrap_done(self) -> None:
-        """Remember that the first start of the whole system is over."""
+        """Record that the bootstrap of the system is complete."""
         if self.identity.bootstrapping:
-            self.writer.run(self._forget_bootstrap, lambda: None)
+            self.writer.run(self._clear_bootstrap, lambda: None)
 
-    def _forget_bootstrap(self) -> None:
+    def _clear_bootstrap(self) -> None:
         self.identity = bootstrap_done(self._folder, self.identity)
 
     def scrubber(self, damaged: Callable[[str], None]) -> Scrubber:
-        """A background scrub of the log, and of the identity and the acceptor's file at the start of each pass."""
+        """Create a background scrubber of the log. Each pass starts with a check of the identity and acceptor files."""
         return Scrubber(self._log, self.writer.run, self._repair_small_files, damaged, self._clock)
 
     def _repair_small_files(self) -> None:
-        """In the writer's thread, which alone writes them."""
+        """Repair the identity and the acceptor file. Runs in the writer thread, the only one that writes them."""
         if repair_identity(self._folder, self.identity):
             log.error("file_repaired", file="identity")
         if self._register.repair():
             log.error("file_repaired", file=ACCEPTOR_NAME)
 
-    def held_up(self, since: float) -> None:
-        """The event loop should have gone on at `since`, and does so only now."""
+    def record_loop_delay(self, since: float) -> None:
+        """Exclude a delay of the event loop, which was due at `since`, from the measured latency."""
         self._sync_times.held_up(since)
 
     def latency_ms(self) -> int:
-        """The longest sync lately, or how long the present one is pending if that is more."""
-        return BROKEN_MS if self.broken else self._sync_times.latency_ms()
+        """Return the longest recent sync in ms, or the age of the pending one if that is longer."""
+        return BROKEN_DISK_LATENCY_MS if self.broken else self._sync_times.latency_ms()
 
 
 def open_disk(folder: Path, bootstrap: bool = False) -> CoreDisk:
-    """The disk, with what is on it; raises DiskUnusable."""
+    """Open the disk. Raises DiskUnusable."""
     return CoreDisk(folder, bootstrap, lambda: secrets.randbits(64) | 1)
 
 
-def await_disk(folder: Path, bootstrap: bool) -> CoreDisk:
-    """The disk at the start of a process, which waits until it can be used."""
+def wait_for_disk(folder: Path, bootstrap: bool) -> CoreDisk:
+    """Open the disk at the start of a process, retrying until it is usable. Blocks."""
     while True:
         try:
             return open_disk(folder, bootstrap)
         except DiskUnusable as error:
             log.warning("disk_unusable", why=str(error))
-            time.sleep(REVIVE_S)
+            time.sleep(DISK_RETRY_INTERVAL_S)
--- a/millethead/programs/core_sessions.py
+++ b/millethead/programs/core_sessions.py
@@ -1,7 +1,7 @@
-"""Connections that other programs have opened to a control process: whose they are, and who takes what they send.
+"""Sessions of the connections that other programs open to a control process, and dispatch of their records.
 
-A caller's or an agent's hello waits here while this member is not the head; the head that begins gets it, and one that
-is deposed gives it back.
+While this member is not the head, the hello of a caller or an agent is kept here. It is passed to the head when this
+member becomes head, and taken back when the head is deposed.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from millethead.rpc.codec import Record
 from millethead.rpc.connection import Connection
 
-# Bytes of the largest frame by who sends it, once its first record has told.
-MEMBER_FRAME, CALLER_FRAME, AGENT_FRAME = 16 << 20, (8 << 20) + (64 << 10), 4 << 20
+# Frame size limits by kind of sender, which is known from the first record.
+MAX_MEMBER_FRAME_BYTES, MAX_CALLER_FRAME_BYTES, MAX_AGENT_FRAME_BYTES = 16 << 20, (8 << 20) + (64 << 10), 4 << 20
 
-Session = CallerSession | AgentSession | CallerHello | AgentHello | None  # None: nothing has come yet
+Session = CallerSession | AgentSession | CallerHello | AgentHello | None  # None before the first record
 
 
 class CoreSessions:
-    """`replica` gives the one that is in place: a disk that was read anew brings another."""
+    """The incoming connections. `replica` returns the current replica, which changes when the disk is reopened."""
 
     def __init__(self, replica: Callable[[], Replica], links: ChainLinks) -> None:
         self._replica, self._links = replica, links
@@ -37,8 +37,8 @@
 
     # ---- the head ----------------------------------------------------------------------------------------
 
-    def begin(self, head: Head) -> None:
-        """This member serves as the head: whoever waits is told."""
+    def start_serving(self, head: Head) -> None:
+        """Open the sessions of waiting callers and agents; this member is the head now."""
         self._head = head
         for connection, session in list(self._sessions.items()):
             if isinstance(session, CallerHello):
@@ -46,8 +46,8 @@
             elif isinstance(session, AgentHello):
                 self._sessions[connection] = head.agent_hello(connection, session)
 
-    def end(self) -> None:
-        """It is the head no more."""
+    def stop_serving(self) -> None:
+        """Turn the sessions back into waiting hellos; this member is not the head any more."""
         self._head = None
         for connection, session in list(self._sessions.items()):
             if isinstance(session, CallerSession):
@@ -56,12 +56,12 @@
                 self._sessions[connection] = session.hello
 
     def view_changed(self, view: View) -> None:
-        """Tell those who wait where the head is."""
+        """Announce the view to waiting callers, and redirect waiting agents to the head."""
         for connection, session in list(self._sessions.items()):
             if isinstance(session, CallerHello):
                 connection.send(CallerWelcome(view, False))
             elif isinstance(session, AgentHello):
-                self._turn_agent_away(connection)
+                self._redirect_agent(connection)
 
     # ---- connections -------------------------------------------------------------------------------------
 
@@ -69,7 +69,7 @@
         self._sessions[connection] = None
 
     def received(self, connection: Connection, record: Record) -> None:
-        """A record on a connection that another program has opened."""
+        """Dispatch a record from an incoming connection."""
         if connection in self._links:
             self._links.received(connection, record)
             return
@@ -88,12 +88,12 @@
     def _first_record(self, connection: Connection, record: Record) -> None:
         match record:
             case ChainHello():
-                connection.max_frame_bytes, connection.urgent = MEMBER_FRAME, True
+                connection.max_frame_bytes, connection.urgent = MAX_MEMBER_FRAME_BYTES, True
                 self._sessions.pop(connection, None)
-                self._links.taken(connection)
+                self._links.accepted(connection)
                 self._links.received(connection, record)
             case CallerHello():
-                connection.max_frame_bytes = CALLER_FRAME
+                connection.max_frame_bytes = MAX_CALLER_FRAME_BYTES
                 if self._head is not None:
                     self._sessions[connection] = self._head.caller_hello(connection, record)
                 else:
@@ -105,15 +105,15 @@
                 connection.close()
 
     def _agent_hello(self, connection: Connection, hello: AgentHello) -> None:
-        connection.max_frame_bytes = AGENT_FRAME
+        connection.max_frame_bytes = MAX_AGENT_FRAME_BYTES
         if self._head is not None:
             self._sessions[connection] = self._head.agent_hello(connection, hello)
             return
         self._sessions[connection] = hello
-        self._turn_agent_away(connection)
+        self._redirect_agent(connection)
 
-    def _turn_agent_away(self, connection: Connection) -> None:
-        """Unless this member is to be the head in a moment, name the one that is."""
+    def _redirect_agent(self, connection: Connection) -> None:
+        """Redirect an agent to the head and close the connection, unless this member is about to serve as the head."""
         if self._replica().chain.role is Role.HEAD:
             return
         view = self._replica().view
--- a/millethead/programs/disk_commands.py
+++ b/millethead/programs/disk_commands.py
@@ -1,4 +1,4 @@
-"""`millethead log` and `millethead snapshot`: disks of the core, offline."""
+"""`millethead log` and `millethead snapshot`: offline tools for the disks of the core."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 snapshot_app = typer.Typer(no_args_is_help=True, epilog=CODES, help="The state on a disk of the core, offline.")
 
 
-def _disk(path: Path) -> DiskReport:
-    from millethead.programs.offline import NoLog, read_disk
+def _read_disk(path: Path) -> DiskReport:
+    from millethead.programs.offline import LogUnavailable, read_disk
     from millethead.storage.records import CorruptLog
 
     try:
         return read_disk(path)
-    except NoLog as error:
+    except LogUnavailable as error:
         raise fail(ExitCode.UNUSABLE, error) from None
     except CorruptLog as error:
         raise fail(ExitCode.NEGATIVE, f"{path}: damaged: {error}") from None
@@ -34,7 +34,7 @@
     nothing."""
     from millethead.programs.text_reports import disk_lines, state_lines
 
-    disk = _disk(folder)
+    disk = _read_disk(folder)
     print_lines([*disk_lines(disk), *state_lines(disk.log)])
 
 
@@ -45,7 +45,7 @@
     """Writes the state on a disk to one checksummed file. Its last entries may never have been committed."""
     from millethead.programs.offline import save_snapshot
 
-    disk = _disk(folder)
+    disk = _read_disk(folder)
     try:
         snapshot = save_snapshot(disk.log, file)
     except OSError as error:
@@ -67,7 +67,7 @@
     from millethead.programs.addresses import split_address
     from millethead.programs.restoring import restore_snapshot
 
-    disk = _disk(file)
+    disk = _read_disk(file)
     if disk.identity is not None:
         raise fail(ExitCode.UNUSABLE, f"{file}: a snapshot file is wanted, not a disk")
     try:
@@ -95,7 +95,7 @@
     """What a snapshot file or a disk holds."""
     from millethead.programs.text_reports import disk_lines, saved_job_lines, state_lines
 
-    disk = _disk(path)
+    disk = _read_disk(path)
     if document:
         typer.echo(disk.log.state.configuration.document.decode())
     if jobs:
--- a/millethead/programs/disk_maintenance.py
+++ b/millethead/programs/disk_maintenance.py
@@ -1,5 +1,6 @@
-"""What a member does for its disk beside the writes of the chain: it rewrites a long log, times a write while nobody
-else writes, and reads the disk again in the background. The emulated core runs the same code.
+"""Disk maintenance of a member: log compaction, latency probes while the disk is idle, and background scrubs.
+
+The emulated core of the lab runs the same code.
 """
 
 from __future__ import annotations
@@ -14,38 +15,40 @@
 from millethead.storage.log import Snapshot
 from millethead.storage.scrubber import Scrubber
 
-COMPACT_ENTRIES = 4000  # entries after the snapshot that have the log rewritten
-COMPACT_BYTES = 16 << 20  # bytes of the log file beside the snapshot that have it rewritten
-COMPACT_BYTES_ENTRIES = 100  # entries, at least, that a rewrite for its bytes folds into the snapshot
-APART = 0.25  # of these bounds, between a member of the chain and its successor: they do not rewrite at the same time
-PROBE_S = 0.5  # a member outside the chain times a write so often
+COMPACT_ENTRIES = 4000  # entries after the snapshot that trigger compaction
+COMPACT_BYTES = 16 << 20  # bytes of the log besides the snapshot that trigger compaction
+COMPACT_BYTES_ENTRIES = 100  # minimum number of entries for compaction by size
+COMPACTION_STAGGER = (
+    0.25  # extra fraction of the limits per chain position, so that members do not compact at the same time
+)
+PROBE_INTERVAL_S = 0.5  # of latency probes by a member outside the chain
 
 log = structlog.get_logger()
 
 
 class MaintainedDisk(Protocol):
-    """The disk of a running member."""
+    """Interface of the disk of a running member."""
 
     @property
     def size(self) -> int:
-        """Bytes of the log's file."""
+        """Size of the log file in bytes."""
 
     @property
     def busy(self) -> bool:
-        """Whether any job waits for the disk."""
+        """Whether any disk operation is pending."""
 
     def rewrite(self, snapshot: Snapshot) -> None:
-        """Put a new file with just the snapshot in the log's place."""
+        """Replace the log by a file with only the snapshot."""
 
     def probe(self) -> None:
-        """Time a write: a sync of nothing new says nothing of a slow disk."""
+        """Measure the latency of a write. A sync without new data would not reveal a slow disk."""
 
     def scrubber(self, damaged: Callable[[str], None]) -> Scrubber:
-        """A background scrub of this disk, which calls `damaged(why)`."""
+        """Create a background scrubber of this disk, which calls `damaged(why)` on corruption."""
 
 
 class DiskMaintenance:
-    """Asked at each tick of a member whose disk takes writes. `clock`: steady seconds."""
+    """Runs on each tick of a member with a working disk. `clock` returns monotonic seconds."""
 
     def __init__(
         self,
@@ -60,30 +63,36 @@
         self.scrubber = disk.scrubber(self._rewrite_damaged)
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Run the maintenance that is due."""
         self._compact()
         self._probe()
         self.scrubber.tick()
 
     def _compact(self) -> None:
-        """Rewrite a log that has grown long, once most of its snapshot is prepared. A snapshot on its way to the
-        successor is left as it is: the entries after it are still needed."""
+        """Compact a long log once most of its snapshot is prepared.
+
+        Waits while a snapshot is copied to the successor, because the entries after it are still needed.
+        """
         log = self._chain.log
-        later = 1 + APART * self._chain.place
-        entries, grown = len(log.entries), self._disk.size - len(log.base.payload)
-        long = grown > COMPACT_BYTES * later and entries > COMPACT_BYTES_ENTRIES
-        if (entries > self._compact_entries * later or long) and not self._chain.copying and log.prepare_compaction():
+        stagger = 1 + COMPACTION_STAGGER * self._chain.place
+        entries, growth = len(log.entries), self._disk.size - len(log.base.payload)
+        is_large = growth > COMPACT_BYTES * stagger and entries > COMPACT_BYTES_ENTRIES
+        if (
+            (entries > self._compact_entries * stagger or is_large)
+            and not self._chain.copying
+            and log.prepare_compaction()
+        ):
             self._disk.rewrite(log.compact())
 
     def _probe(self) -> None:
         now = self._clock()
         if self._chain.role is not Role.OUTSIDE or now < self._next_probe:
             return
-        self._next_probe = now + PROBE_S
+        self._next_probe = now + PROBE_INTERVAL_S
         if not self._disk.busy:
             self._disk.probe()
 
     def _rewrite_damaged(self, why: str) -> None:
-        """All that the file should hold is in memory too, so that nothing has to be copied from another member."""
+        """Rewrite a damaged log from memory, which holds its whole content; no copy from another member is needed."""
         log.error("log_damaged", why=why, action="rewritten from memory")
         self._disk.rewrite(self._chain.log.compact())
--- a/millethead/programs/dispatcher.py
+++ b/millethead/programs/dispatcher.py
@@ -1,7 +1,7 @@
-"""The dispatcher: takes clients' requests on every edge machine and passes them on to the head of the core.
+"""The dispatcher: accepts client requests on every edge machine and forwards them to the head of the core.
 
-It holds the configuration in force, streamed from the head, and no other state. What it answers itself is only what
-the head need not be asked for: that there is no configuration yet, and that the head cannot be reached.
+Its only state is the configuration in force, streamed from the head. It answers by itself only if there is no
+configuration yet or if the head cannot be reached.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from millethead.control.client import CallFailed, HeadClient
 from millethead.programs.addresses import seed_addresses, split_address
 from millethead.programs.dispatcher_figures import dispatcher_figures
-from millethead.programs.signals import on_signals
+from millethead.programs.signals import install_signal_handlers
 from millethead.web.metrics import MetricFamily, add_metrics
 from millethead.web.server import (
     DeferredResponse,
@@ -36,19 +36,19 @@
 
 log = structlog.get_logger()
 
-DEADLINE_MS = 3000.0  # how long a client waits that does not say
-MARGIN_S = 0.15  # before that, an answer has to leave
-REACH_S = 1.4  # the head may be away for so long, as when it changes; a request that waits longer is turned back
-ANSWER_S = 2.4  # and so long for its answer
+DEFAULT_DEADLINE_MS = 3000.0  # for requests without an X-Deadline-Ms header
+RESPONSE_MARGIN_S = 0.15  # time before the deadline at which a response is sent at the latest
+HEAD_WAIT_TIMEOUT_S = 1.4  # longest wait for a connection to the head, covers a change of the head
+ANSWER_TIMEOUT_S = 2.4  # longest wait for the answer of the head
 RETRY_AFTER_S = 1
-LONG_RETRY_AFTER_S = 2  # once the head has been away for longer than a change takes
-READY_SLACK_S = 3.0  # the head may be away for so long before the dispatcher calls itself not ready
-JOB_METHODS = ("POST", "GET", "DELETE", "PUT", "PATCH")
-HEAD_OVER_S = 1.5  # of grace_s is kept back at the end
+LONG_RETRY_AFTER_S = 2  # if the head has been unreachable for longer than a change of the head takes
+READY_GRACE_S = 3.0  # the dispatcher stays ready for this long without a connection to the head
+FORWARDED_METHODS = ("POST", "GET", "DELETE", "PUT", "PATCH")
+SHUTDOWN_RESERVE_S = 1.5  # part of grace_s reserved for the rest of the shutdown
 
 
 class DispatcherProgram:
-    """One dispatcher; `run` lasts until a signal ends it."""
+    """One dispatcher. `run` returns after a signal has stopped it."""
 
     def __init__(self, settings: ProcessSettings) -> None:
         if settings.listen.front is None or settings.listen.ready is None:
@@ -57,24 +57,24 @@
         self._front_address, self._ready_address = settings.listen.front, settings.listen.ready
         self._stopped = asyncio.Event()
         self._configuration: Configuration | None = None
-        self._caller = HeadClient(settings.node, self._seeds, Random(), self._configured)
+        self._head_client = HeadClient(settings.node, self._seeds, Random(), self._apply_configuration)
         self._front = HttpServer(self._front_app(), HttpLimits())
         self._ready = HttpServer(self._ready_app(), HttpLimits(max_connections=64))
-        self._leaving = False
+        self._stopping = False
         self._tasks: set[asyncio.Task[None]] = set()
-        self._answered = Counter[int]()
+        self._responses_by_status = Counter[int]()
 
     async def run(self) -> None:
-        on_signals(self._stopped.set, self._reload)
-        self._caller.start()
+        install_signal_handlers(self._stopped.set, self._reload)
+        self._head_client.start()
         await self._ready.listen(*split_address(self._ready_address))
         await self._front.listen(*split_address(self._front_address))
         log.info("dispatcher_started", node=self._settings.node)
         await self._stopped.wait()
-        self._leaving = True
-        await self._front.drain(max(1.0, self._settings.bounds.grace_s - HEAD_OVER_S))
+        self._stopping = True
+        await self._front.drain(max(1.0, self._settings.bounds.grace_s - SHUTDOWN_RESERVE_S))
         await self._ready.drain(0.1)
-        self._caller.close()
+        self._head_client.close()
         log.info("dispatcher_stopped", node=self._settings.node)
 
     def _seeds(self) -> tuple[str, ...]:
@@ -86,7 +86,7 @@
         except InvalidSettings as error:
             log.warning("settings_not_read", why=str(error))
 
-    def _configured(self, version: int, document: bytes) -> None:
+    def _apply_configuration(self, version: int, document: bytes) -> None:
         try:
             configuration = parse(document)
         except InvalidConfiguration as error:
@@ -113,37 +113,41 @@
                 return json_response(200, {"ready": True})
             return json_response(503, {"ready": False})
 
-        add_metrics(app, self._figures)
+        add_metrics(app, self._metrics)
         return app
 
-    def _figures(self) -> Iterator[MetricFamily]:
+    def _metrics(self) -> Iterator[MetricFamily]:
         return dispatcher_figures(
-            self._caller.configuration, self._caller.connected, self.ready(), len(self._tasks), self._answered
+            self._head_client.configuration,
+            self._head_client.connected,
+            self.ready(),
+            len(self._tasks),
+            self._responses_by_status,
         )
 
     def ready(self) -> bool:
-        """Whether new connections are wanted: a configuration is held, and the head is there or was lately."""
-        if self._leaving or self._configuration is None:
+        """Return whether new connections are wanted: a configuration is known, and the head was connected recently."""
+        if self._stopping or self._configuration is None:
             return False
-        if self._caller.connected:
+        if self._head_client.connected:
             return True
-        lost = self._caller.disconnected_at is not None
-        return lost and self._caller.disconnected_s() < READY_SLACK_S
+        lost = self._head_client.disconnected_at is not None
+        return lost and self._head_client.disconnected_s() < READY_GRACE_S
 
     # ---- requests ----------------------------------------------------------------------------------------
 
     def _front_app(self) -> bottle.Bottle:
         app = bottle.Bottle()
 
-        @app.route("<path:re:.*>", method=list(JOB_METHODS))  # type: ignore[untyped-decorator]
+        @app.route("<path:re:.*>", method=list(FORWARDED_METHODS))  # type: ignore[untyped-decorator]
         def request(path: str) -> Response | DeferredResponse:
             if self._configuration is None:
                 return self._count(error_response(503, "no configuration yet", (("Retry-After", str(RETRY_AFTER_S)),)))
-            return self._pass_on(path)
+            return self._forward(path)
 
         return app
 
-    def _pass_on(self, path: str) -> DeferredResponse:
+    def _forward(self, path: str) -> DeferredResponse:
         host = bottle.request.get_header("Host", "")
         method, body = bottle.request.method, request_body()
         deferred = DeferredResponse()
@@ -158,42 +162,44 @@
         return deferred
 
     async def _answer(self, make_call: Callable[[int], JobCall], deadline_s: float, into: DeferredResponse) -> None:
-        most = max(0.05, deadline_s - MARGIN_S)
-        away_s = self._caller.disconnected_s()
-        if away_s > REACH_S:
-            into.complete(self._count(_unreached(LONG_RETRY_AFTER_S)))
+        timeout_s = max(0.05, deadline_s - RESPONSE_MARGIN_S)
+        disconnected_s = self._head_client.disconnected_s()
+        if disconnected_s > HEAD_WAIT_TIMEOUT_S:
+            into.complete(self._count(_core_unavailable(LONG_RETRY_AFTER_S)))
             return
         try:
-            answer = await self._caller.call(make_call, min(REACH_S - away_s, most), min(ANSWER_S, most))
+            answer = await self._head_client.call(
+                make_call, min(HEAD_WAIT_TIMEOUT_S - disconnected_s, timeout_s), min(ANSWER_TIMEOUT_S, timeout_s)
+            )
         except CallFailed as failure:
-            into.complete(self._count(_failed(failure)))
+            into.complete(self._count(_failure_response(failure)))
             return
-        into.complete(self._count(_from_head(answer)))
+        into.complete(self._count(_head_response(answer)))
 
     def _count(self, answer: Response) -> Response:
-        self._answered[answer.status] += 1
+        self._responses_by_status[answer.status] += 1
         return answer
 
 
 def _deadline_s(header: str | None) -> float:
     try:
-        value = float(header) if header else DEADLINE_MS
+        value = float(header) if header else DEFAULT_DEADLINE_MS
     except ValueError:
-        return DEADLINE_MS / 1000
-    return value / 1000 if math.isfinite(value) and value > 0 else DEADLINE_MS / 1000
+        return DEFAULT_DEADLINE_MS / 1000
+    return value / 1000 if math.isfinite(value) and value > 0 else DEFAULT_DEADLINE_MS / 1000
 
 
-def _from_head(answer: CallAnswer) -> Response:
+def _head_response(answer: CallAnswer) -> Response:
     headers = (("Retry-After", str(answer.retry_after_s)),) if answer.retry_after_s else ()
     return Response(answer.status, answer.body, headers=headers)
 
 
-def _failed(failure: CallFailed) -> Response:
-    """503 only where the request was certainly not taken."""
+def _failure_response(failure: CallFailed) -> Response:
+    """Return 503 only if the request was certainly not processed, otherwise 504."""
     if failure.sent:
         return error_response(504, "the core did not answer in time")
-    return _unreached(RETRY_AFTER_S)
+    return _core_unavailable(RETRY_AFTER_S)
 
 
-def _unreached(retry_after_s: int) -> Response:
+def _core_unavailable(retry_after_s: int) -> Response:
     return error_response(503, "the core cannot be reached", (("Retry-After", str(retry_after_s)),))
--- a/millethead/programs/dispatcher_figures.py
+++ b/millethead/programs/dispatcher_figures.py
@@ -1,4 +1,4 @@
-"""What a dispatcher tells of itself at `GET /-/metrics`. It imports nothing that a dispatcher would not."""
+"""Metrics of a dispatcher at `GET /-/metrics`. Imports only modules that a dispatcher loads anyway."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def dispatcher_figures(
     configuration: int, head_connected: bool, ready: bool, under_way: int, answers: Mapping[int, int]
 ) -> Iterator[MetricFamily]:
-    """Of a dispatcher; `answers`: how many of each status it has given."""
+    """Yield the metrics of a dispatcher. `answers` has the number of responses by status."""
     yield gauge("configuration_version", "Version of the configuration in force here.", configuration)
     yield gauge("head_connected", "1 while the head can be called.", head_connected)
     yield gauge("ready", "1 while new connections are wanted.", ready)
--- a/millethead/programs/loop_ports.py
+++ b/millethead/programs/loop_ports.py
@@ -1,4 +1,4 @@
-"""What the core's pure parts are given of the event loop: datagrams, clocks and timers."""
+"""Adapters of the event loop for the I/O-free parts of the core: datagrams, clocks and timers."""
 
 from __future__ import annotations
 
@@ -9,13 +9,16 @@
 from collections.abc import Callable
 
 MS = 1000
-MOST_DATAGRAMS = 64  # read in one turn of the loop
-MOST_DATAGRAM_BYTES = 65_536
+MAX_DATAGRAMS_PER_READ = 64  # per iteration of the event loop
+MAX_DATAGRAM_BYTES = 65_536
 
 
 class DatagramSocket:
-    """Hands each datagram on, with its sender as HOST:PORT. All that have come are read in one turn of the loop: one a
-    turn, as asyncio's own transport reads, falls behind where turns are long, and heartbeats come out of date."""
+    """Passes each datagram to `received` with its sender as HOST:PORT.
+
+    Reads all available datagrams in one iteration of the event loop, up to a limit. asyncio's own transport reads one
+    datagram per iteration, which falls behind when iterations are long, and heartbeats are then stale on arrival.
+    """
 
     def __init__(self, host: str, port: int, received: Callable[[bytes, str], None]) -> None:
         self._received = received
@@ -25,50 +28,52 @@
         asyncio.get_running_loop().add_reader(self._socket, self._read)
 
     def _read(self) -> None:
-        for _ in range(MOST_DATAGRAMS):
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
-                data, sender = self._socket.recvfrom(MOST_DATAGRAM_BYTES)
+                data, sender = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
-            except OSError:  # a dead port at the other end: the heartbeats that stay away tell of it
+            except OSError:  # peer port closed; detected by missing heartbeats
                 continue
             self._received(data, f"{sender[0]}:{sender[1]}")
 
     def send(self, data: bytes, host: str, port: int) -> None:
-        """Send a datagram, which may be lost; also here, where the socket takes no more."""
+        """Send a datagram. It may be lost, also locally if the socket buffer is full."""
         with contextlib.suppress(OSError):
             self._socket.sendto(data, (host, port))
 
     def close(self) -> None:
-        """Nothing more is received."""
+        """Close the socket; no more datagrams are received."""
         asyncio.get_running_loop().remove_reader(self._socket)
         self._socket.close()
 
 
 class LoopClock:
-    """The clocks and timers that the head uses; made while the loop runs. `failed` is called where a call raises what
-    nobody expected: the state that it worked on may be half changed."""
+    """Clocks and timers of the running event loop.
+
+    `failed` is called with any exception of a callback. The state that the callback worked on may be partly changed.
+    """
 
     def __init__(self, failed: Callable[[Exception], None]) -> None:
         self._loop = asyncio.get_running_loop()
         self._failed = failed
 
     def now(self) -> float:
-        """Steady seconds."""
+        """Return monotonic seconds."""
         return self._loop.time()
 
     def wall_ms(self) -> int:
-        """The time of day, which may jump."""
+        """Return the wall clock in ms since the epoch. It may jump."""
         return int(time.time() * MS)
 
     def soon(self, call: Callable[[], None]) -> None:
-        self._loop.call_soon(self.guarded, call)
+        self._loop.call_soon(self.run_guarded, call)
 
     def later(self, delay_s: float, call: Callable[[], None]) -> None:
-        self._loop.call_later(delay_s, self.guarded, call)
+        self._loop.call_later(delay_s, self.run_guarded, call)
 
-    def guarded(self, call: Callable[[], None]) -> None:
-        """Make a call."""
+    def run_guarded(self, call: Callable[[], None]) -> None:
+        """Run a callback and report its exception to `failed`."""
         try:
             call()
         except Exception as error:
--- a/millethead/programs/offline.py
+++ b/millethead/programs/offline.py
@@ -1,6 +1,6 @@
-"""A disk of the core read while its process is away, for `millethead log` and `millethead snapshot`. Never changes it.
+"""Read-only access to the disk of a stopped member, for `millethead log` and `millethead snapshot`.
 
-A snapshot file is a log file that holds nothing but one snapshot, so its checksums are checked as a log's are.
+A snapshot file is a log file with only a snapshot, so it is verified by the checksums of the log format.
 """
 
 from __future__ import annotations
@@ -27,18 +27,21 @@
 from millethead.storage.replay import Contents, replay
 
 
-class NoLog(Exception):
-    """There is no log at a path, or it cannot be opened."""
+class LogUnavailable(Exception):
+    """The log does not exist or cannot be opened."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogReport:
-    """What a log file holds. `size` and `whole` are bytes: `whole` of them are records whose checksums hold, and the
-    rest is a torn tail that was never acknowledged."""
+    """Content of a log file.
+
+    `size` is its length in bytes. The first `valid_bytes` are records with correct checksums, the rest is a torn tail
+    that was never acknowledged.
+    """
 
     path: Path
     size: int
-    whole: int
+    valid_bytes: int
     snapshot: Snapshot | None
     entries: int
     last_epoch: int
@@ -48,8 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskReport:
-    """A member's disk. `identity` and `view` (the newest one that its acceptor has accepted) are None where the file at
-    hand is a snapshot's, which has neither."""
+    """Content of a member's disk, or of a snapshot file.
+
+    `identity` and `view` (the newest view accepted by the acceptor) are None for a snapshot file.
+    """
 
     identity: DiskIdentity | None
     view: View | None
@@ -57,14 +62,14 @@
 
 
 class _ReadOnlyFile:
-    """A file for `Cursor`, which only reads."""
+    """A read-only file for `replay`."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         try:
             self._descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
         except OSError as error:
-            raise NoLog(f"{path}: {error.strerror}") from None
+            raise LogUnavailable(f"{path}: {error.strerror}") from None
 
     def read(self, offset: int, length: int) -> bytes:
         return os.pread(self._descriptor, length, offset)
@@ -79,10 +84,10 @@
         raise PermissionError(f"{self._path} is only read")
 
     def fdatasync(self) -> None:
-        """Nothing was written."""
+        """Do nothing: there are no writes to sync."""
 
     def fsync(self) -> None:
-        """Nothing was written."""
+        """Do nothing: there are no writes to sync."""
 
     def drop_cached(self) -> None:
         drop_cached(self._descriptor)
@@ -92,12 +97,12 @@
 
 
 def read_disk(path: Path) -> DiskReport:
-    """A member's folder, or a snapshot file. Raises NoLog, and CorruptLog where it cannot be believed."""
+    """Read a member's folder or a snapshot file. Raises LogUnavailable and CorruptLog."""
     if path.is_dir():
         log = read_log(path / LOG_NAME)
         return DiskReport(_read_identity(path), _read_view(path, log), log)
     log = read_log(path)
-    if log.snapshot is None or log.whole < log.size:
+    if log.snapshot is None or log.valid_bytes < log.size:
         raise CorruptLog("not a whole snapshot")
     return DiskReport(None, None, log)
 
@@ -105,7 +110,7 @@
 def _read_identity(folder: Path) -> DiskIdentity:
     if not (folder / IDENTITY_NAME).exists():
         raise CorruptLog(f"{IDENTITY_NAME}: missing")
-    return load_identity(folder, False, lambda: 0)  # one that is there is only read
+    return load_identity(folder, False, lambda: 0)  # an existing identity is only read
 
 
 def _read_view(folder: Path, log: LogReport) -> View:
@@ -113,7 +118,7 @@
     if not register.path.exists():
         if log.last_sequence:
             raise CorruptLog(f"{register.path.name}: missing beside a log with entries")
-        return NO_VIEW  # its first start was cut short
+        return NO_VIEW  # the first start was interrupted
     try:
         return decode_view(register.read().value)
     except (OSError, Refused) as error:
@@ -121,19 +126,19 @@
 
 
 def read_log(path: Path) -> LogReport:
-    """Read a log whole, and work out the state that it makes. Raises NoLog and CorruptLog."""
+    """Read a whole log and rebuild its state. Raises LogUnavailable and CorruptLog."""
     file = _ReadOnlyFile(path)
     file.drop_cached()
     try:
         tail, contents = replay(file)
-        size, whole = file.size(), tail.offset
+        size, valid_bytes = file.size(), tail.offset
     finally:
         file.close()
     log = _replayed(contents)
     epoch, sequence = log.last
     state = log.machine
     assert isinstance(state, ControlState)
-    return LogReport(path, size, whole, contents.snapshot, len(contents.entries), epoch, sequence, state)
+    return LogReport(path, size, valid_bytes, contents.snapshot, len(contents.entries), epoch, sequence, state)
 
 
 def _replayed(contents: Contents) -> ReplicatedLog:
@@ -144,7 +149,7 @@
 
 
 def save_snapshot(report: LogReport, path: Path) -> Snapshot:
-    """Write the state of a log as a snapshot file, durably. Raises OSError, for a path in use too."""
+    """Write the state of a log durably to a snapshot file. Raises OSError, also if the file exists."""
     if path.exists():
         raise FileExistsError(errno.EEXIST, os.strerror(errno.EEXIST), str(path))
     snapshot = Snapshot(report.last_epoch, report.last_sequence, report.state.snapshot())
--- a/millethead/programs/operator_api.py
+++ b/millethead/programs/operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's interface over HTTP: the configuration, passed on to the head of the core."""
+"""The operator's HTTP interface, which forwards configuration requests to the head of the core."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from millethead.web.metrics import MetricFamily, add_metrics
 from millethead.web.server import DeferredResponse, Response, error_response, json_response, request_body
 
-REACH_S = 0.8  # the operator goes to another member after a second of silence
-ANSWER_S = 0.9
+HEAD_WAIT_TIMEOUT_S = 0.8  # clients try another member after 1 s without an answer
+ANSWER_TIMEOUT_S = 0.9
 RETRY_AFTER_S = 1
-LONGEST_VERSION = 18  # digits
+MAX_VERSION_DIGITS = 18
 
 MakeCall = Callable[[int], ConfigurationCall]
 
 
-def operator_app(caller: HeadClient, figures: Callable[[], Iterable[MetricFamily]]) -> bottle.Bottle:
-    """The application; `caller` finds the head, `figures` are this member's metrics."""
+def operator_app(caller: HeadClient, metrics: Callable[[], Iterable[MetricFamily]]) -> bottle.Bottle:
+    """Create the application. `caller` is the client of the head, `metrics` returns the metrics of this member."""
     app = bottle.Bottle()
-    add_metrics(app, figures)
+    add_metrics(app, metrics)
     tasks: set[asyncio.Task[None]] = set()
 
     @app.route("/-/config", method=["GET", "PUT", "PATCH"])  # type: ignore[untyped-decorator]
@@ -47,12 +47,12 @@
 
 def _version(header: str | None) -> int | None:
     text = (header or "").strip().strip('"')
-    return int(text) if text.isascii() and text.isdigit() and len(text) <= LONGEST_VERSION else None
+    return int(text) if text.isascii() and text.isdigit() and len(text) <= MAX_VERSION_DIGITS else None
 
 
 async def _answer(caller: HeadClient, make: MakeCall, into: DeferredResponse) -> None:
     try:
-        answer = await caller.call(make, REACH_S, ANSWER_S)
+        answer = await caller.call(make, HEAD_WAIT_TIMEOUT_S, ANSWER_TIMEOUT_S)
     except CallFailed as failure:
         if failure.sent:
             into.complete(error_response(504, "the core did not answer in time"))
--- a/millethead/programs/restoring.py
+++ b/millethead/programs/restoring.py
@@ -1,8 +1,9 @@
-"""A snapshot file put on the empty disk of one machine, from which a core begins again after all disks were lost.
+"""Restores a core from a snapshot file after the loss of all disks.
 
-The machine becomes the only voter of a view that goes on from the snapshot's; the others start with empty disks and
-join it as machines do that were replaced. The view's epoch is the fence of all orders to workers, and workers refuse a
-fence below the highest that they have seen: so the epoch jumps beyond any that the lost core can have reached.
+The snapshot is written to the empty disk of one machine, which becomes the only voter of a new view. The others start
+with empty disks and join it like replaced machines. The epoch of the view is the fencing token of all commands to
+workers, and workers reject a token below the highest they have seen. The new epoch is therefore higher than any epoch
+that the lost core can have reached.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 from millethead.storage.records import Snapshot
 from millethead.storage.register_file import RegisterFile
 
-EPOCH_MARGIN = 1 << 20  # changes of view after the snapshot that the lost core can have made at most
+EPOCH_MARGIN = 1 << 20  # upper bound of the view changes of the lost core after the snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class Restored:
-    """What was put on the disk."""
+    """The result of a restore: what was written to the disk."""
 
     member: Member
     view: View
@@ -37,9 +38,11 @@
 
 
 def restore_snapshot(report: LogReport, folder: Path, address: str) -> Restored:
-    """Put the state of a snapshot file on the disk at `folder`, which must be empty or missing, of the machine that
-    takes internal calls at `address` (host:port). Durable when it returns; cut short, the folder is to be emptied and
-    the restore done again. Raises OSError."""
+    """Write the state of a snapshot file to the disk at `folder`, which must be empty or missing.
+
+    `address` (host:port) is the machine's address for internal calls. The result is durable on return. After an
+    interrupted restore, the folder has to be emptied before another attempt. Raises OSError.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.iterdir()):
         raise OSError(errno.ENOTEMPTY, os.strerror(errno.ENOTEMPTY), str(folder))
@@ -53,7 +56,7 @@
     finally:
         log.close()
     register = RegisterFile(OS_FILES, folder / ACCEPTOR_NAME)
-    register.load()  # makes the file
+    register.load()  # creates the file
     ballot = (view.epoch, member.name)
     register.save(Kept(ballot, ballot, encode(view)))
     register.save_copy()
@@ -61,6 +64,6 @@
 
 
 def _first_view(member: Member, last_epoch: int) -> View:
-    """The member alone. It has been in every chain since the snapshot's epoch: its log holds all that there is."""
+    """Return a view with only `member`, in the chain since the epoch of the snapshot because its log is complete."""
     place = ChainMember(member, secrets.randbits(63), last_epoch)
     return View(last_epoch + EPOCH_MARGIN, (member,), (place,))
--- a/millethead/programs/serving.py
+++ b/millethead/programs/serving.py
@@ -1,5 +1,6 @@
-"""Starts the programs that serve. They are charged for every import at each start, and a restart after a loss of power
-is as long as its imports: so none of the command line's libraries is loaded for them.
+"""Starts the long-running programs without loading the libraries of the command line.
+
+Imports dominate the start-up time of a program, and so the time to restart after a power failure.
 """
 
 from __future__ import annotations
@@ -13,16 +14,20 @@
 
 Program = Literal["control", "dispatcher", "agent"]
 PROGRAMS: tuple[Program, ...] = get_args(Program)
-UNUSED = "rich"  # of structlog's console renderer, which loads it where it is installed; the programs write logfmt
+EXCLUDED_MODULE = (
+    "rich"  # loaded by structlog's console renderer if installed; not needed, since the programs log in logfmt
+)
+
 
+def serve_program(arguments: list[str]) -> bool:
+    """Run a program until a signal stops it, if the only argument is its name and its settings are valid.
 
-def serve_plainly(arguments: list[str]) -> bool:
-    """Serve until a signal if the arguments name a program and nothing else, and its settings can be used. Otherwise
-    returns False: the command line tells what is wrong."""
+    Otherwise returns False; the command line then reports the error.
+    """
     if len(arguments) != 1 or arguments[0] not in PROGRAMS:
         return False
-    if UNUSED not in sys.modules:
-        sys.modules[UNUSED] = None  # type: ignore[assignment]  # an import of it fails as if it were not installed
+    if EXCLUDED_MODULE not in sys.modules:
+        sys.modules[EXCLUDED_MODULE] = None  # type: ignore[assignment]  # imports fail as if it were not installed
     from millethead.configuration.settings import InvalidSettings, load_settings
 
     try:
@@ -34,7 +39,7 @@
 
 
 def serve(program: str, settings: ProcessSettings, level: str) -> None:
-    """Serve until a signal."""
+    """Run a program until a signal stops it."""
     from millethead.logs import set_up
 
     set_up(level, settings.node)
--- a/millethead/programs/signals.py
+++ b/millethead/programs/signals.py
@@ -1,4 +1,4 @@
-"""What every program of the system does with signals: SIGTERM and SIGINT end it, SIGHUP has it read its settings."""
+"""Signal handling of all programs: SIGTERM and SIGINT stop them, SIGHUP reloads the settings."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 
 
-def on_signals(stop: Callable[[], None], reload: Callable[[], None]) -> None:
-    """Install the handlers on the running loop; SIGPIPE is an error of the write that caused it."""
+def install_signal_handlers(stop: Callable[[], None], reload: Callable[[], None]) -> None:
+    """Install the handlers on the running loop. SIGPIPE is ignored; the write raises an error instead."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop)
--- a/millethead/programs/text_reports.py
+++ b/millethead/programs/text_reports.py
@@ -1,4 +1,4 @@
-"""What the command line prints for people: the reports of the core and of a disk as lines of text."""
+"""Formats the reports of the core and of disks as lines of text for the command line."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from millethead.scheduling.health import HealthState
 
 LABEL_WIDTH = 14
-MOST_WORKERS_LISTED = 200
-MOST_BEHIND_NAMED = 10
+MAX_WORKERS_LISTED = 200
+MAX_OUTDATED_LISTED = 10
 
 
 def _line(label: str, text: str) -> str:
     return f"{label:<{LABEL_WIDTH}} {text}"
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[object]]) -> Iterator[str]:
-    """Rows under heads, in columns as wide as they need."""
-    texts = [tuple(heads), *(tuple(str(cell) for cell in row) for row in rows)]
-    widths = [max(len(row[column]) for row in texts) for column in range(len(heads))]
+def table(headers: Sequence[str], rows: Iterable[Sequence[object]]) -> Iterator[str]:
+    """Format rows below a header, with columns aligned to their widest cell."""
+    texts = [tuple(headers), *(tuple(str(cell) for cell in row) for row in rows)]
+    widths = [max(len(row[column]) for row in texts) for column in range(len(headers))]
     for row in texts:
         yield "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
 
 
-def moment(ms: int) -> str:
-    """A time of day in ms since 1970, in UTC."""
+def format_time(ms: int) -> str:
+    """Format a time in ms since the Unix epoch as UTC."""
     return datetime.fromtimestamp(ms / 1000, UTC).isoformat(timespec="seconds").replace("+00:00", "Z")
 
 
@@ -41,7 +41,7 @@
 
 
 def status_lines(status: StatusReport) -> Iterator[str]:
-    """`millethead status`."""
+    """Format the output of `millethead status`."""
     yield _line("view", f"epoch {status.epoch}, head {status.head or 'none'}")
     yield _line("chain", " > ".join(status.chain) or "none")
     yield _line("voters", ", ".join(_voter(voter) for voter in status.voters))
@@ -53,7 +53,7 @@
     yield _line("workers", f"{len(status.workers)}, with {status.open_runs} open runs")
     if status.taken_out:
         yield _line("taken out", ", ".join(status.taken_out))
-    shown = sorted(status.workers, key=lambda worker: (worker.service, worker.node))[:MOST_WORKERS_LISTED]
+    shown = sorted(status.workers, key=lambda worker: (worker.service, worker.node))[:MAX_WORKERS_LISTED]
     if shown:
         yield from table(
             ("worker", "node", "service", "state", "runs", "free cpu", "free mem", "free gpu"),
@@ -76,7 +76,7 @@
         f"{len(status.dispatchers)} dispatchers"
     )
     if behind:
-        named = ", ".join(f"{caller.node} ({caller.configuration})" for caller in behind[:MOST_BEHIND_NAMED])
+        named = ", ".join(f"{caller.node} ({caller.configuration})" for caller in behind[:MAX_OUTDATED_LISTED])
         text += f"; behind: {named}"
     return text
 
@@ -106,7 +106,7 @@
 
 
 def drain_line(report: DrainReport) -> str:
-    """`millethead drain`."""
+    """Format the output of `millethead drain`."""
     if not report.drained:
         return f"{report.node}: put back, gets tasks again"
     worker = f"worker {report.instance}" if report.instance else "no worker"
@@ -114,11 +114,11 @@
 
 
 def job_list_lines(jobs: Sequence[JobSummary]) -> Iterator[str]:
-    """`millethead jobs list`."""
+    """Format the output of `millethead jobs list`."""
     yield from table(
         ("job", "queue", "state", "handed in", "done", "running", "waiting"),
         (
-            (job.job, job.queue, job.state, moment(job.submitted_ms), job.done, job.running, _reasons(job.waiting))
+            (job.job, job.queue, job.state, format_time(job.submitted_ms), job.done, job.running, _reasons(job.waiting))
             for job in jobs
         ),
     )
@@ -129,14 +129,14 @@
 
 
 def job_lines(job: JobReport) -> Iterator[str]:
-    """`millethead jobs show`."""
+    """Format the output of `millethead jobs show`."""
     yield _line("job", f"{job.job}, {job.state}")
     yield _line("queue", f"{job.queue} ({job.service})")
-    yield _line("handed in", moment(job.submitted_ms))
+    yield _line("handed in", format_time(job.submitted_ms))
     if job.ended_ms:
-        yield _line("ended", moment(job.ended_ms))
+        yield _line("ended", format_time(job.ended_ms))
     if job.times > 1 or job.next_due_ms is not None:
-        due = f", the next due at {moment(job.next_due_ms)}" if job.next_due_ms is not None else ""
+        due = f", the next due at {format_time(job.next_due_ms)}" if job.next_due_ms is not None else ""
         yield _line("times", f"{job.times_done} of {job.times} done{due}")
     for step in job.steps:
         yield from _step_lines(step)
@@ -156,11 +156,13 @@
 
 
 def disk_lines(disk: DiskReport) -> Iterator[str]:
-    """`millethead log verify` and the head of `millethead snapshot show`."""
+    """Format the output of `millethead log verify` and the start of that of `millethead snapshot show`."""
     log = disk.log
-    yield _line("log", f"{log.path}: {log.whole} bytes whole")
-    if log.size > log.whole:
-        yield _line("torn tail", f"{log.size - log.whole} bytes, never known to be synced; dropped at the next start")
+    yield _line("log", f"{log.path}: {log.valid_bytes} bytes whole")
+    if log.size > log.valid_bytes:
+        yield _line(
+            "torn tail", f"{log.size - log.valid_bytes} bytes, never known to be synced; dropped at the next start"
+        )
     if disk.identity is not None:
         first = ", first start of the system under way" if disk.identity.bootstrapping else ""
         yield _line("disk", f"{disk.identity.disk_id:016x}{first}")
@@ -181,7 +183,7 @@
 
 
 def state_lines(log: LogReport) -> Iterator[str]:
-    """What the state of a disk amounts to; the last entries may never have been committed."""
+    """Summarise the state of a disk. Its last entries may be uncommitted."""
     state = log.state
     yield _line("configuration", f"version {state.configuration.version}" if state.configuration.version else "none")
     phases: dict[str, int] = {}
@@ -192,11 +194,11 @@
 
 
 def saved_job_lines(log: LogReport) -> Iterator[str]:
-    """The jobs of a disk, one a line."""
+    """List the jobs of a disk, one per line."""
     yield from table(
         ("job", "queue", "state", "handed in", "open runs"),
         (
-            (job.name, job.terms.route, job.phase.name.lower(), moment(job.submitted_ms), job.open_runs)
+            (job.name, job.terms.route, job.phase.name.lower(), format_time(job.submitted_ms), job.open_runs)
             for job in log.state.jobs.jobs.values()
         ),
     )
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -159,7 +159,7 @@
 def test_status_tells_which_worker_is_left_out_and_why(core):
     core.add_worker()
     for number in range(3):
-        core.head.scheduler.health.ended((StepKey(f"j{number}", 0, 0), 0, "i-side-1"), RunEnd.FAILED, 0.0)
+        core.head.scheduler.health.run_ended((StepKey(f"j{number}", 0, 0), 0, "i-side-1"), RunEnd.FAILED, 0.0)
     assert "avoided (fails)" in run("status", *AT).stdout.splitlines()[-1]
 
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -16,16 +16,16 @@
     DamagedState,
     Decision,
     Method,
-    NotAcceptable,
     Order,
+    OrderNotAcceptable,
     Verdict,
     merge,
 )
 from millethead.configuration.check import parse
 from millethead.configuration.model import Configuration, Finding, InvalidConfiguration, Limits, Route, Service
-from millethead.configuration.routing import RouteTable, normal_host
+from millethead.configuration.routing import RouteTable, normalize_host
 from millethead.configuration.settings import (
-    VARIABLE,
+    SETTINGS_PATH_VARIABLE,
     Bounds,
     InvalidSettings,
     Listen,
@@ -531,7 +531,7 @@
 
 
 def test_only_the_newest_refusals_are_remembered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(change_module, "MOST_REFUSED", 2)
+    monkeypatch.setattr(change_module, "MAX_REFUSED_ORDERS", 2)
     state = state_at(3)
     orders = [put(version, whole(99)) for version in (7, 8, 9)]
     for order in orders:
@@ -542,18 +542,22 @@
 
 def test_the_place_is_that_of_the_entry_that_brought_the_configuration() -> None:
     state = ConfigurationState()
-    assert state.knows(NO_PLACE) and not state.knows(LogPlace(2, 9))
+    assert state.is_configuration_place(NO_PLACE) and not state.is_configuration_place(LogPlace(2, 9))
     for version, place in ((0, LogPlace(2, 9)), (1, LogPlace(4, 11))):
         order = put(version, whole(version + 1))
         state.accept(order, state.decide(order), place)
     for kept in (state, ConfigurationState.decode(state.encode())):
-        assert kept.place == LogPlace(4, 11) and kept.knows(LogPlace(2, 9)) and not kept.knows(LogPlace(3, 9))
+        assert (
+            kept.place == LogPlace(4, 11)
+            and kept.is_configuration_place(LogPlace(2, 9))
+            and not kept.is_configuration_place(LogPlace(3, 9))
+        )
 
 
 def test_a_state_without_places_can_still_be_read() -> None:
     """Snapshots of the first layout may lie on disks."""
     document, digest = put(0, whole(3)).body, put(0, whole(3)).digest()
-    first = change_module.FIRST_HEADER.pack(change_module.FIRST_MAGIC, len(document), 1) + document + digest
+    first = change_module.HEADER_V1.pack(change_module.MAGIC_V1, len(document), 1) + document + digest
     state = ConfigurationState.decode(first)
     assert state.version == 3 and state.place == EARLIEST_PLACE > NO_PLACE
     assert state.decide(put(0, whole(3))).verdict is Verdict.REPEATED
@@ -567,7 +571,7 @@
     first, second = put(3, whole(5, colour="red")), put(3, whole(5, colour="blue"))
     decisions = state.decide(first), state.decide(second)
     state.accept(first, decisions[0], LogPlace(1, 2))
-    with pytest.raises(NotAcceptable):
+    with pytest.raises(OrderNotAcceptable):
         state.accept(second, decisions[1], LogPlace(1, 3))
     assert state.document == first.body
 
@@ -576,7 +580,7 @@
     state = state_at(3)
     order = put(2, whole(9))
     before = state.encode()
-    with pytest.raises(NotAcceptable):
+    with pytest.raises(OrderNotAcceptable):
         state.accept(order, state.decide(order), LogPlace(1, 2))
     assert state.encode() == before
 
@@ -605,7 +609,7 @@
 
 
 def test_only_the_newest_orders_are_remembered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(change_module, "MOST_REMEMBERED", 3)
+    monkeypatch.setattr(change_module, "MAX_ACCEPTED_ORDERS", 3)
     state = ConfigurationState()
     orders = [put(version, whole(version + 1)) for version in range(5)]
     for order in orders:
@@ -715,7 +719,7 @@
 
 
 def test_hosts_are_compared_without_their_port() -> None:
-    assert [normal_host(host) for host in ("[::1]:80", "[::1]", "::1", "10.0.0.1:9", "A:1")] == [
+    assert [normalize_host(host) for host in ("[::1]:80", "[::1]", "::1", "10.0.0.1:9", "A:1")] == [
         "[::1]",
         "[::1]",
         "::1",
@@ -838,7 +842,11 @@
     path = tmp_path / "settings.json"
     path.write_bytes(body(process()))
     expected = parse_settings(body(process()))
-    assert load_settings(path) == load_settings(str(path), {}) == load_settings(environment={VARIABLE: str(path)})
+    assert (
+        load_settings(path)
+        == load_settings(str(path), {})
+        == load_settings(environment={SETTINGS_PATH_VARIABLE: str(path)})
+    )
     assert load_settings(path) == expected
 
 
@@ -848,7 +856,7 @@
     for path in (tmp_path / "none.json", tmp_path, tmp_path / "torn.json", tmp_path / "list.json"):
         with pytest.raises(InvalidSettings):
             load_settings(path)
-    with pytest.raises(InvalidSettings, match=VARIABLE):
+    with pytest.raises(InvalidSettings, match=SETTINGS_PATH_VARIABLE):
         load_settings(environment={})
 
 
--- a/tests/test_loop_ports.py
+++ b/tests/test_loop_ports.py
@@ -20,7 +20,7 @@
     clock, over = LoopClock(told.append), asyncio.Event()
     clock.soon(fails)
     clock.later(0.0, fails)
-    clock.guarded(fails)
+    clock.run_guarded(fails)
     clock.later(0.001, over.set)
     await asyncio.wait_for(over.wait(), 5.0)
     assert [type(error) for error in told] == [ZeroDivisionError] * 3
@@ -31,8 +31,8 @@
     ended: list[int] = []
     monkeypatch.setattr(control_module.os, "_exit", ended.append)
     program = object.__new__(ControlProgram)
-    program._clock = LoopClock(program._failed)
+    program._clock = LoopClock(program._on_unexpected_error)
     program._settings = type("Settings", (), {"node": "n"})()
-    monkeypatch.setattr(ControlProgram, "_work", lambda self: fails())
+    monkeypatch.setattr(ControlProgram, "_run_tick", lambda self: fails())
     program._tick()
     assert ended == [70]
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -91,7 +91,7 @@
     harness = HeadHarness()
     harness.agent(info=worker())
     for number in range(3):
-        harness.head.scheduler.health.ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, 0.0)
+        harness.head.scheduler.health.run_ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, 0.0)
     assert read(head_figures(harness.head))["workers", "alpha", "avoided"] == 1
 
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from millethead.programs.serving import PROGRAMS, serve_plainly
+from millethead.programs.serving import PROGRAMS, serve_program
 
 CHECK = """
 import sys
@@ -36,14 +36,14 @@
 
 @pytest.mark.parametrize("arguments", [[], ["status"], ["control", "--log-level=debug"], ["agent", "more"]])
 def test_command_line_takes_whatever_names_no_program_alone(arguments: list[str]) -> None:
-    assert not serve_plainly(arguments)
+    assert not serve_program(arguments)
 
 
 def test_command_line_tells_what_is_wrong_with_the_settings(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.delenv("MILLETHEAD_NODE_FILE", raising=False)
     modules = dict(sys.modules)
     try:
-        assert not serve_plainly(["control"])
+        assert not serve_program(["control"])
     finally:
         if "rich" not in modules:
             sys.modules.pop("rich", None)
--- a/tests/test_settings_reference.py
+++ b/tests/test_settings_reference.py
@@ -9,11 +9,11 @@
 from millethead.configuration.model import Configuration
 from millethead.configuration.records import (
     Record,
-    integer_above_zero,
     list_of,
     mapping_of,
     nested,
-    number_from_zero,
+    nonnegative_number,
+    positive_integer,
     read_with,
     text,
 )
@@ -29,8 +29,8 @@
     """Inner. `wait_ms`: how long
     it waits; `size_mb` and `names`: what it holds."""
 
-    wait_ms: float = field(default=2.0, metadata=read_with(number_from_zero))
-    size_mb: int = field(metadata=read_with(integer_above_zero))
+    wait_ms: float = field(default=2.0, metadata=read_with(nonnegative_number))
+    size_mb: int = field(metadata=read_with(positive_integer))
     names: tuple[str, ...] = field(default=(), metadata=read_with(list_of(text)))
 
 
--- a/tests/test_system_processes.py
+++ b/tests/test_system_processes.py
@@ -11,7 +11,7 @@
 
 from millethead.lab.local_machine import HOST, PREFIX, Role, configuration
 from millethead.lab.local_system import LocalSystem, wait_for
-from millethead.programs.core_client import CoreAddresses, CoreClient, Refused
+from millethead.programs.core_client import CallRejected, CoreAddresses, CoreClient
 from millethead.web.metrics import METRICS_PATH
 
 pytestmark = pytest.mark.asyncio(loop_scope="module")
@@ -229,7 +229,7 @@
     assert len(system.workers[0].model.starts) == before
     status = await asyncio.to_thread(client.status)
     assert status.taken_out == (node,)
-    with pytest.raises(Refused):
+    with pytest.raises(CallRejected):
         await asyncio.to_thread(client.drain, "nobody", True)
     assert not (await asyncio.to_thread(client.drain, node, False)).drained
     assert (await asyncio.to_thread(client.status)).taken_out == ()
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -10,7 +10,7 @@
 import pytest
 
 from millethead.control.calls import CallerHello, CallerPing
-from millethead.programs.loop_ports import MOST_DATAGRAMS, DatagramSocket
+from millethead.programs.loop_ports import MAX_DATAGRAMS_PER_READ, DatagramSocket
 from millethead.replication.place import NO_PLACE
 from millethead.rpc.codec import Record
 from millethead.rpc.connection import MAX_DEFERRED_INPUT_BYTES, Connection, InputBudget
@@ -167,7 +167,7 @@
     assert len(server.records) == done and server.budget.used_bytes == 0
 
 
-@pytest.mark.parametrize("waiting", [1, MOST_DATAGRAMS // 2])
+@pytest.mark.parametrize("waiting", [1, MAX_DATAGRAMS_PER_READ // 2])
 async def test_all_received_datagrams_are_read_in_one_iteration(waiting: int) -> None:
     got: list[bytes] = []
     receiver = DatagramSocket("127.0.0.1", 0, lambda data, _: got.append(data))
