--- a/millethead/programs/agent.py
+++ b/millethead/programs/agent.py
@@ -4,7 +4,7 @@
 
 from millethead.configuration.settings import ProcessSettings
 from millethead.execution.shell import AgentShell, run_until_signal
-from millethead.programs.agent_figures import agent_figures
+from millethead.programs.agent_metrics import agent_metrics
 
 
 class AgentProgram:
@@ -16,5 +16,5 @@
     async def run(self) -> None:
         """Serve until a signal stops the program. Raises OSError if it cannot listen."""
         shell = AgentShell(self._settings)
-        shell.add_metrics(agent_figures)
+        shell.add_metrics(agent_metrics)
         await run_until_signal(shell)
--- a/millethead/programs/agent_figures.py
+++ b/millethead/programs/agent_metrics.py
@@ -10,7 +10,7 @@
 from millethead.web.metrics import MetricFamily, Sample, gauge
 
 
-def agent_figures(agent: Agent, now: float) -> Iterator[MetricFamily]:
+def agent_metrics(agent: Agent, now: float) -> Iterator[MetricFamily]:
     """Yield the metrics of an agent. `now` is its monotonic time in seconds."""
     life = agent.life
     yield gauge("fence", "Epoch of the newest head that has welcomed this agent.", agent.epoch)
--- a/millethead/programs/control.py
+++ b/millethead/programs/control.py
@@ -22,7 +22,7 @@
 from millethead.control.state import ControlState
 from millethead.programs.addresses import internal_address, seed_addresses, split_address
 from millethead.programs.chain_links import ChainLinks
-from millethead.programs.control_figures import head_figures, member_figures
+from millethead.programs.control_metrics import head_metrics, member_metrics
 from millethead.programs.core_disk import DISK_RETRY_INTERVAL_S, CoreDisk, DiskUnusable, open_disk, wait_for_disk
 from millethead.programs.core_sessions import CoreSessions
 from millethead.programs.disk_maintenance import DiskMaintenance
@@ -108,8 +108,8 @@
 
     def _metrics(self) -> Iterator[MetricFamily]:
         scrubber = self._maintenance.scrubber if self._maintenance is not None else None
-        yield from member_figures(self._replica, self._disk, scrubber)
-        yield from head_figures(self._head)
+        yield from member_metrics(self._replica, self._disk, scrubber)
+        yield from head_metrics(self._head)
 
     def _head_client_seeds(self) -> tuple[str, ...]:
         return (self._address, *(seed for seed in seed_addresses(self._settings) if seed != self._address))
--- a/millethead/programs/control_figures.py
+++ b/millethead/programs/control_metrics.py
@@ -17,7 +17,7 @@
 MS = 1000
 
 
-def member_figures(replica: Replica, disk: CoreDisk | None, scrubber: Scrubber | None) -> Iterator[MetricFamily]:
+def member_metrics(replica: Replica, disk: CoreDisk | None, scrubber: Scrubber | None) -> Iterator[MetricFamily]:
     """Yield the metrics of any member of the core."""
     chain, view = replica.chain, replica.view
     yield gauge("view_epoch", "Epoch of the view that this member has adopted.", view.epoch)
@@ -32,7 +32,7 @@
         yield counter("disk_scrubs", "Passes of the background scrub over the whole log.", scrubber.passes)
 
 
-def head_figures(head: Head | None) -> Iterator[MetricFamily]:
+def head_metrics(head: Head | None) -> Iterator[MetricFamily]:
     """Yield the metrics of the head; `head` is None on other members, which only report that they are not the head."""
     yield gauge("is_head", "1 on the member that answers calls and schedules.", head is not None)
     if head is None:
--- a/millethead/programs/dispatcher.py
+++ b/millethead/programs/dispatcher.py
@@ -21,7 +21,7 @@
 from millethead.control.calls import CallAnswer, JobCall
 from millethead.control.client import CallFailed, HeadClient
 from millethead.programs.addresses import seed_addresses, split_address
-from millethead.programs.dispatcher_figures import dispatcher_figures
+from millethead.programs.dispatcher_metrics import dispatcher_metrics
 from millethead.programs.signals import install_signal_handlers
 from millethead.web.metrics import MetricFamily, add_metrics
 from millethead.web.server import (
@@ -117,7 +117,7 @@
         return app
 
     def _metrics(self) -> Iterator[MetricFamily]:
-        return dispatcher_figures(
+        return dispatcher_metrics(
             self._head_client.configuration,
             self._head_client.connected,
             self.ready(),
--- a/millethead/programs/dispatcher_figures.py
+++ b/millethead/programs/dispatcher_metrics.py
@@ -7,7 +7,7 @@
 from millethead.web.metrics import MetricFamily, MetricKind, Sample, gauge
 
 
-def dispatcher_figures(
+def dispatcher_metrics(
     configuration: int, head_connected: bool, ready: bool, under_way: int, answers: Mapping[int, int]
 ) -> Iterator[MetricFamily]:
     """Yield the metrics of a dispatcher. `answers` has the number of responses by status."""
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -18,9 +18,9 @@
 from millethead.control.calls import ConfigurationAck, DrainCall
 from millethead.execution.messages import RunEnd
 from millethead.net.parse import Request
-from millethead.programs.agent_figures import agent_figures
-from millethead.programs.control_figures import head_figures, member_figures
-from millethead.programs.dispatcher_figures import dispatcher_figures
+from millethead.programs.agent_metrics import agent_metrics
+from millethead.programs.control_metrics import head_metrics, member_metrics
+from millethead.programs.dispatcher_metrics import dispatcher_metrics
 from millethead.scheduling.model import StepKey
 from millethead.web.dispatch import dispatch
 from millethead.web.metrics import (
@@ -38,9 +38,9 @@
 PROGRAMS = Path(__file__).parent.parent / "millethead" / "programs"
 
 
-def read(figures) -> dict[tuple[str, ...], float]:
-    """Parse figures as a metrics page; return the values by name and label values."""
-    families = text_string_to_metric_families(render(list(figures)).decode())
+def read(metrics) -> dict[tuple[str, ...], float]:
+    """Render metrics, parse the page and return the values by name and label values."""
+    families = text_string_to_metric_families(render(list(metrics)).decode())
     return {
         (sample.name.removeprefix(PREFIX), *(sample.labels[label] for label in sorted(sample.labels))): sample.value
         for family in families
@@ -78,13 +78,13 @@
     harness.settle()
     harness.head.call(harness.caller, DrainCall(500, "n-2", True))
     harness.settle()
-    page = read(head_figures(harness.head))
+    page = read(head_metrics(harness.head))
     assert page["is_head",] == 1 and page["open_runs",] == 3 and page["uncommitted_entries",] == 0
     assert page["jobs", "slow", "running"] == 1
     assert page["workers", "alpha", "draining"] == 1 and page["workers", "alpha", "ready"] == 1
     assert (page["dispatchers",], page["dispatchers_behind",], page["configuration_version",]) == (1, 1, 1)
     harness.head.caller_record(harness.caller, ConfigurationAck(1, harness.state.configuration.place))
-    assert read(head_figures(harness.head))["dispatchers_behind",] == 0
+    assert read(head_metrics(harness.head))["dispatchers_behind",] == 0
 
 
 def test_worker_with_failing_runs_counts_as_avoided():
@@ -92,18 +92,18 @@
     harness.agent(info=worker())
     for number in range(3):
         harness.head.scheduler.health.run_ended((StepKey(f"j{number}", 0, 0), 0, "i-1"), RunEnd.FAILED, 0.0)
-    assert read(head_figures(harness.head))["workers", "alpha", "avoided"] == 1
+    assert read(head_metrics(harness.head))["workers", "alpha", "avoided"] == 1
 
 
 def test_worker_without_its_agent_counts_as_agent_away():
     harness = HeadHarness()
     agent = harness.agent(info=worker())
     harness.head.agent_disconnected(agent.session)
-    assert read(head_figures(harness.head))["workers", "alpha", "agent_away"] == 1
+    assert read(head_metrics(harness.head))["workers", "alpha", "agent_away"] == 1
 
 
 def test_metrics_of_a_member_that_is_not_the_head():
-    assert read(head_figures(None)) == {("is_head",): 0.0}
+    assert read(head_metrics(None)) == {("is_head",): 0.0}
 
 
 @pytest.mark.parametrize("disk", [True, False])
@@ -113,7 +113,7 @@
         chain=SimpleNamespace(log=SimpleNamespace(last=(7, 90)), committed=88),
     )
     disk_state = SimpleNamespace(size=4096, broken=False, latency_ms=lambda: 12)
-    page = read(member_figures(replica, *((disk_state, SimpleNamespace(passes=3)) if disk else (None, None))))
+    page = read(member_metrics(replica, *((disk_state, SimpleNamespace(passes=3)) if disk else (None, None))))
     assert (page["view_epoch",], page["chain_members",], page["voters",]) == (7, 2, 3)
     assert (page["log_last_entry",], page["log_committed_entry",]) == (90, 88)
     assert page.get(("disk_sync_seconds",)) == (0.012 if disk else None)
@@ -121,7 +121,7 @@
 
 
 def test_dispatcher_metrics():
-    page = read(dispatcher_figures(5, True, False, 2, {200: 9, 503: 1}))
+    page = read(dispatcher_metrics(5, True, False, 2, {200: 9, 503: 1}))
     assert page["requests_total", "200"] == 9 and page["requests_total", "503"] == 1
     assert (page["configuration_version",], page["head_connected",], page["ready",]) == (5, 1, 0)
     assert page["requests_under_way",] == 2
@@ -129,13 +129,13 @@
 
 def test_agent_metrics():
     desk = Desk()
-    page = read(agent_figures(desk.agent, desk.now))
+    page = read(agent_metrics(desk.agent, desk.now))
     assert page["worker_known",] == 0 and page["lease_left_seconds",] == 0
     assert page["runs", "running"] == 0
 
 
 def test_documentation_lists_exactly_the_metrics():
-    code = "".join(path.read_text() for path in PROGRAMS.glob("*_figures.py"))
+    code = "".join(path.read_text() for path in PROGRAMS.glob("*_metrics.py"))
     metrics = set(re.findall(r'gauge\("([a-z_]+)"', code)) | set(re.findall(r'MetricFamily\(\s*"([a-z_]+)"', code))
     metrics |= {f"{name}_total" for name in re.findall(r'counter\("([a-z_]+)"', code)}
     metrics = {"requests_total" if name == "requests" else name for name in metrics}
