--- a/millethead/configuration/model.py
+++ b/millethead/configuration/model.py
@@ -58,8 +58,8 @@
     """The workers of one kind.
 
     `name`: name used by routes and workers; `health_path`: path of a worker's health check; `max_conns`: maximum number
-    of connections to one worker; `protocol`, `tls`: stored, not used; `guards`: whether workers reject tasks that do not
-    fit, otherwise they start every task.
+    of connections to one worker; `protocol`, `tls`: stored, not used;
+    `guards`: whether workers reject tasks that exceed their free capacity, otherwise they start every task.
     """
 
     name: str = field(metadata=read_with(nonempty_text))
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,5 +1,7 @@
-"""The command line of the system: what it prints, where it names places, and its exit codes. The core is a head in this
-process, and for the configuration a stand-in of the operator's interface on loopback."""
+"""Output, error locations and exit codes of the command line.
+
+The core is a head in the test process. For the configuration, an HTTP server on loopback replaces the operator API.
+"""
 
 import json
 import threading
@@ -44,7 +46,7 @@
 
 @dataclass
 class Chain:
-    """A chain of one that commits at once, and keeps what was proposed."""
+    """A chain of one member that commits at once and records the proposals."""
 
     state: ControlState
     committed: int = 0
@@ -62,7 +64,7 @@
 
 
 class Clock:
-    """Stands still; `soon` and `later` are kept until `run` calls them."""
+    """A stopped clock. Callbacks passed to `soon` and `later` are kept until `run` calls them."""
 
     def __init__(self):
         self.calls = []
@@ -129,7 +131,7 @@
             1,
         )
         self.head.agent_record(session, WorkerUpdate(info))
-        self.head.agent_record(session, LeaseRequest(1))  # nothing is given to an agent without a lease
+        self.head.agent_record(session, LeaseRequest(1))  # an agent without a lease gets no tasks
         self.clock.run()
 
     def submit(self, name, *steps):
@@ -156,17 +158,18 @@
 AT = ("--control", "10.0.0.1:8146", "--internal-port", 7660)
 
 
-def test_status_tells_which_worker_is_left_out_and_why(core):
+def test_status_shows_avoided_worker_with_cause(core):
     core.add_worker()
     for number in range(3):
         core.head.scheduler.health.run_ended((StepKey(f"j{number}", 0, 0), 0, "i-side-1"), RunEnd.FAILED, 0.0)
     assert "avoided (fails)" in run("status", *AT).stdout.splitlines()[-1]
 
 
-def test_status_tells_view_configuration_queues_and_workers(core):
+def test_status_shows_view_configuration_queues_and_workers(core):
     core.add_worker()
     core.submit(JOB_A, ONE)
-    core.head.caller_hello(Link(), CallerHello("dispatcher-2", 0, 0, NO_PLACE, True))  # has put nothing into force yet
+    # this dispatcher has no configuration in force yet
+    core.head.caller_hello(Link(), CallerHello("dispatcher-2", 0, 0, NO_PLACE, True))
     result = run("status", *AT)
     assert result.exit_code == ExitCode.OK
     lines = result.stdout.splitlines()
@@ -179,13 +182,13 @@
     assert lines[-1].split() == ["i-side-1", "side-1", SERVICE, "ready", "3", "1000/4000", "7892/8192", "0/0"]
 
 
-def test_status_as_json_is_the_whole_report(core):
+def test_status_as_json_is_the_full_report(core):
     report = json.loads(run("status", "--json", *AT).stdout)
     assert report["voters"][2] == {"address": "10.0.0.3:7660", "disk": "00000000000000a3", "place": None}
     assert (report["epoch"], report["configuration"], report["uncommitted"], report["workers"]) == (4, 3, 0, [])
 
 
-def test_jobs_tell_why_tasks_wait(core):
+def test_jobs_show_why_tasks_wait(core):
     core.submit(JOB_A, {**ONE, "requires": "b"}, {**ONE, "deps": [0]})
     lines = run("jobs", "show", JOB_A, *AT).stdout.splitlines()
     assert lines[0] == f"job            {JOB_A}, queued"
@@ -201,7 +204,7 @@
     assert len(run("jobs", "list", "--queue", "other", *AT).stdout.splitlines()) == 1
 
 
-def test_jobs_tell_of_runs_ends_and_pauses(core):
+def test_jobs_show_runs_ends_and_pauses(core):
     core.add_worker()
     core.submit(JOB_A, {**ONE, "long_running": True})
     core.end(JOB_A, 1, RunEnd.FAILED)
@@ -211,7 +214,7 @@
     assert "task 0, run 1: on i-side-1 at side-1, 0% saved" in shown
 
 
-def test_jobs_of_many_times_are_not_brought_into_being_by_looking(core):
+def test_inspecting_a_recurring_job_does_not_create_its_occurrences(core):
     body = {"spec": "", "repeats": 5, "delay_ms": WALL_MS + 60_000, "interval_ms": 1000, "steps": [ONE]}
     core.head.call(core.caller, JobCall(2, "POST", HOST, PREFIX + JOB_A, json.dumps(body).encode()))
     core.clock.run()
@@ -219,12 +222,12 @@
     assert core.state.jobs.jobs[JOB_A].times == {}
 
 
-def test_a_job_that_the_core_does_not_know(core):
+def test_unknown_job(core):
     result = run("jobs", "show", JOB_A, *AT)
     assert (result.exit_code, result.stderr) == (ExitCode.NEGATIVE, f"millethead: job {JOB_A}: not known to the core\n")
 
 
-def test_the_head_answers_an_inspection(core):
+def test_head_answers_an_inspect_call(core):
     core.link.sent.clear()
     core.head.call(core.caller, InspectCall(9, STATUS))
     core.clock.run()
@@ -233,7 +236,7 @@
     assert (answer.number, answer.status, answer.body) == (9, 200, inspect(core.head, STATUS))
 
 
-def test_addresses_are_wanted():
+def test_addresses_are_required():
     for command in (("status",), ("jobs", "list"), ("config", "get")):
         result = run(*command)
         assert (result.exit_code, result.stdout) == (ExitCode.UNUSABLE, "")
@@ -241,7 +244,7 @@
     assert "--internal-port" in run("status", "--control", "127.0.0.1:1").stderr
 
 
-def test_a_core_that_cannot_be_reached(tmp_path):
+def test_unreachable_core(tmp_path):
     result = run("config", "get", "--control", "127.0.0.1:9", "--control", "127.0.0.2:9")
     assert result.exit_code == ExitCode.UNREACHABLE
     assert "127.0.0.1:9: no connection; 127.0.0.2:9: no connection" in result.stderr
@@ -251,8 +254,10 @@
 
 
 class Operator(ThreadingHTTPServer):
-    """A stand-in of a control process for operators. `answers`: status and body for each call, the last for all
-    more."""
+    """Fake operator API of a control process.
+
+    `answers` has the status and body of each response. The last one is repeated.
+    """
 
     def __init__(self, *answers):
         super().__init__(("127.0.0.1", 0), _Handler)
@@ -303,7 +308,7 @@
     return path
 
 
-def test_config_check_names_every_finding_with_its_place(tmp_path, document):
+def test_config_check_reports_every_finding_with_its_location(tmp_path, document):
     assert run("config", "check", document).stdout == f"{document}: valid: version 4, 1 routes, 1 services\n"
     bad = configuration(4)
     bad["routes"][0] |= {"timeout_ms": 0, "service": "nobody"}
@@ -316,21 +321,21 @@
     assert run("config", "check", tmp_path / "none").exit_code == ExitCode.UNUSABLE
 
 
-def test_config_get_prints_the_bytes_that_were_sent(operator):
+def test_config_get_prints_the_original_bytes(operator):
     sent = b'{"version": 1,   "x": "\\u00e4"}'
     assert run("config", "get", "--control", operator((200, sent)).address).stdout_bytes == sent + b"\n"
     nothing = run("config", "get", "--control", operator((404, {})).address)
     assert (nothing.exit_code, nothing.stderr) == (ExitCode.NEGATIVE, "millethead: no configuration yet\n")
 
 
-def test_config_put_builds_on_the_version_in_place(operator, document):
+def test_config_put_is_based_on_the_current_version(operator, document):
     server = operator((200, configuration(3)), (200, {"version": 4}))
     result = run("config", "put", document, "--control", server.address)
     assert (result.exit_code, result.stdout) == (ExitCode.OK, "version 4 is in place\n")
     assert server.calls[1] == ("PUT", "3", document.read_bytes())
 
 
-def test_config_put_goes_on_to_the_next_address_with_the_same_order(operator, document):
+def test_config_put_retries_the_same_order_at_the_next_address(operator, document):
     broken, well = operator((503, {})), operator((200, {"version": 4}))
     result = run(
         "config",
@@ -350,7 +355,7 @@
     assert broken.calls == well.calls == [("PATCH", "3", document.read_bytes())]
 
 
-def test_config_put_that_is_refused(operator, document):
+def test_rejected_config_put(operator, document):
     late = operator((412, {"error": "another version is in place", "version": 9}))
     result = run("config", "put", document, "--if-match", 3, "--control", late.address)
     assert (result.exit_code, result.stderr) == (ExitCode.CONFLICT, "millethead: version 9 is in place\n")
@@ -361,7 +366,7 @@
     assert run("config", "put", document, "--control", silent.address).exit_code == ExitCode.UNREACHABLE
 
 
-def test_config_diff_tells_items_and_fields(operator, document):
+def test_config_diff_shows_items_and_fields(operator, document):
     assert run("config", "diff", document, "--control", operator((200, configuration(3))).address).exit_code == 0
     new = configuration(4, target_ms=50)
     new["routes"].append({**new["routes"][0], "name": "other", "path_prefix": "/other/"})
@@ -387,7 +392,7 @@
 
 @pytest.fixture
 def disk(core, tmp_path):
-    """The disk of a member that holds what the core has done; its process is away."""
+    """The disk of a stopped member with the log of the core."""
     core.add_worker()
     core.submit(JOB_A, ONE)
     folder = tmp_path / "disk"
@@ -406,7 +411,7 @@
     return folder
 
 
-def test_log_verify_reads_and_writes_nothing(disk):
+def test_log_verify_is_read_only(disk):
     before = {path: path.read_bytes() for path in disk.iterdir()}
     result = run("log", "verify", disk)
     assert result.exit_code == ExitCode.OK
@@ -417,7 +422,7 @@
     assert {path: path.read_bytes() for path in disk.iterdir()} == before
 
 
-def test_log_verify_tells_a_torn_tail_from_damage(disk):
+def test_log_verify_distinguishes_a_torn_tail_from_damage(disk):
     log = disk / "log"
     whole = log.read_bytes()
     log.write_bytes(whole + b"MHL1 torn")
@@ -434,7 +439,7 @@
     assert run("log", "verify", disk / "none").exit_code == ExitCode.UNUSABLE
 
 
-def test_log_verify_refuses_a_disk_without_identity_or_promises(disk):
+def test_log_verify_rejects_a_disk_without_identity_or_acceptor_file(disk):
     (disk / "view.agreed").unlink()
     assert "view.agreed: missing beside a log with entries" in run("log", "verify", disk).stderr
     (disk / "identity").unlink()
@@ -443,7 +448,7 @@
     assert not (disk / "identity").exists()
 
 
-def test_log_verify_of_a_first_start_that_was_cut_short(tmp_path):
+def test_log_verify_after_an_interrupted_first_start(tmp_path):
     load_identity(tmp_path, True, lambda: 1)
     log = LogFile(tmp_path)
     log.recover()
@@ -452,7 +457,7 @@
     assert (result.exit_code, "accepted view  none" in result.stdout) == (ExitCode.OK, True)
 
 
-def test_log_verify_refuses_a_state_that_cannot_be_worked_out(tmp_path):
+def test_log_verify_rejects_a_log_whose_state_cannot_be_rebuilt(tmp_path):
     folder = tmp_path / "disk"
     folder.mkdir()
     load_identity(folder, False, lambda: 1)
@@ -466,7 +471,7 @@
     assert "the state cannot be worked out" in result.stderr
 
 
-def test_a_snapshot_holds_the_whole_state(disk, core, tmp_path):
+def test_snapshot_contains_the_whole_state(disk, core, tmp_path):
     file = tmp_path / "state.snapshot"
     assert run("snapshot", "save", disk, file).stdout == f"{file}: state after epoch 4, entry 4\n"
     shown = run("snapshot", "show", file).stdout
@@ -484,10 +489,10 @@
     assert (cut.exit_code, cut.stderr) == (ExitCode.NEGATIVE, f"millethead: {file}: damaged: not a whole snapshot\n")
 
 
-# ---- settings and the rest -------------------------------------------------------------------------------
+# ---- settings and exit codes -----------------------------------------------------------------------------
 
 
-def test_settings_check_names_every_finding(tmp_path):
+def test_settings_check_reports_every_finding(tmp_path):
     file = tmp_path / "settings.json"
     file.write_text(
         json.dumps(
@@ -509,13 +514,13 @@
     assert "MILLETHEAD_NODE_FILE is not set" in run("settings", "check").stderr
 
 
-def test_a_program_without_settings_says_so():
+def test_program_without_settings_reports_an_error():
     for program in ("control", "dispatcher", "agent"):
         result = run(program)
         assert (result.exit_code, "MILLETHEAD_NODE_FILE" in result.stderr) == (ExitCode.UNUSABLE, True)
 
 
-def test_settings_name_the_core(core, tmp_path):
+def test_addresses_are_taken_from_settings(core, tmp_path):
     file = tmp_path / "settings.json"
     file.write_text(
         json.dumps(
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: reading, checks, changes, the register and route look-up; settings files."""
+"""Configuration: parsing, validation, changes, the register and route lookup; and settings files."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
     return [place for place, _ in findings_of(document)]
 
 
-# Reading
+# Parsing
 
 
 def test_all_fields_are_read() -> None:
@@ -158,14 +158,14 @@
     assert parse(body(whole(routes=[route(timeout_ms=2712.5)]))).routes[0].timeout_ms == 2712.5
 
 
-# Checks
+# Validation
 
 
 @pytest.mark.parametrize("raw", [
     b"", b"{", b"nonsense", b'{"version":1', b"\xff\xfe", b"\xef\xbb\xbf{}", b'{"a":"\xc3"}', b'{"a":NaN}',
     b'{"a":-Infinity}', b'{"a":1e999}', b'{"a":' + b"9" * 5000 + b"}", b'{"a":1}{"b":2}',
 ])  # fmt: skip
-def test_what_cannot_be_read_whole_is_one_finding(raw: bytes) -> None:
+def test_unreadable_document_is_one_finding(raw: bytes) -> None:
     [(place, problem)] = findings_of(raw)
     assert place == "" and "cannot be read whole" in problem
 
@@ -177,33 +177,33 @@
     assert findings_of(raw) == [("", "is nested too deeply")]
 
 
-def test_nesting_up_to_the_bound_is_read() -> None:
+def test_nesting_up_to_the_limit_is_read() -> None:
     raw = body(whole())[:-1] + b',"deep":' + b"[" * 63 + b"]" * 63 + b"}"
     assert parse(raw) == parse(body(whole()))
 
 
 @pytest.mark.parametrize("raw", [b"[]", b"7", b"null", b'"text"', b"true"])
-def test_a_configuration_is_an_object(raw: bytes) -> None:
+def test_configuration_must_be_an_object(raw: bytes) -> None:
     assert findings_of(raw) == [("", "is not an object")]
 
 
-def test_version_routes_and_services_must_be_there() -> None:
+def test_version_routes_and_services_are_required() -> None:
     assert findings_of({}) == [("version", "is missing"), ("routes", "is missing"), ("services", "is missing")]
 
 
 @pytest.mark.parametrize("version", [0, -1, 1.5, "7", True, [], 2**63, 10**250, 1e200])
-def test_a_version_is_a_whole_number_above_zero(version: Any) -> None:
+def test_version_must_be_a_positive_integer(version: Any) -> None:
     assert places_of(whole(version)) == ["version"]
 
 
 @pytest.mark.parametrize("timeout", [0, -1, 0.0, "3000", True, {}, 10**250])
-def test_a_timeout_is_above_zero(timeout: Any) -> None:
+def test_timeout_must_be_positive(timeout: Any) -> None:
     assert places_of(whole(routes=[route(), route("r-two", timeout_ms=timeout)])) == ["routes[1].timeout_ms"]
 
 
 @pytest.mark.parametrize("field", ["name", "host", "path_prefix", "service"])
 @pytest.mark.parametrize("value", ["", 7, "\ud800", ["a"], {}])
-def test_the_texts_of_a_route_are_filled(field: str, value: Any) -> None:
+def test_texts_of_a_route_must_not_be_empty(field: str, value: Any) -> None:
     faulty = route(path_prefix="/a/") | {field: value}
     assert places_of(whole(routes=[faulty])) == [f"routes[0].{field}"]
 
@@ -222,11 +222,11 @@
     (whole(routes=[route(prio=0.5)]), ["routes[0].prio"]),
     (whole(routes=[route(skew="1")]), ["routes[0].skew"]),
 ])  # fmt: skip
-def test_wrong_types_are_found_at_their_place(document: Any, places: list[str]) -> None:
+def test_wrong_types_are_reported_with_their_location(document: Any, places: list[str]) -> None:
     assert places_of(document) == places
 
 
-def test_a_route_names_a_known_service() -> None:
+def test_route_must_have_a_known_service() -> None:
     document = whole(routes=[route(), route("r-two", service="mill")])
     assert findings_of(document) == [("routes[1].service", "there is no service 'mill'")]
 
@@ -245,7 +245,7 @@
     assert len(parse(body(whole(routes=routes))).routes) == 3
 
 
-def test_names_are_used_once() -> None:
+def test_names_must_be_unique() -> None:
     document = whole(routes=[route(), route(path_prefix="/b/")], services=[{"name": "press"}, {"name": "press"}])
     assert findings_of(document) == [
         ("routes[1].name", "'r-one' is the name of routes[0] as well"),
@@ -277,7 +277,7 @@
     ]
 
 
-def test_long_texts_are_cut_in_findings() -> None:
+def test_long_texts_are_truncated_in_findings() -> None:
     [(_, problem)] = findings_of(whole(routes=[route(service="m" * 10_000)]))
     assert len(problem) < 200
 
@@ -332,7 +332,7 @@
 
 @given(ANY_BODY)
 @settings(max_examples=400, deadline=None)
-def test_any_bytes_are_a_configuration_or_invalid(raw: bytes) -> None:
+def test_any_bytes_are_valid_or_rejected(raw: bytes) -> None:
     try:
         configuration = parse(raw)
     except InvalidConfiguration as error:
@@ -343,7 +343,7 @@
 
 @given(st.data())
 @settings(max_examples=200, deadline=None)
-def test_a_damaged_configuration_is_read_or_invalid(data: st.DataObject) -> None:
+def test_corrupted_configuration_is_valid_or_rejected(data: st.DataObject) -> None:
     raw = bytearray(body(whole(routes=[route(), route("r-two")])))
     for _ in range(data.draw(st.integers(1, 4))):
         raw[data.draw(st.integers(0, len(raw) - 1))] = data.draw(st.integers(0, 255))
@@ -379,7 +379,7 @@
     assert merged["routes"] == [route()]
 
 
-def test_names_are_removed_and_unknown_ones_passed_over() -> None:
+def test_names_are_removed_and_unknown_names_ignored() -> None:
     current = whole(routes=[route("r-one"), route("r-two")], services=[{"name": "press"}, {"name": "mill"}])
     merged = changed(current, delete={"routes": ["r-one", "r-gone"], "services": ["mill"], "others": ["x"]})
     assert merged == whole(9, routes=[route("r-two")])
@@ -397,7 +397,7 @@
     }
 
 
-def test_lists_that_are_not_known_change_like_the_others() -> None:
+def test_unknown_lists_change_like_known_ones() -> None:
     current = whole(pools=[{"name": "a"}, 7, {"name": ["a"]}])
     merged = changed(current, upsert={"pools": [{"name": "b"}], "new": [{"name": "c"}]}, delete={"pools": ["a"]})
     assert merged["pools"] == [7, {"name": ["a"]}, {"name": "b"}] and merged["new"] == [{"name": "c"}]
@@ -416,7 +416,7 @@
     ({"delete": {"routes": "r-one"}}, ["delete.routes"]),
     ({"delete": {"routes": [7]}, "limits": []}, ["delete.routes[0]", "limits"]),
 ])  # fmt: skip
-def test_a_change_that_cannot_be_followed_is_invalid(change: Any, places: list[str]) -> None:
+def test_inapplicable_change_is_invalid(change: Any, places: list[str]) -> None:
     assert change_places(whole(text="plain"), change) == places
 
 
@@ -444,7 +444,7 @@
     return state
 
 
-def test_the_first_configuration_builds_on_none() -> None:
+def test_first_configuration_has_no_base_version() -> None:
     for if_match in (0, None):
         state = ConfigurationState()
         assert (state.version, state.document, state.configuration) == (0, b"", None)
@@ -461,7 +461,7 @@
     assert state.encode() == before
 
 
-def test_an_order_on_another_version_is_a_conflict() -> None:
+def test_order_with_another_base_version_is_a_conflict() -> None:
     state = state_at(3)
     for if_match in (0, 2, 4, -3, None):
         decision = state.decide(put(if_match, whole(9)))
@@ -479,12 +479,12 @@
             assert decision.findings == (Finding("version", "does not exceed the current one, 3"),)
 
 
-def test_a_stale_version_is_reported_beside_other_findings() -> None:
+def test_outdated_version_is_reported_with_other_findings() -> None:
     decision = state_at(3).decide(put(3, whole(2, routes=[route(timeout_ms=0)])))
     assert [finding.place for finding in decision.findings] == ["routes[0].timeout_ms", "version"]
 
 
-def test_an_accepted_order_is_a_repeat_from_then_on() -> None:
+def test_accepted_order_is_a_repeat_afterwards() -> None:
     state = state_at(3)
     order = put(3, whole(5))
     assert apply(state, order).verdict is Verdict.ACCEPTED
@@ -502,14 +502,14 @@
         Order(Method.PUT, None, body(whole(5))),
     ],
 )
-def test_another_order_under_the_same_number_is_no_repeat(other: Order) -> None:
+def test_different_order_with_the_same_version_is_no_repeat(other: Order) -> None:
     state = state_at(3)
     apply(state, put(3, whole(5)))
     assert state.decide(other).verdict is Verdict.CONFLICT
 
 
 def test_a_refused_order_stays_refused() -> None:
-    """An order that builds on a version still to come could be accepted when it arrives again: its refusal is kept."""
+    """Otherwise an order with a future base version could be accepted when it is sent again."""
     state = state_at(3)
     late, invalid = put(5, whole(9)), put(3, whole(2))
     assert apply(state, late).verdict is Verdict.AHEAD
@@ -540,7 +540,7 @@
     assert ConfigurationState.decode(state.encode()).encode() == state.encode()
 
 
-def test_the_place_is_that_of_the_entry_that_brought_the_configuration() -> None:
+def test_place_is_that_of_the_entry_that_set_the_configuration() -> None:
     state = ConfigurationState()
     assert state.is_configuration_place(NO_PLACE) and not state.is_configuration_place(LogPlace(2, 9))
     for version, place in ((0, LogPlace(2, 9)), (1, LogPlace(4, 11))):
@@ -554,8 +554,8 @@
         )
 
 
-def test_a_state_without_places_can_still_be_read() -> None:
-    """Snapshots of the first layout may lie on disks."""
+def test_first_state_format_without_places_can_be_read() -> None:
+    """Snapshots in the first format may still exist on disks."""
     document, digest = put(0, whole(3)).body, put(0, whole(3)).digest()
     first = change_module.HEADER_V1.pack(change_module.MAGIC_V1, len(document), 1) + document + digest
     state = ConfigurationState.decode(first)
@@ -566,7 +566,7 @@
             ConfigurationState.decode(first[:length])
 
 
-def test_of_two_orders_on_one_version_one_wins() -> None:
+def test_only_one_of_two_orders_with_the_same_base_version_is_accepted() -> None:
     state = state_at(3)
     first, second = put(3, whole(5, colour="red")), put(3, whole(5, colour="blue"))
     decisions = state.decide(first), state.decide(second)
@@ -631,7 +631,7 @@
     assert len(digests) == 24 and {len(digest) for digest in digests} == {32}
 
 
-def test_a_state_survives_its_encoding() -> None:
+def test_state_round_trips_through_its_encoding() -> None:
     state = state_at(3, colour="red")
     order = patch(3, version=5)
     apply(state, order)
@@ -642,7 +642,7 @@
     assert ConfigurationState.decode(state.encode()).decide(order).verdict is Verdict.REPEATED
 
 
-def test_damaged_bytes_are_no_state() -> None:
+def test_corrupted_state_is_rejected() -> None:
     encoded = state_at(3).encode()
     for length in range(len(encoded)):
         with pytest.raises(DamagedState):
@@ -654,7 +654,7 @@
 
 @given(st.lists(st.tuples(st.sampled_from(Method), st.none() | st.integers(-1, 9), ANY_BODY), max_size=8))
 @settings(max_examples=200, deadline=None)
-def test_any_orders_leave_a_sound_state(orders: list[tuple[Method, int | None, bytes]]) -> None:
+def test_any_orders_leave_a_consistent_state(orders: list[tuple[Method, int | None, bytes]]) -> None:
     state = state_at(1)
     for order in (Order(*parts) for parts in orders):
         before = state.version
@@ -737,7 +737,7 @@
 
 @given(st.lists(st.text("/ab", min_size=1, max_size=5), min_size=1, unique=True), st.text("/ab", max_size=8))
 @settings(max_examples=200, deadline=None)
-def test_look_up_agrees_with_its_definition(prefixes: list[str], path: str) -> None:
+def test_lookup_agrees_with_its_definition(prefixes: list[str], path: str) -> None:
     routes = table(*(route(prefix, path_prefix=prefix) for prefix in prefixes))
     expected = max((prefix for prefix in prefixes if path.startswith(prefix)), key=len, default=None)
     assert found(routes, "shop.example", path) == expected
@@ -784,12 +784,12 @@
     assert settings.app is None and settings.service is None
 
 
-def test_what_settings_leave_out_has_defaults() -> None:
+def test_absent_settings_have_defaults() -> None:
     least = {"node": "n", "role": "r", "ip": "10.0.0.1", "port_range": [1, 1], "data_dir": "", "listen": {"front": ""}}
     assert parse_settings(body(least)) == ProcessSettings(node="n", role="r", ip="10.0.0.1", port_range=(1, 1))
 
 
-def test_the_worker_beside_a_side_role_is_known() -> None:
+def test_side_role_has_the_address_of_its_worker() -> None:
     settings = parse_settings(body(process(app="10.0.0.1:9000", service="press", data_dir=None)))
     assert (settings.app, settings.service, settings.data_dir) == ("10.0.0.1:9000", "press", None)
 
@@ -798,7 +798,7 @@
     "address",
     ["10.0.0.1", ":80", "10.0.0.1:", "10.0.0.1:0", "10.0.0.1:65536", "10.0.0.1:123456789", "a:b", 7, "a:8\u0663"],
 )
-def test_an_address_has_a_host_and_a_port(address: Any) -> None:
+def test_address_must_have_host_and_port(address: Any) -> None:
     with pytest.raises(InvalidSettings) as caught:
         parse_settings(body(process(seeds=[address])))
     assert [finding.place for finding in caught.value.findings] == ["seeds[0]"]
@@ -833,12 +833,12 @@
 
 
 @pytest.mark.parametrize("port_range", [[], [1], [1, 2, 3], [0, 5], [5, 70_000], [5, 4], "12", [1.5, 2]])
-def test_a_port_range_has_a_first_and_a_last_port(port_range: Any) -> None:
+def test_port_range_must_have_first_and_last_port(port_range: Any) -> None:
     with pytest.raises(InvalidSettings):
         parse_settings(body(process(port_range=port_range)))
 
 
-def test_the_settings_file_is_found_by_the_environment(tmp_path: Path) -> None:
+def test_settings_path_is_taken_from_the_environment(tmp_path: Path) -> None:
     path = tmp_path / "settings.json"
     path.write_bytes(body(process()))
     expected = parse_settings(body(process()))
@@ -850,7 +850,7 @@
     assert load_settings(path) == expected
 
 
-def test_a_settings_file_that_cannot_be_read_is_invalid(tmp_path: Path) -> None:
+def test_unreadable_settings_file_is_invalid(tmp_path: Path) -> None:
     (tmp_path / "torn.json").write_bytes(body(process())[:-20])
     (tmp_path / "list.json").write_bytes(b"[]")
     for path in (tmp_path / "none.json", tmp_path, tmp_path / "torn.json", tmp_path / "list.json"):
@@ -868,7 +868,7 @@
     )
 )
 @settings(max_examples=300, deadline=None)
-def test_any_bytes_are_settings_or_invalid(raw: bytes) -> None:
+def test_any_bytes_are_valid_settings_or_rejected(raw: bytes) -> None:
     try:
         assert parse_settings(raw).node
     except InvalidSettings as error:
--- a/tests/test_configuration_scenarios.py
+++ b/tests/test_configuration_scenarios.py
@@ -20,7 +20,7 @@
 
 @dataclass
 class Register:
-    """The register with the last order of the operator and what became of it."""
+    """The register, the last order of the operator and the decision on it."""
 
     state: ConfigurationState = field(default_factory=ConfigurationState)
     order: Order | None = None
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the system's programs, read by the parser of Prometheus: correct, and all documented."""
+"""Metrics of the programs, parsed with the Prometheus parser: values, format and documentation."""
 
 from __future__ import annotations
 
--- a/tests/test_restoring.py
+++ b/tests/test_restoring.py
@@ -1,4 +1,4 @@
-"""A snapshot of a lost core put on one empty machine: the core begins again from it, as real processes on loopback."""
+"""Restoring a core from a snapshot after the loss of all disks, with real processes on loopback."""
 
 import shutil
 from pathlib import Path
@@ -40,12 +40,14 @@
         await local.stop()
 
 
-async def test_a_core_whose_disks_are_all_lost_goes_on_from_a_snapshot(system: LocalSystem, tmp_path: Path) -> None:
-    door = system.dispatchers[0]
-    assert (await system.job("POST", door, DONE, job("0.05"))).status == 200
-    await system.job_reaches(door, DONE, "done", 15.0)
-    assert (await system.job("POST", door, OPEN, job("0.05 failed"))).status == 200
-    await system.job_reaches(door, OPEN, "failed", 15.0)
+async def test_core_is_restored_from_a_snapshot_after_the_loss_of_all_disks(
+    system: LocalSystem, tmp_path: Path
+) -> None:
+    dispatcher = system.dispatchers[0]
+    assert (await system.job("POST", dispatcher, DONE, job("0.05"))).status == 200
+    await system.job_reaches(dispatcher, DONE, "done", 15.0)
+    assert (await system.job("POST", dispatcher, OPEN, job("0.05 failed"))).status == 200
+    await system.job_reaches(dispatcher, OPEN, "failed", 15.0)
     before = await system.core_reaches(lambda status: len(status.chain) == 3, 15.0, "the core is whole")
     for machine in system.controls:
         system.kill(machine)
@@ -62,13 +64,14 @@
     assert after.epoch > before.epoch + EPOCH_MARGIN // 2
     await system.ready(20.0)
     assert (await system.call("GET", first.control, "/-/config")).json() == configuration(7)
-    await system.job_reaches(door, DONE, "done", 10.0)
-    await system.job_reaches(door, OPEN, "failed", 10.0)
-    assert (await system.job("POST", door, "00000000000000d3", job("0.05"))).status == 200
-    await system.job_reaches(door, "00000000000000d3", "done", 20.0)  # workers take orders with the new fence
+    await system.job_reaches(dispatcher, DONE, "done", 10.0)
+    await system.job_reaches(dispatcher, OPEN, "failed", 10.0)
+    assert (await system.job("POST", dispatcher, "00000000000000d3", job("0.05"))).status == 200
+    # workers accept commands with the new fencing token
+    await system.job_reaches(dispatcher, "00000000000000d3", "done", 20.0)
     await system.put_configuration(8, 7)
-    system.kill(first)  # a member that copied the state leads without it
-    await system.job_reaches(door, DONE, "done", 15.0)
+    system.kill(first)  # a member that copied the state becomes head
+    await system.job_reaches(dispatcher, DONE, "done", 15.0)
 
 
 @pytest.fixture
@@ -84,19 +87,19 @@
     return empty
 
 
-def test_what_is_restored_reads_as_a_disk_with_a_view_of_its_machine_alone(disk: Path, tmp_path: Path) -> None:
+def test_restored_disk_has_a_view_with_only_its_machine(disk: Path, tmp_path: Path) -> None:
     file, folder = tmp_path / "state", tmp_path / "new"
     save_snapshot(read_disk(disk).log, file)
     restored = restore_snapshot(read_disk(file).log, folder, "10.0.0.1:7660")
-    found = read_disk(folder)
-    assert found.identity is not None and not found.identity.bootstrapping
-    assert found.view == restored.view
-    assert found.view.voters == (restored.member,)
-    assert found.view.epoch == EPOCH_MARGIN
-    assert found.log.state.snapshot() == read_disk(file).log.state.snapshot()
+    disk_report = read_disk(folder)
+    assert disk_report.identity is not None and not disk_report.identity.bootstrapping
+    assert disk_report.view == restored.view
+    assert disk_report.view.voters == (restored.member,)
+    assert disk_report.view.epoch == EPOCH_MARGIN
+    assert disk_report.log.state.snapshot() == read_disk(file).log.state.snapshot()
 
 
-def test_a_disk_that_holds_anything_is_left_alone(disk: Path, tmp_path: Path) -> None:
+def test_nonempty_disk_is_not_changed(disk: Path, tmp_path: Path) -> None:
     file, folder = tmp_path / "state", tmp_path / "used"
     save_snapshot(read_disk(disk).log, file)
     folder.mkdir()
@@ -106,7 +109,7 @@
     assert [path.name for path in folder.iterdir()] == ["log"]
 
 
-def test_a_disk_a_torn_file_and_a_bad_address_are_refused(disk: Path, tmp_path: Path) -> None:
+def test_disk_torn_file_and_bad_address_are_rejected(disk: Path, tmp_path: Path) -> None:
     file, folder = tmp_path / "state", tmp_path / "new"
     save_snapshot(read_disk(disk).log, file)
     assert run("snapshot", "restore", disk, folder, "10.0.0.1:7660").exit_code == ExitCode.UNUSABLE
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""The programs that serve start without the libraries of the command line."""
+"""Long-running programs start without loading the libraries of the command line."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 @pytest.mark.parametrize("program", PROGRAMS)
-def test_program_loads_nothing_of_the_command_line(program: str) -> None:
+def test_program_does_not_load_command_line_libraries(program: str) -> None:
     said = subprocess.run(
         [sys.executable, "-c", CHECK.format(program=program)], capture_output=True, text=True, check=True
     )
     assert said.stdout.strip() == "[]"
 
 
-def test_control_loads_nothing_of_the_dispatcher_s_decisions() -> None:
-    """They are 20 ms of each start, and the core is back so much later."""
+def test_control_does_not_load_the_decision_modules_of_the_dispatcher() -> None:
+    """They would add 20 ms to each start and delay the recovery of the core."""
     loaded = (
         "import sys, millethead.programs.control; print([name for name in sys.modules if 'millethead.decide' in name])"
     )
--- a/tests/test_settings_reference.py
+++ b/tests/test_settings_reference.py
@@ -1,4 +1,4 @@
-"""The reference page of all settings: what the program says, whole, and true of what the records accept."""
+"""The reference page of all settings is complete, matches the records, and is the output of the command."""
 
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -44,7 +44,7 @@
     zones: dict[str, str] = field(default_factory=dict, metadata=read_with(mapping_of(text)))
 
 
-def test_entries_tell_place_what_is_accepted_unit_default_and_meaning():
+def test_entries_have_key_accepted_values_unit_default_and_meaning():
     assert list(entries(Outer)) == [
         Entry("class", "any text", "", '`"odd"`', "its class"),
         Entry("inner.wait_ms", "a number of 0 or more", "ms", "`2`", "how long it waits"),
@@ -58,14 +58,14 @@
 
 
 @pytest.mark.parametrize("record", [ProcessSettings, Configuration])
-def test_every_key_says_what_is_accepted_and_what_it_means(record):
-    bounds = {f"bounds.{entry.key}" for entry in entries(Bounds)}  # these mean what the rules call by their names
+def test_every_key_has_accepted_values_and_a_meaning(record):
+    bounds = {f"bounds.{entry.key}" for entry in entries(Bounds)}  # defined by the specification under the same names
     for entry in entries(record):
         assert entry.accepted, entry.key
         assert entry.meaning or entry.key in bounds, entry.key
 
 
-def test_the_page_is_what_the_program_prints():
+def test_page_is_the_output_of_the_command():
     assert PAGE.read_text() == page()
-    said = CliRunner().invoke(app, ["settings", "reference"])
-    assert (said.exit_code, said.stdout) == (0, page())
+    result = CliRunner().invoke(app, ["settings", "reference"])
+    assert (result.exit_code, result.stdout) == (0, page())
--- a/tests/test_system_docs.py
+++ b/tests/test_system_docs.py
@@ -1,4 +1,4 @@
-"""The system's pages say what its programs do: log events, reasons to wait, commands and exit codes."""
+"""The documentation covers log events, wait reasons, commands and exit codes of the programs."""
 
 import os
 import re
@@ -33,13 +33,13 @@
     return PAGE.partition(f"\n## {head}\n")[2].partition("\n## ")[0]
 
 
-def test_every_log_event_of_the_system_is_explained_and_no_other():
+def test_documentation_lists_exactly_the_log_events():
     code = "".join(path.read_text() for package in PACKAGES for path in (ROOT / "millethead" / package).rglob("*.py"))
     rows = [row.split("|")[1] for row in section("Log lines").splitlines() if row.startswith("| `")]
     assert {event for row in rows for event in re.findall(r"`([a-z_]+)`", row)} == set(EVENT.findall(code))
 
 
-def test_every_reason_to_wait_is_explained():
+def test_documentation_lists_every_wait_reason():
     rows = [row.split("|")[1] for row in section("Why a task waits").splitlines() if row.startswith("| `")]
     reasons = {reason.value for reason in WaitReason} - {WaitReason.NOT_WAITING.value}
     assert {text for row in rows for text in re.findall(r"`([^`]+)`", row)} == reasons | {
@@ -47,7 +47,7 @@
     }
 
 
-def test_commands_and_exit_codes():
+def test_documentation_lists_commands_and_exit_codes():
     line = section("The command line")
     assert {command for command in SYSTEM_COMMANDS if f"millethead {command}" in line} == SYSTEM_COMMANDS - {
         "control",
@@ -57,14 +57,14 @@
     assert [int(code) for code in re.findall(r"^\| (\d) \|", line, re.MULTILINE)] == [code.value for code in ExitCode]
 
 
-def test_links_of_the_pages_lead_somewhere():
+def test_links_have_existing_targets():
     for name in ("system", "replication", "operating-the-system"):
         page = (ROOT / "docs" / f"{name}.md").read_text()
         for target in re.findall(r"\]\(([a-z-]+\.md)\)", page):
             assert (ROOT / "docs" / target).exists(), (name, target)
 
 
-def test_the_shell_completes_commands():
+def test_shell_completion_of_commands():
     environment = {
         **os.environ,
         "_MILLETHEAD_COMPLETE": "complete_bash",
--- a/tests/test_system_processes.py
+++ b/tests/test_system_processes.py
@@ -1,5 +1,7 @@
-"""The programs of the system as real processes on loopback, with stand-in workers: the whole path, and what is lost
-when processes end (nothing that was acknowledged). Conditions are waited for; nothing waits for a fixed time."""
+"""End-to-end tests of the programs as real processes on loopback, with fake workers.
+
+Nothing that was acknowledged may be lost when processes end. The tests wait for conditions, never for a fixed time.
+"""
 
 import asyncio
 import json
@@ -21,7 +23,7 @@
 
 @pytest_asyncio.fixture(scope="module", loop_scope="module")
 async def system(tmp_path_factory):
-    """A core of three with configuration 1, two dispatchers, three agents; every test leaves it whole."""
+    """A core of three with configuration 1, two dispatchers and three agents. Each test leaves all of them running."""
     local = LocalSystem(tmp_path_factory.mktemp("system"))
     try:
         await local.start()
@@ -35,7 +37,7 @@
 
 
 async def whole(local):
-    """Every member of the core stands in the chain, and every worker is known."""
+    """Wait until every member of the core is in the chain and every worker is known."""
     return await local.core_reaches(
         lambda status: len(status.chain) == len(local.controls) and len(status.workers) == len(local.agents),
         15.0,
@@ -44,7 +46,7 @@
 
 
 def job(seconds, *counts):
-    """Steps of so many tasks, each after the one before."""
+    """A job whose steps have these numbers of tasks and depend on the step before."""
     steps = [
         {
             "count": count,
@@ -60,15 +62,15 @@
 
 
 def starts(local, name):
-    """Every start of the job's tasks at any worker."""
+    """Return all starts of the job's tasks at any worker."""
     return [start.task for worker in local.workers for start in worker.model.starts if start.task.startswith(name)]
 
 
-async def test_a_job_handed_in_at_one_dispatcher_is_done_at_the_other(system):
+async def test_job_submitted_at_one_dispatcher_is_done_at_the_other(system):
     name, (first, second) = "00000000000000a1", system.dispatchers
     assert (await system.job("GET", second, name)).status == 410
     assert (await system.job("POST", first, name, job(0.1, 4, 2))).status == 200
-    assert (await system.job("POST", second, name, job(0.1, 4, 2))).status == 200  # the same job again
+    assert (await system.job("POST", second, name, job(0.1, 4, 2))).status == 200  # repeated submission
     await system.job_reaches(second, name, "done", 10.0)
     assert sorted(starts(system, name)) == sorted(
         [f"{name}.0.0.{index}" for index in range(4)] + [f"{name}.0.1.{index}" for index in range(2)]
@@ -77,7 +79,7 @@
     assert (await system.call("GET", first.front, "/nobody/", headers={"Host": HOST})).status == 404
 
 
-async def test_runs_go_on_while_the_head_is_killed_and_no_task_is_started_twice(system):
+async def test_runs_continue_while_the_head_is_killed_and_no_task_starts_twice(system):
     name, (first, second) = "00000000000000a2", system.dispatchers
     assert (await system.job("POST", first, name, job(2.0, 5, 1))).status == 200
     await system.tasks_run(5, 10.0)
@@ -92,13 +94,13 @@
     await whole(system)
 
 
-async def test_configuration_and_jobs_outlive_the_end_of_the_whole_core(system):
+async def test_configuration_and_jobs_survive_a_restart_of_the_whole_core(system):
     before = (await system.call("GET", system.controls[0].control, "/-/config")).json()
     done, waiting, (first, second) = "00000000000000a3", "00000000000000a4", system.dispatchers
     assert (await system.job("POST", first, done, job(0.1, 1))).status == 200
     await system.job_reaches(first, done, "done", 10.0)
     large = job(0.1, 1)
-    large["steps"][0]["cpu"] = 1_000_000  # no worker could hold it
+    large["steps"][0]["cpu"] = 1_000_000  # does not fit on any worker
     assert (await system.job("POST", first, waiting, large)).status == 200
     running = "00000000000000a5"
     assert (await system.job("POST", first, running, job(2.0, 3))).status == 200
@@ -112,7 +114,7 @@
     assert (await system.job("GET", second, done)).state == "done"
     assert (await system.job("GET", second, waiting)).state == "queued"
 
-    # the first member may be the last to be back: the others have done the job without it
+    # the first member may restart last, after the others have completed the job
     async def answers():
         return (await system.call("GET", system.controls[0].control, "/-/config")).status == 200
 
@@ -125,7 +127,10 @@
 
 
 async def request(address, method, name, body):
-    """One request on a connection of its own: its status; None if no connection was made. A cut raises."""
+    """Send one request on a new connection and return its status.
+
+    None if the connection was refused. Raises if it was interrupted.
+    """
     host, port = address.rsplit(":", 1)
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -145,7 +150,7 @@
         writer.close()
 
 
-async def test_a_dispatcher_that_is_told_to_end_answers_every_request_first(system):
+async def test_dispatcher_answers_every_request_before_it_stops(system):
     first, second = system.dispatchers
     answers = {}
 
@@ -164,9 +169,9 @@
     await wait_for(enough, 10.0, "requests are answered")
     system.signal(first, signal.SIGTERM)
     try:
-        await asyncio.gather(*clients)  # raises if one was cut or not answered
+        await asyncio.gather(*clients)  # raises if one was interrupted or not answered
         assert await system.ended(first) == 0
-    finally:  # the tests that follow find the system whole
+    finally:  # restore the system for the next tests
         await system.ended(first)
         system.start_process(first)
         await system.ready()
@@ -175,20 +180,20 @@
         assert (await system.job("GET", second, name)).status == 200
 
 
-async def test_a_change_of_the_configuration_is_in_force_at_every_dispatcher(system):
+async def test_configuration_change_takes_effect_at_every_dispatcher(system):
     await system.put_configuration(5, 1, target_ms=700)
     await system.core_reaches(
         lambda status: [caller.configuration for caller in status.dispatchers] == [5, 5],
         5.0,
         "both have put it in force",
     )
-    for control in system.controls:  # the same order again is acknowledged again, a late one is not taken
+    for control in system.controls:  # a repeated order is acknowledged again, an outdated one is rejected
         again = await system.call("PUT", control.control, "/-/config", configuration(5, 700), {"If-Match": "1"})
         other = await system.call("PUT", control.control, "/-/config", configuration(6, 900), {"If-Match": "1"})
         assert (again.status, other.status) == (200, 412)
 
 
-async def test_every_program_tells_its_figures(system):
+async def test_every_program_serves_metrics(system):
     await whole(system)
     heads = 0
     for machine in system.machines:
@@ -211,8 +216,8 @@
     assert heads == 1
 
 
-async def test_a_node_is_taken_out_and_put_back(system):
-    """By the command's own client, over the internal protocol of real processes."""
+async def test_node_is_drained_and_restored(system):
+    """Uses the client of the command line, over the internal protocol of real processes."""
     await whole(system)
     client = CoreClient(
         CoreAddresses(
