--- a/millethead/configuration/settings.py
+++ b/millethead/configuration/settings.py
@@ -40,15 +40,15 @@
     """The settings file is invalid. `findings` has all reasons."""
 
 
-class Served(StrEnum):
-    """Callers that a role serves from outside the system."""
+class CallerKind(StrEnum):
+    """Callers from outside the system that a role can serve."""
 
     EDGE = "edge"  # clients
     SIDE = "side"  # the worker on the same machine
     CONTROL_PLANE = "control_plane"  # workers and the operator
 
 
-class Commands(StrEnum):
+class CommandTransport(StrEnum):
     """How commands are sent to a worker."""
 
     RPC = "rpc"
@@ -194,7 +194,7 @@
     contracts: tuple[str, ...] = field(default=(), metadata=read_with(list_of(text)))
     tolerate: Tolerate = field(default_factory=Tolerate, metadata=read_with(nested(Tolerate)))
     bounds: Bounds = field(default_factory=Bounds, metadata=read_with(nested(Bounds)))
-    commands: str = field(default=Commands.RPC, metadata=read_with(text))
+    commands: str = field(default=CommandTransport.RPC, metadata=read_with(text))
     app: str | None = field(default=None, metadata=read_with(_address_or_none))
     service: str | None = field(default=None, metadata=read_with(text_or_none))
 
--- a/millethead/programs/control.py
+++ b/millethead/programs/control.py
@@ -88,7 +88,7 @@
         settings, disk = self._settings, self._disk
         tolerated = settings.tolerate.machines
         recovered = disk.recovered if disk is not None else Recovered(None, ())
-        kept = disk.kept if disk is not None else Kept()
+        acceptor_state = disk.acceptor_state if disk is not None else Kept()
         member = Member(self._address, disk.identity.disk_id if disk is not None else 0)
         bootstrapping = disk is not None and disk.identity.bootstrapping
         return Replica(
@@ -99,7 +99,7 @@
             self,
             self._save,
             ReplicatedLog(self._state, recovered),
-            kept,
+            acceptor_state,
             seed_addresses(settings),
             bootstrapping,
             self._loop.time(),
@@ -255,9 +255,9 @@
     def soon(self, call: Callable[[], None]) -> None:
         self._clock.soon(call)
 
-    def _save(self, kept: Kept, done: Callable[[], None]) -> None:
+    def _save(self, acceptor_state: Kept, done: Callable[[], None]) -> None:
         if self._disk is not None:
-            self._disk.save(kept, done)
+            self._disk.save(acceptor_state, done)
 
     def disk_ms(self) -> int:
         return self._disk.latency_ms() if self._disk is not None else 0
--- a/millethead/programs/core_disk.py
+++ b/millethead/programs/core_disk.py
@@ -93,7 +93,7 @@
         self._log = LogFile(self._folder)
         self.recovered: Recovered = self._log.recover()
         self._register = RegisterFile(OS_FILES, self._folder / ACCEPTOR_NAME)
-        self.kept: Kept = self._register.load()
+        self.acceptor_state: Kept = self._register.load()
         self._rewrite_log()
 
     def _rewrite_log(self) -> None:
@@ -146,9 +146,9 @@
         """Replace the log by a file with only the snapshot."""
         self.writer.rewrite(snapshot, ())
 
-    def save(self, kept: Kept, done: Callable[[], None]) -> None:
+    def save(self, acceptor_state: Kept, done: Callable[[], None]) -> None:
         assert self._register_writer is not None
-        self._register_writer.save(kept, done)
+        self._register_writer.save(acceptor_state, done)
 
     def probe(self) -> None:
         """Measure the latency of a write. A sync without new data would not reveal a slow disk."""
--- a/millethead/programs/disk_maintenance.py
+++ b/millethead/programs/disk_maintenance.py
@@ -18,9 +18,7 @@
 COMPACT_ENTRIES = 4000  # entries after the snapshot that trigger compaction
 COMPACT_BYTES = 16 << 20  # bytes of the log besides the snapshot that trigger compaction
 COMPACT_BYTES_ENTRIES = 100  # minimum number of entries for compaction by size
-COMPACTION_STAGGER = (
-    0.25  # extra fraction of the limits per chain position, so that members do not compact at the same time
-)
+COMPACTION_STAGGER = 0.25  # extra fraction of the limits per chain position; avoids simultaneous compaction
 PROBE_INTERVAL_S = 0.5  # of latency probes by a member outside the chain
 
 log = structlog.get_logger()
--- a/millethead/programs/dispatcher.py
+++ b/millethead/programs/dispatcher.py
@@ -161,20 +161,20 @@
         task.add_done_callback(self._tasks.discard)
         return deferred
 
-    async def _answer(self, make_call: Callable[[int], JobCall], deadline_s: float, into: DeferredResponse) -> None:
+    async def _answer(self, make_call: Callable[[int], JobCall], deadline_s: float, deferred: DeferredResponse) -> None:
         timeout_s = max(0.05, deadline_s - RESPONSE_MARGIN_S)
         disconnected_s = self._head_client.disconnected_s()
         if disconnected_s > HEAD_WAIT_TIMEOUT_S:
-            into.complete(self._count(_core_unavailable(LONG_RETRY_AFTER_S)))
+            deferred.complete(self._count(_core_unavailable(LONG_RETRY_AFTER_S)))
             return
         try:
             answer = await self._head_client.call(
                 make_call, min(HEAD_WAIT_TIMEOUT_S - disconnected_s, timeout_s), min(ANSWER_TIMEOUT_S, timeout_s)
             )
         except CallFailed as failure:
-            into.complete(self._count(_failure_response(failure)))
+            deferred.complete(self._count(_failure_response(failure)))
             return
-        into.complete(self._count(_head_response(answer)))
+        deferred.complete(self._count(_head_response(answer)))
 
     def _count(self, answer: Response) -> Response:
         self._responses_by_status[answer.status] += 1
--- a/millethead/programs/operator_api.py
+++ b/millethead/programs/operator_api.py
@@ -20,8 +20,8 @@
 MakeCall = Callable[[int], ConfigurationCall]
 
 
-def operator_app(caller: HeadClient, metrics: Callable[[], Iterable[MetricFamily]]) -> bottle.Bottle:
-    """Create the application. `caller` is the client of the head, `metrics` returns the metrics of this member."""
+def operator_app(head_client: HeadClient, metrics: Callable[[], Iterable[MetricFamily]]) -> bottle.Bottle:
+    """Create the application. `head_client` is the client of the head, `metrics` returns the metrics of this member."""
     app = bottle.Bottle()
     add_metrics(app, metrics)
     tasks: set[asyncio.Task[None]] = set()
@@ -32,7 +32,7 @@
         if_match = _version(bottle.request.get_header("If-Match"))
         deferred = DeferredResponse()
         task = asyncio.get_running_loop().create_task(
-            _answer(caller, lambda number: ConfigurationCall(number, method, if_match, body), deferred)
+            _answer(head_client, lambda number: ConfigurationCall(number, method, if_match, body), deferred)
         )
         tasks.add(task)
         task.add_done_callback(tasks.discard)
@@ -40,7 +40,7 @@
 
     @app.get("/-/ready")  # type: ignore[untyped-decorator]
     def ready() -> Response:
-        return json_response(200 if caller.connected else 503, {"head": caller.connected})
+        return json_response(200 if head_client.connected else 503, {"head": head_client.connected})
 
     return app
 
@@ -50,13 +50,13 @@
     return int(text) if text.isascii() and text.isdigit() and len(text) <= MAX_VERSION_DIGITS else None
 
 
-async def _answer(caller: HeadClient, make: MakeCall, into: DeferredResponse) -> None:
+async def _answer(head_client: HeadClient, make: MakeCall, deferred: DeferredResponse) -> None:
     try:
-        answer = await caller.call(make, HEAD_WAIT_TIMEOUT_S, ANSWER_TIMEOUT_S)
+        answer = await head_client.call(make, HEAD_WAIT_TIMEOUT_S, ANSWER_TIMEOUT_S)
     except CallFailed as failure:
         if failure.sent:
-            into.complete(error_response(504, "the core did not answer in time"))
+            deferred.complete(error_response(504, "the core did not answer in time"))
         else:
-            into.complete(error_response(503, "the core cannot be reached", (("Retry-After", str(RETRY_AFTER_S)),)))
+            deferred.complete(error_response(503, "the core cannot be reached", (("Retry-After", str(RETRY_AFTER_S)),)))
         return
-    into.complete(Response(answer.status, answer.body))
+    deferred.complete(Response(answer.status, answer.body))
--- a/millethead/programs/restoring.py
+++ b/millethead/programs/restoring.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Restored:
+class RestoredDisk:
     """The result of a restore: what was written to the disk."""
 
     member: Member
@@ -37,7 +37,7 @@
     snapshot: Snapshot
 
 
-def restore_snapshot(report: LogReport, folder: Path, address: str) -> Restored:
+def restore_snapshot(report: LogReport, folder: Path, address: str) -> RestoredDisk:
     """Write the state of a snapshot file to the disk at `folder`, which must be empty or missing.
 
     `address` (host:port) is the machine's address for internal calls. The result is durable on return. After an
@@ -60,10 +60,10 @@
     ballot = (view.epoch, member.name)
     register.save(Kept(ballot, ballot, encode(view)))
     register.save_copy()
-    return Restored(member, view, snapshot)
+    return RestoredDisk(member, view, snapshot)
 
 
 def _first_view(member: Member, last_epoch: int) -> View:
     """Return a view with only `member`, in the chain since the epoch of the snapshot because its log is complete."""
-    place = ChainMember(member, secrets.randbits(63), last_epoch)
-    return View(last_epoch + EPOCH_MARGIN, (member,), (place,))
+    chain_member = ChainMember(member, secrets.randbits(63), last_epoch)
+    return View(last_epoch + EPOCH_MARGIN, (member,), (chain_member,))
--- a/millethead/programs/text_reports.py
+++ b/millethead/programs/text_reports.py
@@ -53,14 +53,14 @@
     yield _line("workers", f"{len(status.workers)}, with {status.open_runs} open runs")
     if status.taken_out:
         yield _line("taken out", ", ".join(status.taken_out))
-    shown = sorted(status.workers, key=lambda worker: (worker.service, worker.node))[:MAX_WORKERS_LISTED]
-    if shown:
+    listed = sorted(status.workers, key=lambda worker: (worker.service, worker.node))[:MAX_WORKERS_LISTED]
+    if listed:
         yield from table(
             ("worker", "node", "service", "state", "runs", "free cpu", "free mem", "free gpu"),
-            (_worker(worker) for worker in shown),
+            (_worker(worker) for worker in listed),
         )
-    if len(status.workers) > len(shown):
-        yield f"and {len(status.workers) - len(shown)} more (--json lists all)"
+    if len(status.workers) > len(listed):
+        yield f"and {len(status.workers) - len(listed)} more (--json lists all)"
 
 
 def _voter(voter: VoterReport) -> str:
@@ -70,13 +70,13 @@
 def _configuration(status: StatusReport) -> str:
     if not status.configuration:
         return "none yet"
-    behind = [caller for caller in status.dispatchers if caller.configuration < status.configuration]
+    outdated = [caller for caller in status.dispatchers if caller.configuration < status.configuration]
     text = (
-        f"version {status.configuration}, in force at {len(status.dispatchers) - len(behind)} of "
+        f"version {status.configuration}, in force at {len(status.dispatchers) - len(outdated)} of "
         f"{len(status.dispatchers)} dispatchers"
     )
-    if behind:
-        named = ", ".join(f"{caller.node} ({caller.configuration})" for caller in behind[:MAX_OUTDATED_LISTED])
+    if outdated:
+        named = ", ".join(f"{caller.node} ({caller.configuration})" for caller in outdated[:MAX_OUTDATED_LISTED])
         text += f"; behind: {named}"
     return text
 
@@ -143,9 +143,9 @@
 
 
 def _step_lines(step: StepReport) -> Iterator[str]:
-    place = f"step {step.step}" if not step.time else f"time {step.time} step {step.step}"
+    label = f"step {step.step}" if not step.time else f"time {step.time} step {step.step}"
     failures = f", {step.failures} failed ends" if step.failures else ""
-    yield _line(place, f"{step.done} of {step.count} tasks done, {len(step.running)} running{failures}")
+    yield _line(label, f"{step.done} of {step.count} tasks done, {len(step.running)} running{failures}")
     for reason, count in sorted(step.waiting.items()):
         yield _line("", f"{count} waiting: {reason}")
     for run in step.running:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -27,10 +27,10 @@
 from millethead.configuration.settings import (
     SETTINGS_PATH_VARIABLE,
     Bounds,
+    CallerKind,
     InvalidSettings,
     Listen,
     ProcessSettings,
-    Served,
     Tolerate,
     load_settings,
     parse_settings,
@@ -516,10 +516,10 @@
     state.refuse(late.digest())
     assert apply(state, invalid).verdict is Verdict.INVALID
     apply(state, put(3, whole(5)))
-    for kept in (state, ConfigurationState.decode(state.encode())):
-        assert apply(kept, late).verdict is Verdict.CONFLICT
-        assert kept.decide(invalid).verdict is Verdict.CONFLICT
-        assert kept.version == 5
+    for restored in (state, ConfigurationState.decode(state.encode())):
+        assert apply(restored, late).verdict is Verdict.CONFLICT
+        assert restored.decide(invalid).verdict is Verdict.CONFLICT
+        assert restored.version == 5
 
 
 def test_an_accepted_order_cannot_be_refused() -> None:
@@ -546,11 +546,11 @@
     for version, place in ((0, LogPlace(2, 9)), (1, LogPlace(4, 11))):
         order = put(version, whole(version + 1))
         state.accept(order, state.decide(order), place)
-    for kept in (state, ConfigurationState.decode(state.encode())):
+    for restored in (state, ConfigurationState.decode(state.encode())):
         assert (
-            kept.place == LogPlace(4, 11)
-            and kept.is_configuration_place(LogPlace(2, 9))
-            and not kept.is_configuration_place(LogPlace(3, 9))
+            restored.place == LogPlace(4, 11)
+            and restored.is_configuration_place(LogPlace(2, 9))
+            and not restored.is_configuration_place(LogPlace(3, 9))
         )
 
 
@@ -614,10 +614,10 @@
     orders = [put(version, whole(version + 1)) for version in range(5)]
     for order in orders:
         apply(state, order)
-    for kept in (state, ConfigurationState.decode(state.encode())):
-        verdicts = [kept.decide(order).verdict for order in orders]
+    for restored in (state, ConfigurationState.decode(state.encode())):
+        verdicts = [restored.decide(order).verdict for order in orders]
         assert verdicts == [Verdict.FORGOTTEN] * 2 + [Verdict.REPEATED] * 3, "what was accepted is never refused"
-        assert kept.decide(put(3, whole(9))).verdict is Verdict.CONFLICT
+        assert restored.decide(put(3, whole(9))).verdict is Verdict.CONFLICT
     assert ConfigurationState.decode(state.encode()).encode() == state.encode()
 
 
@@ -635,10 +635,10 @@
     state = state_at(3, colour="red")
     order = patch(3, version=5)
     apply(state, order)
-    for kept in (ConfigurationState(), state):
-        decoded = ConfigurationState.decode(kept.encode())
-        assert (decoded.version, decoded.document) == (kept.version, kept.document)
-        assert decoded.configuration == kept.configuration and decoded.encode() == kept.encode()
+    for restored in (ConfigurationState(), state):
+        decoded = ConfigurationState.decode(restored.encode())
+        assert (decoded.version, decoded.document) == (restored.version, restored.document)
+        assert decoded.configuration == restored.configuration and decoded.encode() == restored.encode()
     assert ConfigurationState.decode(state.encode()).decide(order).verdict is Verdict.REPEATED
 
 
@@ -774,8 +774,8 @@
 
 def test_settings_are_read() -> None:
     settings = parse_settings(body(process()))
-    assert settings.machine_class == "edge" and Served.CONTROL_PLANE in settings.serves
-    assert Served.SIDE not in settings.serves and settings.commands == "heartbeat"
+    assert settings.machine_class == "edge" and CallerKind.CONTROL_PLANE in settings.serves
+    assert CallerKind.SIDE not in settings.serves and settings.commands == "heartbeat"
     assert settings.listen == Listen(front="10.0.0.1:8000", ready="10.0.0.1:8001", control="10.0.0.1:8002")
     assert settings.port_range == (7000, 7015) and settings.seeds == ("10.0.0.1:8002", "10.0.0.2:8002")
     assert settings.limits.cores == 3 and settings.limits.max_fds == 4100
