--- a/millethead/configuration/model.py
+++ b/millethead/configuration/model.py
@@ -74,7 +74,7 @@
 class Limits(Record):
     """Limits of a client connection.
 
-    `max_header_bytes`: size limit of a request's header section; `max_body_bytes`: size limit of its body;
+    `max_header_bytes`: size limit of a request's header section; `max_body_bytes`: size limit of a request body;
     `header_timeout_ms`: time within which the whole header section must arrive; `idle_timeout_ms`: maximum idle time
     between two requests.
     """
--- a/millethead/configuration/settings.py
+++ b/millethead/configuration/settings.py
@@ -100,9 +100,9 @@
 class MachineLimits(Record):
     """Resources of the machine.
 
-    `cpu_share`: share of a CPU core; `cores`: speed factor of that core; `memory_mb`: memory of each process;
+    `cpu_share`: share of a CPU core; `cores`: speed factor of the CPU core; `memory_mb`: memory of each process;
     `max_fds`: maximum number of file descriptors of each process; `link_mbps`: bandwidth of the machine's network link;
-    `disk_mb`: size of its disk, 0 without a disk.
+    `disk_mb`: size of the machine's disk, 0 without a disk.
     """
 
     cpu_share: float = field(default=1.0, metadata=read_with(positive_number))
@@ -172,7 +172,7 @@
     counts under `tolerate`; `contracts`: features of the specification that are enabled; `data_dir`: data folder on the
     disk, none without a disk; `heartbeat_ms`: approximate interval of worker heartbeats; `commands`: how commands are
     sent to workers, `rpc` or `heartbeat`; `app`: address of the worker on this machine, for a role that serves `side`;
-    `service`: service of that worker.
+    `service`: service of the worker on this machine.
     """
 
     node: str = field(metadata=read_with(nonempty_text))
