--- a/millethead/members/__init__.py
+++ b/millethead/members/__init__.py
@@ -1,1 +1,1 @@
-"""Dispatchers that know each other: SWIM with Lifeguard, and shares of fleet-wide limits (docs/members.md)."""
+"""Membership of dispatchers by SWIM with Lifeguard, and leased shares of fleet-wide limits (docs/members.md)."""
--- a/millethead/members/calls.py
+++ b/millethead/members/calls.py
@@ -1,4 +1,4 @@
-"""The staff's call of membership: `GET /members`."""
+"""Console endpoint of membership: `GET /members`."""
 
 from __future__ import annotations
 
--- a/millethead/members/messages.py
+++ b/millethead/members/messages.py
@@ -1,4 +1,4 @@
-"""What members tell each other: records of members, updates of their state, and the datagrams that carry them."""
+"""Messages between members: member records, updates of member states, and the datagrams that carry them."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """What a member says of itself: name, address (host:port where others reach its membership socket), start (Unix
-    time of its process, seconds), console address or empty, what it serves, whether it drains, its version, and whether
-    it takes clients."""
+    """A member's description of itself: name, address (host:port of its membership socket, as other members reach it),
+    start time of its process (Unix time, seconds), console address or empty, free text on what it serves, whether it is
+    draining, its version, and whether it accepts clients."""
 
     name: str
     address: str
@@ -30,17 +30,19 @@
 
 
 class Update(msgspec.Struct, frozen=True, array_like=True):
-    """A piece of news of one member."""
+    """State of one member at one incarnation."""
 
     record: Record
     incarnation: int
     state: int
-    by: str = ""  # who suspects; counts independent confirmations
+    by: str = ""  # the suspecting member; independent confirmations are counted by it
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """One datagram. kind: ping, ack, nack, ping-req, sync (full state; seq 0 wants an answer), ask, grant, release
-    (shares). `start` tells processes of one name apart; `fleet` is what the sender counts now; `units` are lent."""
+    """One datagram. `kind` is ping, ack, nack, ping-req, sync (membership state; seq 0 requests the receiver's full
+    state), or one of the share messages ask, grant and release. `start` is the start time of the sender's process and
+    distinguishes processes of the same name. `fleet_size` is the number of members that the sender counts. `units` is
+    the size of a grant."""
 
     kind: str
     seq: int
--- a/millethead/members/setup.py
+++ b/millethead/members/setup.py
@@ -1,4 +1,4 @@
-"""The table [members] of the operator's file (docs/members.md, docs/on-call.md)."""
+"""The table [members] of the operator's configuration file (docs/members.md, docs/on-call.md)."""
 
 from __future__ import annotations
 
@@ -15,12 +15,15 @@
 
 
 class MembersSetup(Table, frozen=True, kw_only=True):
-    """`listen`: this member's UDP address (loopback); `advertise`: where others reach it, if that differs. `seeds`:
-    other members' addresses to join through. `key_file`: a file whose bytes are the fleet's key (HMAC-SHA256 of each
-    message); `fleet`: the fleet's name; `serves`: a word on what this member serves; `version`: that of the
-    installation, where it says more than the program's own. `stewards`: names of the members
-    that each own an equal part of every fleet-wide limit; without them shares are not used. Times in ms: `period`
-    between probes, `timeout` of a direct probe, `window` before a smaller fleet is believed, `lease` of a share."""
+    """`listen`: this member's UDP address (loopback). `advertise`: the address for other members, if it differs.
+    `seeds`: addresses of members to join through. `key_file`: file with the fleet's key (HMAC-SHA256 of each message).
+    `fleet`: the fleet's name. `serves`: free text on what this member serves. `version`: version of the installation,
+    if it differs from the program's own version. `stewards`: names of the members that each manage an equal part of
+    every fleet-wide limit; if empty, shares are not used.
+
+    Times in ms: `period` between probes, `timeout` of a direct probe, `window` for which the largest member count is
+    used before a smaller one is accepted, `lease` of a share.
+    """
 
     listen: Local
     key_file: str
@@ -36,7 +39,7 @@
     lease: Annotated[float, Meta(ge=50, le=3_600_000)] = 3_000.0
 
     def key(self) -> bytes:
-        """The fleet's key; raises ConfigError."""
+        """Returns the fleet's key. Raises ConfigError if the file is unreadable or the key is too short."""
         try:
             key = Path(self.key_file).read_bytes().strip()
         except OSError:
@@ -48,7 +51,7 @@
 
 
 def members_setup(raw: object) -> MembersSetup:
-    """The table; raises ConfigError."""
+    """Reads and checks the table. Raises ConfigError."""
     setup = read_table(raw, MembersSetup, "members")
     if not setup.timeout < setup.period or not setup.lease < setup.window:
         raise ConfigError("members: timeout below period and lease below window are wanted")
--- a/millethead/members/share.py
+++ b/millethead/members/share.py
@@ -1,7 +1,7 @@
-"""A member's share of the limits that hold for the whole fleet: the rule and its proof are in docs/members.md.
+"""Leased shares of the limits that hold for the whole fleet. Rule and proof: docs/members.md.
 
-No input or output. Times are seconds of each process's own monotonic clock; amounts are whole units, of which the
-whole fleet's limit has `UNITS`, so that sums are exact.
+The module does no input or output. Times are seconds of each process's own monotonic clock. Amounts are whole units,
+`UNITS` per limit, so that sums are exact.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from dataclasses import dataclass, field
 
 UNITS = 1 << 30
-DRIFT = 0.02  # part by which a steward counts a lease longer than its holder: clocks of two machines differ in rate
-GRANTS = 8  # grants of one holder that are remembered one by one; further ones are counted at their largest
-HOLDERS = 1024  # holders of one steward at once
+DRIFT = 0.02  # a steward counts leases longer by this fraction, because the clocks of two machines differ in rate
+GRANTS = 8  # further grants are merged with the oldest one, at the larger size and the later expiry
+HOLDERS = 1024
 
-Holder = tuple[str, float]  # a member's name and the start of its process: one started anew is another holder
+Holder = tuple[str, float]  # member name and start time of its process: a restarted member is another holder
 
 
 class Largest:
-    """The largest count of the last `window` seconds, in bounded memory."""
+    """Maximum of the counts of the last `window_s` seconds, in bounded memory."""
 
     __slots__ = ("_seen", "window")
 
@@ -40,8 +40,8 @@
 
 @dataclass(slots=True)
 class _Given:
-    grants: deque[tuple[float, int]] = field(default_factory=deque)  # (until, units)
-    seq: int = -1  # the last question that it answered, or the release that ended it
+    grants: deque[tuple[float, int]] = field(default_factory=deque)  # (expiry, units)
+    seq: int = -1  # sequence number of the last request that was answered, or of the release that ended the loans
 
     def most(self, now: float) -> int:
         while self.grants and self.grants[0][0] <= now:
@@ -50,21 +50,23 @@
 
 
 class Steward:
-    """Owns one part of every limit, `UNITS // stewards` units, and lends it to members for `lease` seconds. What it
-    has lent and has not run out never adds up to more than its part, whatever it believes of the fleet."""
+    """Manages one part of every limit, `UNITS // steward_count` units, and grants shares of it to members for `lease_s`
+    seconds each. The grants that have not expired never add up to more than the part, whatever the steward assumes
+    about the size of the fleet."""
 
     def __init__(self, stewards: int, lease: float, window: float, now: float) -> None:
         if stewards < 1 or lease <= 0:
             raise ValueError("at least one steward, and a lease of more than 0 s, are wanted")
         self.part, self.lease = UNITS // stewards, lease * (1 + DRIFT)
         self.fleet = Largest(window)
-        # whatever an earlier process of this steward lent must have run out before anything is lent anew
+        # Grants of an earlier process of this steward must have expired before the first new grant.
         self.opens, self.closes = now + self.lease, math.inf
         self._given: dict[Holder, _Given] = {}
 
     def ask(self, now: float, holder: Holder, seq: int, fleet: int) -> int | None:
-        """How much `holder`, which counts `fleet` members, may use for a lease from the moment it asked; None: no
-        answer (a question that is older than one answered, no room, or nothing is lent now)."""
+        """Returns the units that `holder`, which counts `fleet_size` members, may use for one lease from the moment of
+        its request. Returns None if the request stays unanswered: it is older than one already answered, there are too
+        many holders, or the steward grants nothing at present."""
         if not self.opens <= now < self.closes:
             return None
         self.fleet.put(now, fleet)
@@ -76,7 +78,7 @@
                 return None
             given = self._given[holder] = _Given()
         if seq <= given.seq:
-            return None  # asked again by a network that doubles or delays, or released since
+            return None  # duplicated or delayed by the network, or released since
         given.seq = seq
         others = self.lent(now) - given.most(now)
         units = max(0, min(self.part // max(1, self.fleet.get(now)), self.part - others))
@@ -87,7 +89,7 @@
         return units
 
     def release(self, now: float, holder: Holder, seq: int) -> None:
-        """`holder` uses nothing any more of what it asked for up to question `seq`."""
+        """Ends all grants of `holder` up to request `seq`."""
         given = self._given.get(holder)
         if given is not None and seq > given.seq:
             given.grants.clear()
@@ -103,7 +105,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Grant:
-    """What a steward lent: units until a time of this process's clock; `fleet`: the fleet that it reckons with."""
+    """A share granted by a steward: units, their expiry on this process's clock, and the fleet size that the steward
+    assumes."""
 
     seq: int
     until: float
@@ -112,10 +115,11 @@
 
 
 class Share:
-    """A member's own side: the grants it holds, and the fleet it reckons with.
+    """The grants that a member holds, and the fleet size it assumes.
 
-    `fleet` rises at once to any larger count, its own or a steward's, and falls only to the largest count of the
-    last `window` seconds that a majority of the stewards confirm: cut off with a minority of them, it stays.
+    `fleet_size` rises at once to any larger count, its own or a steward's. It falls only to the largest count of the
+    last `window_s` seconds, and only while grants of a majority of the stewards are valid. A member that is cut off
+    with a minority of the stewards keeps its value.
     """
 
     def __init__(self, stewards: Iterable[str], lease: float, window: float) -> None:
@@ -125,7 +129,7 @@
         self._asked: dict[int, tuple[str, float]] = {}
 
     def asking(self, now: float, seq: int, steward: str) -> None:
-        """Question `seq` goes out to `steward` now: a lease counts from here, not from the answer."""
+        """Records that request `seq` is sent to `steward` now. The lease counts from here, not from the answer."""
         self._asked[seq] = (steward, now)
         while len(self._asked) > 8 * len(self.stewards):
             del self._asked[next(iter(self._asked))]
@@ -135,11 +139,11 @@
         if asked is None or asked[0] != steward:
             return
         held = self.grants.get(steward)
-        if held is None or held.seq < seq:  # a late answer must not bring an older grant back
+        if held is None or held.seq < seq:  # a late answer must not replace a newer grant
             self.grants[steward] = Grant(seq, asked[1] + self.lease, units, fleet)
 
     def observe(self, now: float, count: int) -> None:
-        """This member counts `count` members, itself included."""
+        """Updates the fleet size, given that this member counts `count` members including itself."""
         self._own.put(now, count)
         fresh = self.fresh(now)
         known = max([self._own.get(now), *(g.fleet for g in fresh.values())])
@@ -147,18 +151,18 @@
             self.fleet = known
 
     def fresh(self, now: float) -> dict[str, Grant]:
-        """The grants that have not run out, by steward."""
+        """Returns the grants that have not expired, by steward."""
         return {name: grant for name, grant in self.grants.items() if now < grant.until}
 
     def units(self, now: float) -> int:
-        """What this member may use now, of `UNITS` that the fleet has."""
+        """Returns the units that this member may use now, out of `UNITS`."""
         return min(sum(g.units for g in self.fresh(now).values()), UNITS // self.fleet)
 
     def until(self, now: float) -> float:
-        """When the first of the grants in use runs out."""
+        """Returns the earliest expiry of the valid grants; infinite without grants."""
         return min((g.until for g in self.fresh(now).values()), default=math.inf)
 
     def drop(self) -> None:
-        """From now on nothing is used, and no answer on the way changes that."""
+        """Drops all grants. Answers to earlier requests have no effect."""
         self.grants.clear()
         self._asked.clear()
--- a/millethead/members/shell.py
+++ b/millethead/members/shell.py
@@ -1,4 +1,5 @@
-"""The thin shell of membership: one UDP socket on the program's loop and a timer. Decisions are in swim.py."""
+"""Input and output of membership: a UDP socket on the program's event loop and a timer. The decisions are in
+swim.py."""
 
 from __future__ import annotations
 
@@ -26,15 +27,19 @@
 
 log = structlog.get_logger("members")
 sparing_log = Sparing(2)
-TICK = 0.05  # s between looks at the time, at most
+TICK = 0.05  # longest interval between two ticks
 
 
 class Members(asyncio.DatagramProtocol):
-    """Joins the fleet at `start`, says so at `leave`. Each change of another member's state is logged as `member`, each
-    change of what this one may use of fleet-wide limits as `fleet_share`; `on_share` is told of the latter:
-    (part of the limits, time.monotonic() until which it may be used, fleet reckoned with, own place in it). `takes`
-    says why this process takes no clients, with nothing while it does; the others hear whether it does. `office` (s):
-    how long a steward lends once its office is confirmed, where the fleet agrees on offices."""
+    """Joins the fleet in `start` and leaves it in `leave`.
+
+    Each change of another member's state is logged as `member`, and each change of this member's share of the
+    fleet-wide limits as `fleet_share`. `on_share` is called with each new share: (fraction of the limits,
+    time.monotonic() until which it is valid, assumed fleet size, own index in the fleet). `not_ready_reason` returns
+    why this process accepts no clients, or an empty string; the other members are informed whether it does.
+    `steward_confirmation_s`: a steward grants leases for this long after its assignment was confirmed, where the fleet
+    agrees on assignments.
+    """
 
     def __init__(
         self,
@@ -69,7 +74,8 @@
         self.setup, self.on_share, self._known = setup, on_share, dict[str, tuple[int, int]]()
         self.bytes_sent = 0
         self._takes, self._drains = takes, False
-        self.others: tuple[bytes, Callable[[bytes], None]] | None = None  # (mark, who takes datagrams that bear it)
+        # (prefix, handler of the datagrams with this prefix)
+        self.others: tuple[bytes, Callable[[bytes], None]] | None = None
         self._tick, self._knock, self._said = min(TICK, setup.period / 4000), 0.0, (-1, -1)
         self._warned = False
         self._held: tuple[tuple[str, float], ...] = ()
@@ -77,8 +83,8 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self, replaces: bool) -> None:
-        """Take the address. `replaces`: the process before this one may still have it, and gives it up when it ends.
-        Raises ConfigError."""
+        """Binds the address and starts the timer. With `replaces`, the previous process may still hold the address, and
+        binding is retried until that process has ended. Raises ConfigError."""
         if not replaces and not await self._bind():
             raise ConfigError(f"cannot listen on {self.setup.listen[0]}:{self.setup.listen[1]} (members): in use")
         self._task = asyncio.get_running_loop().create_task(self._beat())
@@ -96,7 +102,7 @@
 
     def leave(self) -> None:
         out = self.swim.leave()
-        self._report()  # what it had is given up before anybody hears of it
+        self._report()  # the share is dropped before other members are informed
         self._send(out)
         if self._task is not None:
             self._task.cancel()
@@ -104,12 +110,12 @@
             self._transport.close()
 
     def drain(self) -> None:
-        """Say that this member takes nothing new from now on."""
+        """Announces that this member accepts no new work from now on."""
         self._drains = True
         self.swim.say(drain=True, ready=False)
 
     def offices(self, offices: Sequence[Office]) -> None:
-        """Whose the parts of the limits are, as the fleet has agreed."""
+        """Applies the agreed assignment of the stewards."""
         if offices:
             self.swim.offices.learn(time.monotonic(), offices)
 
@@ -136,7 +142,7 @@
             now = time.monotonic()
             self.swim.say(self._drains, not self._drains and not self._takes())
             self._send(self.swim.tick(now))
-            if not self.swim.alive() and now >= self._knock:  # alone: knock at the seeds until one answers
+            if not self.swim.alive() and now >= self._knock:  # no peer is known: contact the seeds until one answers
                 self._knock = now + self.setup.period / 1000
                 for host, port in self.setup.seeds:
                     self._send(self.swim.hello(f"{host}:{port}"))
@@ -149,7 +155,7 @@
         for address, message in out:
             try:
                 data = self.wire.seal(message)
-            except Dropped:  # too large for one datagram: in halves; only the last may want an answer
+            except Dropped:  # too large for one datagram: send halves; only the last one may request an answer
                 half = len(message.updates) // 2
                 if half:
                     self._send(
@@ -162,16 +168,16 @@
             self.send_raw(address, data)
 
     def send_raw(self, address: str, data: bytes) -> None:
-        """A sealed datagram to host:port."""
+        """Sends an encoded datagram to host:port."""
         if self._transport is not None and not self._transport.is_closing():
             host, _, port = address.rpartition(":")
             self.bytes_sent += len(data)
             self._transport.sendto(data, (host, int(port)))
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens there: the probe's own time limit says so."""
+        """Ignored: an unreachable peer is detected by the time limit of its probe."""
 
-    # ---- what others read ----------------------------------------------------------------------------
+    # ---- status and metrics ------------------------------------------------------------------------------
 
     def _report(self) -> None:
         now, swim = time.monotonic(), self.swim
@@ -206,11 +212,11 @@
         if (units, fleet) != self._said:
             self._said = units, fleet
             log.info("fleet_share", units=units, fleet=fleet, grants=grants, mono=now)
-        else:  # renewed: the same for longer
+        else:  # same share with a later expiry
             log.debug("fleet_share", units=units, fleet=fleet, grants=grants, mono=now)
 
     def page(self) -> dict[str, Any]:
-        """What `GET /members` answers."""
+        """Returns the body of `GET /members`."""
         now, swim = time.monotonic(), self.swim
 
         def line(record: Record, state: State, incarnation: int, ago: float) -> dict[str, Any]:
@@ -243,7 +249,7 @@
         }
 
     def figures(self) -> list[More]:
-        """(name, type, help, [(label, value of it, count)]) of each figure, for the staff's page."""
+        """Returns (name, type, help, [(label, label value, count)]) of each metric, for the console."""
         now, swim = time.monotonic(), self.swim
         states = Counter(State(p.state).name.lower() for p in swim.peers.values())
         states["alive"] += 1
--- a/millethead/members/swim.py
+++ b/millethead/members/swim.py
@@ -1,9 +1,9 @@
-"""SWIM failure detection with the Lifeguard refinements, as pure decisions: time and messages in, messages out.
+"""SWIM failure detection with the Lifeguard refinements, without input or output.
 
-Sources: Das, Gupta, Motivala, "SWIM", DSN 2002 (probes, indirect probes, suspicion, incarnations, piggy-backing);
-Dadgar, Phillips, Currey, "Lifeguard", 2017 (local health that stretches one's own timeouts, a suspicion timeout
-that shrinks with independent confirmations, a suspect told of it by whoever probes it). Times are seconds of one
-monotonic clock.
+Sources: Das, Gupta, Motivala, "SWIM", DSN 2002 (probes, indirect probes, suspicion, incarnations, piggybacking);
+Dadgar, Phillips, Currey, "Lifeguard", 2017 (a local health score that extends the member's own timeouts, a suspicion
+timeout that shrinks with independent confirmations, and notice to a suspected member by whoever probes it). Times are
+seconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -23,12 +23,13 @@
 
 
 class Swim:
-    """One member's view. `tick` and `receive` return the datagrams to send; nothing here does input or output."""
+    """One member's state machine. `tick` and `receive` return the datagrams to send."""
 
     def __init__(
         self, me: Record, settings: Settings, now: float, seed: int = 0, seeds: tuple[Record, ...] = ()
     ) -> None:
-        # one started anew under its old name is newer than whatever was said of the process before it
+        # The incarnation starts at the start time, so that a restarted member overrides all updates on its previous
+        # process.
         self.me, self.settings, self.incarnation, self.health = me, settings, int(me.start * 1000), 0
         self.peers: dict[str, Peer] = {}
         self.share = Share(settings.stewards, settings.lease, settings.window)
@@ -40,29 +41,29 @@
         self._next, self._periods, self._now = now, 0, now
         self._ask_at, self._ticked, self._gone, self._began = now, now, False, now
         self._urgent = False
-        self.name_taken = False  # long after the start another process still speaks under this member's name
+        self.name_taken = False  # another process uses this member's name, long after the start
         for record in seeds:
             if record.name != me.name:
                 self.peers[record.name] = Peer(record, int(record.start * 1000), since=now, heard=now)
         self.share.observe(now, self.counted())
 
-    # --- what others read
+    # --- queries
     def alive(self) -> list[str]:
         return sorted(n for n, p in self.peers.items() if p.there)
 
     def there(self) -> list[str]:
-        """Those that are, this member included."""
+        """Returns the sorted names of all alive or suspect members, including this one."""
         return sorted([self.me.name, *self.alive()])
 
     def _suspects(self) -> list[Peer]:
         return [p for p in self.peers.values() if p.state == State.SUSPECT]
 
     def counted(self) -> int:
-        """Members counted for shares: itself and each alive or suspect."""
+        """Returns the number of members for the division of shares: this member and each alive or suspect peer."""
         return 1 + sum(p.there for p in self.peers.values())
 
     def units(self, now: float) -> int:
-        """What this member may use now of a limit that the fleet has `UNITS` of."""
+        """Returns the units that this member may use now, out of `UNITS`."""
         return self.share.units(now)
 
     # --- time
@@ -73,7 +74,7 @@
         gap, self._ticked, self._now = now - self._ticked, now, now
         if gap > self.settings.period:
             self._paused(gap)
-        stretch = self.health + 1  # Lifeguard: a member that is itself slow waits longer before it blames others
+        stretch = self.health + 1  # Lifeguard: a member that is slow itself waits longer before it suspects others
         for seq, probe in list(self._probes.items()):
             if probe.relay_for is not None:
                 if now - probe.sent > self.settings.timeout:
@@ -88,14 +89,15 @@
                 out.extend(self._send(self.peers[name], "ping-req", seq, probe.target) for name in chosen)
             elif now - probe.sent > self.settings.period * stretch:
                 del self._probes[seq]
-                # helpers that did not even say no tell that the fault may be this member's own
+                # A helper that sent not even a nack indicates that the fault may be on this member's side.
                 self._feel(probe.asked - probe.nacks if probe.asked else 1)
                 peer = self.peers.get(probe.target)
                 if peer is not None and peer.there:
                     self._suspect(now, peer, self.me.name)
         for peer in self._suspects():
             if now - peer.since > self._suspicion(len(peer.suspectors)):
-                if peer.heard > peer.since:  # it spoke meanwhile: its refutation was lost, or is on its way
+                # it sent a message meanwhile: its refutation was lost or is still on the way
+                if peer.heard > peer.since:
                     peer.since = now
                     continue
                 self._set(now, peer, peer.incarnation, State.DEAD)
@@ -105,7 +107,7 @@
         if now >= self._ask_at and self.share.stewards:
             self._ask_at = now + self.settings.lease / 4
             out += self._ask(now)
-        if self._urgent:  # news of a member's state goes on at once, to a few; the probes carry it to the others
+        if self._urgent:  # state changes are pushed to a few members at once; probes carry them to the others
             self._urgent = False
             out += [self._send(self.peers[name], "sync", 1) for name in self._few()]
         self.share.observe(now, self.counted())
@@ -124,7 +126,7 @@
             if self._periods % self.settings.sync_every == 0:
                 out += self._full(target.record.address, 0)
         for peer in self._suspects()[: self.settings.riders]:
-            out.append(self._send(peer, "sync", 1))  # who is suspected hears of it while there is time to refute
+            out.append(self._send(peer, "sync", 1))  # so that the suspect can refute the suspicion in time
         if self._periods % self.settings.seek_every == 0:
             dead = [p for p in self.peers.values() if p.state == State.DEAD]
             if dead:
@@ -132,7 +134,8 @@
         return out
 
     def _paused(self, gap: float) -> None:
-        """This process stood still: what went unanswered meanwhile is its own fault, not the others'."""
+        """Handles a pause of this process: answers that were missed meanwhile are its own fault and not held against
+        others."""
         self._probes.clear()
         self._feel(2)
         for peer in self._suspects():
@@ -142,18 +145,18 @@
         self.health = min(max(self.health + worse, 0), self.settings.health_most)
 
     def hello(self, address: str) -> list[Out]:
-        """All that this member knows, for a seed known only by its address: it answers with its own."""
+        """Returns the full state for a seed of which only the address is known. The seed answers with its own state."""
         return self._full(address, 0)
 
     def say(self, drain: bool, ready: bool) -> None:
-        """This member's own record changes: it drains, or takes clients, or no longer does."""
+        """Updates this member's own record: whether it is draining, and whether it accepts clients."""
         if (drain, ready) != (self.me.drain, self.me.ready):
             self.me = msgspec.structs.replace(self.me, drain=drain, ready=ready)
             self.incarnation += 1
             self._spread(Update(self.me, self.incarnation, State.ALIVE))
 
     def leave(self) -> list[Out]:
-        """Say to everyone that this member goes: they forget it at once, and what it had on loan is free."""
+        """Announces that this member leaves. Peers mark it as left at once, and stewards free its grants."""
         self.incarnation += 1
         self._gone = True
         word = (Update(self.me, self.incarnation, State.LEFT),)
@@ -183,8 +186,8 @@
         return out + self._better(sender, message.updates) + self._take(now, message, sender)
 
     def _better(self, sender: Peer, updates: tuple[Update, ...]) -> list[Out]:
-        """Of whom the sender thinks ill by older news than this member's: what it has missed, such as a refutation that
-        went out as a cut began."""
+        """Sends updates that refute outdated suspicions or deaths in the sender's message. The sender may have missed a
+        refutation that was sent as a network partition began."""
         missed = tuple(
             Update(p.record, p.incarnation, State.ALIVE)
             for u in updates
@@ -196,11 +199,12 @@
         return [self._send(sender, "sync", 1, updates=missed)] if missed else []
 
     def _refuted(self, told_by: str) -> list[Out]:
-        """Say so at once, to whoever told it and to a few more: by the next probes alone it might come too late."""
+        """Pushes the refutation at once to the member that reported the suspicion and to a few others. Sent with the
+        next probes alone, it could arrive too late."""
         return [self._send(self.peers[name], "sync", 1) for name in sorted({told_by, *self._few()})]
 
     def _take(self, now: float, message: Message, sender: Peer) -> list[Out]:
-        sender.heard = now  # a suspect one stays suspect until its news carries a higher incarnation
+        sender.heard = now  # a suspect stays suspect until an update with a higher incarnation arrives
         kind, seq = message.kind, message.seq
         if kind == "ping":
             return [self._send(sender, "ack", seq)]
@@ -234,7 +238,7 @@
         if message.kind == "nack":
             probe.nacks += probe.relay_for is None
             return []
-        if probe.relay_for is not None:  # an ack is passed on only from the one that was asked about
+        if probe.relay_for is not None:  # an ack is relayed only if it comes from the target of the probe
             if message.sender != probe.target:
                 return []
             del self._probes[message.seq]
@@ -247,7 +251,8 @@
         return []
 
     def _ask(self, now: float) -> list[Out]:
-        """Ask each steward for the next lease; itself, if it is one, without a message."""
+        """Requests the next lease from each steward. If this member is a steward itself, it grants its own lease
+        without a message."""
         out: list[Out] = []
         for name in self.share.stewards:
             self._seq += 1
@@ -261,7 +266,7 @@
                 out.append(self._send(self.peers[name], "ask", self._seq))
         return out
 
-    # --- inside
+    # --- internals
     def _target(self) -> Peer | None:
         if not self._order:
             self._order = self.alive()
@@ -273,16 +278,17 @@
         return None
 
     def _few(self, but: str = "") -> list[str]:
-        """Some members at random: as many as help with a probe."""
+        """Returns a random sample of peers, as many as are used for an indirect probe."""
         names = [name for name in self.alive() if name != but]
         return self._random.sample(names, min(self.settings.helpers, len(names)))
 
     def _suspicion(self, suspectors: int) -> float:
-        """Lifeguard: from beta * least down to least as independent confirmations come in."""
+        """Returns the suspicion timeout. As independent confirmations arrive, it shrinks from the maximum
+        (`suspicion_beta` times the minimum) to the minimum, as in Lifeguard."""
         n = max(self.counted(), 2)
         least = self.settings.alpha * math.log10(n) * self.settings.period
         most, k = self.settings.beta * least, min(self.settings.confirmations, n - 2)
-        if k < 1:  # nobody is there who could confirm
+        if k < 1:  # no other member could confirm
             return least
         return max(least, most - (most - least) * math.log(max(suspectors, 1)) / math.log(k + 1))
 
@@ -294,7 +300,7 @@
             self._set(now, peer, peer.incarnation, State.SUSPECT, by)
 
     def _confirm(self, peer: Peer, by: str) -> None:
-        """An independent confirmation shortens the suspicion; the first few are passed on."""
+        """Records an independent confirmation, which shortens the suspicion timeout. The first few are forwarded."""
         if by and by not in peer.suspectors and len(peer.suspectors) <= self.settings.confirmations:
             peer.suspectors.add(by)
             self._spread(Update(peer.record, peer.incarnation, State.SUSPECT, by))
@@ -317,7 +323,7 @@
             if (update.state != State.ALIVE and update.incarnation >= self.incarnation) or (
                 update.incarnation > self.incarnation
             ):
-                self.incarnation = update.incarnation + 1  # refute: I am alive, with a higher incarnation
+                self.incarnation = update.incarnation + 1  # refute the update with a higher incarnation
                 self._feel(1)
                 self.counts["refutations"] += 1
                 self._spread(Update(self.me, self.incarnation, State.ALIVE))
@@ -348,7 +354,8 @@
             self._set(now, peer, update.incarnation, State(update.state))
 
     def _room(self) -> bool:
-        """Room for one more name: of those that are gone the one that went first makes it."""
+        """Makes room for one more member, by removing the one that has been dead or left the longest. Returns False if
+        there is none."""
         if len(self.peers) < self.settings.most:
             return True
         gone = [n for n, p in self.peers.items() if p.state in (State.DEAD, State.LEFT)]
@@ -360,7 +367,8 @@
         self._updates.add(update, len(self.peers))
 
     def _full(self, address: str, seq: int) -> list[Out]:
-        """All that is known, in parts that fit a datagram; the last one asks for an answer where `seq` is 0."""
+        """Returns the full state in parts that fit a datagram. With `seq` 0, the last part requests the receiver's
+        state."""
         all_news = [
             Update(self.me, self.incarnation, State.ALIVE),
             *(Update(p.record, p.incarnation, p.state) for p in self.peers.values()),
@@ -389,10 +397,11 @@
     ) -> Out:
         if updates is None:
             riding = []
-            if peer.state != State.ALIVE:  # who is thought ill is told so first: it can refute at once
+            # the receiver's own suspicion or death goes first, so that it can refute it at once
+            if peer.state != State.ALIVE:
                 riding.append(Update(peer.record, peer.incarnation, peer.state))
-            # a suspicion rides on all that is sent while it lasts, for its few tellings as news may all have gone into
-            # a cut: who knows better says so (`_better`)
+            # A suspicion is sent with every message while it lasts. Its few retransmissions as an update may all be
+            # lost in a network partition. A receiver that has newer information answers with it (`_newer_updates`).
             ill = sorted(self._suspects(), key=lambda p: p.record.name)
             for about in self._random.sample(ill, min(len(ill), self.settings.riders // 2)):
                 by = self.me.name if self.me.name in about.suspectors else min(about.suspectors, default="")
--- a/millethead/members/wire.py
+++ b/millethead/members/wire.py
@@ -1,5 +1,5 @@
-"""Members' datagrams: a version, an HMAC-SHA256 under the fleet's key over its name and the body, and a MessagePack
-body (msgspec). No input or output."""
+"""Encoding of the members' datagrams: a version prefix, an HMAC-SHA256 under the fleet's key over the fleet's name and
+the body, and a MessagePack body (msgspec). The module does no input or output."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from millethead.members.setup import LEAST_KEY
 
 VERSION = b"MH1"
-MOST = 1400  # bytes: one datagram that crosses a usual path unsplit
+MOST = 1400  # below the usual path MTU, so that datagrams are not fragmented
 _DIGEST = 32
 _encoder = msgspec.msgpack.Encoder()
 T = TypeVar("T")
@@ -23,11 +23,12 @@
 
 
 class Dropped(Exception):
-    """A datagram that is not used; the text is its cause: torn, large, version, key."""
+    """Raised for a datagram that is not used. The text is the cause: torn, large, version or key."""
 
 
 class Seal(Generic[T]):
-    """Seals and opens datagrams of one fleet and one kind: `mark` is two letters and the version, `most` bytes."""
+    """Authenticates, encodes and decodes the datagrams of one fleet and message type. `prefix` is two letters and the
+    version; `max_bytes` is the largest datagram."""
 
     def __init__(self, key: bytes, fleet: str, kind: type[T], mark: bytes, most: int) -> None:
         if len(key) < LEAST_KEY:
@@ -36,7 +37,8 @@
         self._decoder = msgspec.msgpack.Decoder(kind)
 
     def seal(self, message: T) -> bytes:
-        """Raises Dropped('large') when it would not fit in one datagram: the sender sends fewer updates."""
+        """Returns the encoded datagram. Raises DatagramDropped('large') if it exceeds the limit; the caller then sends
+        fewer updates per datagram."""
         body = _encoder.encode(message)
         data = self.mark + hmac.new(self._key, self._fleet + body, hashlib.sha256).digest() + body
         if len(data) > self.most:
@@ -44,7 +46,7 @@
         return data
 
     def open(self, data: bytes) -> T:
-        """Raises Dropped with the cause."""
+        """Returns the decoded message. Raises DatagramDropped with the cause."""
         if len(data) > self.most:
             raise Dropped("large")
         if len(data) < len(self.mark) + _DIGEST or data[:2] != self.mark[:2]:
@@ -61,15 +63,15 @@
 
 
 class Wire(Seal[Message]):
-    """The datagrams of membership."""
+    """Codec of the membership datagrams."""
 
     def __init__(self, key: bytes, fleet: str) -> None:
         super().__init__(key, fleet, Message, VERSION, MOST)
 
     @staticmethod
     def part(message: Message, updates: tuple[Update, ...], last: bool) -> Message:
-        """The same message with some of its updates; only the last part of a full state may ask for an answer, and
-        the other parts of any other message are news alone."""
+        """Returns the message with some of its updates. Only the last part of a full state may request an answer. The
+        other parts are sent as plain sync messages."""
         if last:
             return msgspec.structs.replace(message, updates=updates)
         return msgspec.structs.replace(message, kind="sync", seq=1, updates=updates)
--- a/millethead/rollout/__init__.py
+++ b/millethead/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Drains and releases agreed across the fleet: a disruption budget, a halt and a way back (docs/rollout.md)."""
+"""Drains and rolling releases that the fleet agrees on, with a disruption budget, halt and undo (docs/rollout.md)."""
--- a/millethead/rollout/agreement.py
+++ b/millethead/rollout/agreement.py
@@ -1,6 +1,7 @@
-"""A dispatcher's part in agreeing: it proposes changes of the state to the voters, and votes where it is one.
+"""Consensus on the fleet's state: a dispatcher proposes changes to the voters, and votes if it is a voter itself.
 
-The acceptor and the rounds are in `register`; here are their repeats, their time limits and the voter's file.
+The acceptor and the proposer's rounds are in `register`. This module adds retransmission, time limits and durable
+storage of the acceptor's state.
 """
 
 from __future__ import annotations
@@ -23,35 +24,36 @@
 
 log = structlog.get_logger("rollout")
 AGAIN, TRY = 0.08, 0.7  # s: until a question is put again, and in which a change must be agreed (the staff wait 1 s)
-PAUSE_S = (0.005, 0.06)  # after a round that lost against a higher ballot
+PAUSE_S = (0.005, 0.06)  # after a round that was superseded by a higher ballot
 
 
 class NoMajority(Exception):
-    """No majority of the voters answered in time; the text says what became of the change."""
+    """Raised if no majority of the voters answered in time. The text says whether the change may still take effect."""
 
 
 class AgreementPorts(Protocol):
-    """What agreeing needs of its surroundings."""
+    """What `Agreement` needs from its surroundings."""
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """Who decides, as far as this dispatcher has heard."""
+        """The current voters, as far as this dispatcher knows."""
 
     def begun(self, state: State) -> State:
-        """A state with who decides and who lends, where none was agreed on yet."""
+        """Returns the state with the configured voters and stewards filled in where none were agreed on yet."""
 
     def agreed(self, state: State) -> State:
-        """This is agreed on; returns the newest state that is known now."""
+        """Applies an agreed state. Returns the newest state that is known now."""
 
     def tell(self, name: str, note: Note) -> None:
-        """Send a note to a dispatcher."""
+        """Sends a message to a dispatcher."""
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run in the background until the program ends."""
+        """Runs `work` in the background until the program ends."""
 
 
 def voters_of(value: bytes) -> tuple[str, ...]:
-    """Who decides on the change of a value: none named where it is of another version, which nobody here changes."""
+    """Returns the voters named in an encoded state. Returns none if the state is of another version, which this
+    dispatcher never changes."""
     try:
         return agreed.read(value).voters
     except ValueError:
@@ -59,30 +61,34 @@
 
 
 class Agreement:
-    """`process`: a name of this process that no earlier one at this dispatcher had; `first_voters`: those that decide
-    until others are agreed on."""
+    """Proposer and acceptor of one dispatcher.
+
+    `process` identifies this process and must differ from that of any earlier process of this dispatcher.
+    `first_voters` decide until other voters are agreed on.
+    """
 
     def __init__(
         self, me: str, process: str, first_voters: tuple[str, ...], store: Store, ports: AgreementPorts
     ) -> None:
         self.me, self._process, self._first_voters, self._ports = me, process, first_voters, ports
-        self._store = store  # whoever is no voter may become one
+        self._store = store  # kept also by dispatchers that are not voters, since they may become voters
         self._acceptor = Acceptor(store.load())
         self._random = random.Random(process)
         self._rounds: dict[int, tuple[Round, asyncio.Event]] = {}
-        self._calls: dict[int, asyncio.Event] = {}  # questions whose answer says only that somebody votes
+        self._calls: dict[int, asyncio.Event] = {}  # requests of `answers_as_voter` that wait for any answer
         self._seq, self._top = 0, 0
         self._lock, self._disk = asyncio.Lock(), asyncio.Lock()
 
     @property
     def accepted_voters(self) -> tuple[str, ...]:
-        """Who decides by the value that this dispatcher accepted last, if any."""
+        """The voters named in the value that this dispatcher accepted last, if any."""
         return voters_of(self._acceptor.kept.value)
 
     # ---- proposing -----------------------------------------------------------------------------------------
 
     async def change(self, change: Change, seconds: float = TRY) -> State:
-        """Have the fleet agree on a change. Raises Refused with why it is not made, and NoMajority."""
+        """Proposes a change until it is agreed on, and returns the resulting state. Raises ChangeRefused with the
+        reason if the change does not apply, and NoMajority."""
         until = time.monotonic() + seconds
         try:
             async with asyncio.timeout(seconds):
@@ -98,7 +104,7 @@
         def renew(old: bytes) -> bytes:
             try:
                 return agreed.write(change(self._ports.begun(agreed.read(old))))
-            except ValueError as why:  # of another version: not ours to change
+            except ValueError as why:  # a state of another version is not changed
                 raise Refused(str(why)) from None
 
         asked = False
@@ -120,8 +126,8 @@
         )
 
     async def _play(self, one: Round, until: float) -> bool:
-        """Put one round's questions until it has ended or the time is over; returns whether a voter may have accepted
-        the change."""
+        """Repeats the requests of one round until it ends or the deadline passes. Returns whether a voter may have
+        accepted the change."""
         self._seq += 1
         seq, news, asked = self._seq, asyncio.Event(), False
         self._rounds[seq] = one, news
@@ -139,7 +145,7 @@
 
     def _ask(self, seq: int, one: Round) -> None:
         word = one.ask()
-        # the first voters may all be gone: those heard of since know who decides now
+        # The initial voters may all be gone. The currently known voters can answer with the newest value.
         for voter in one.voters if one.value is not None else dict.fromkeys((*one.voters, *self._ports.voters)):
             self._ask_one(voter, seq, word)
 
@@ -150,14 +156,14 @@
             self._ports.tell(voter, Note("ask", seq, self.me, word))
 
     async def votes(self, name: str, seconds: float = TRY) -> bool:
-        """Whether a dispatcher answers as a voter would: it is to become one."""
+        """Returns whether a dispatcher answers requests to voters. Checked before it becomes a voter."""
         self._seq += 1
         seq, news = self._seq, asyncio.Event()
         self._calls[seq] = news
         try:
             async with asyncio.timeout(seconds):
                 while not news.is_set():
-                    self._ask_one(name, seq, Word("prepare", ZERO))  # promises nothing that it had not promised
+                    self._ask_one(name, seq, Word("prepare", ZERO))  # the zero ballot adds no promise
                     with suppress(TimeoutError):
                         async with asyncio.timeout(AGAIN):
                             await news.wait()
@@ -168,7 +174,7 @@
         return True
 
     def answered(self, voter: str, seq: int, word: Word) -> None:
-        """A voter's answer has come."""
+        """Handles an answer of a voter."""
         if seq in self._calls:
             self._calls[seq].set()
         one, news = self._rounds.get(seq, (None, None))
@@ -181,7 +187,7 @@
     # ---- voting --------------------------------------------------------------------------------------------
 
     async def vote(self, asker: str, seq: int, word: Word) -> None:
-        """A voter's answer, once what it promises is on disk."""
+        """Answers a proposer's request as a voter, after the acceptor's state is on disk."""
         async with self._disk:
             before = self._acceptor.kept
             answer, changed = self._acceptor.take(word)
--- a/millethead/rollout/calls.py
+++ b/millethead/rollout/calls.py
@@ -1,4 +1,5 @@
-"""The staff's calls of rollout. Each answers what was agreed, or why not; a refusal changes nothing."""
+"""Console endpoints of rollout. Each answers with the agreed state or with the reason for a refusal. A refused call
+changes nothing."""
 
 from __future__ import annotations
 
@@ -27,11 +28,11 @@
 
 
 class Unknown(Exception):
-    """Nobody has this name."""
+    """Raised if no dispatcher or booking worker has the given name."""
 
 
 class Named(Table, frozen=True, kw_only=True):
-    """One dispatcher or one booking worker."""
+    """Body that names one dispatcher or one booking worker."""
 
     member: Annotated[str, Meta(min_length=1, max_length=256)] = ""
     worker: Annotated[str, Meta(min_length=1, max_length=256)] = ""
@@ -42,21 +43,22 @@
 
 
 class Voter(Table, frozen=True, kw_only=True):
-    """A dispatcher that is to decide with the others, or no more."""
+    """Body that adds or removes one voter."""
 
     add: Annotated[str, Meta(max_length=64)] = ""
     remove: Annotated[str, Meta(max_length=64)] = ""
 
 
 class Heir(Table, frozen=True, kw_only=True):
-    """A steward whose part of the fleet's limits goes to another dispatcher."""
+    """Body that gives a steward's part of the fleet-wide limits to another dispatcher."""
 
     replace: Annotated[str, Meta(min_length=1, max_length=64)]
     by: Annotated[str, Meta(min_length=1, max_length=64)]
 
 
 class Limits(Table, frozen=True, kw_only=True):
-    """Unhealthy: parts above those not yet moved, a multiple of their time; answers before a class is judged."""
+    """Health limits of a release: excess of the failed and of the refused fraction of answers over members that are not
+    updated yet, factor of their response time, and the number of answers of a class before it is judged."""
 
     errors: Part1 = 0.02
     refusals: Part1 = 0.10
@@ -65,7 +67,8 @@
 
 
 class Plan(Table, frozen=True, kw_only=True):
-    """A release of dispatchers to `version`, or of booking workers of a `pool` (whoever runs them starts them anew)."""
+    """Body that starts a release: of dispatchers to `version`, or of the booking workers of a `pool`, which are
+    restarted by whatever supervises them."""
 
     steps: Annotated[list[Annotated[list[Name], Meta(min_length=1)]], Meta(min_length=1, max_length=MOST_NAMED)]
     version: Annotated[str, Meta(max_length=64)] = ""
@@ -77,11 +80,11 @@
 
 
 class Nothing(Table, frozen=True):
-    """A call without a body, or with {}."""
+    """Empty body, or {}."""
 
 
 def fleet_calls(rollout: Rollout) -> dict[str, tuple[str, Part]]:
-    """path -> (method, what answers it)"""
+    """Returns the endpoints: path -> (method, handler)."""
     desk = FleetDesk(rollout)
     posts: dict[str, Callable[[Any], Awaitable[State]]] = {
         "/fleet/drain": desk.drain,
@@ -103,7 +106,8 @@
         return json_reply(200, fleet_page(self.rollout))
 
     async def post(self, do: Callable[[Any], Awaitable[State]], request: Request) -> Reply:
-        """409: the fleet says no; 503: no majority; 400 and 404: the call cannot be meant."""
+        """Runs a call and maps its errors to a status. 409: the change was refused; 503: no majority answered; 400 and
+        404: invalid call."""
         try:
             raw = json.loads(request.body or b"{}")
         except (ValueError, RecursionError):
@@ -174,7 +178,7 @@
         return await self.rollout.change(agreed.resume)
 
     async def undo(self, raw: Any) -> State:
-        """The release; or, where the call names somebody, their drain."""
+        """Undoes the release, or cancels the drain of the named member."""
         named = read_table(raw, Named, "undo")
         if named.name:
             return await self.rollout.change(lambda s: agreed.call_back(s, named.name))
@@ -199,7 +203,7 @@
         return await self.rollout.change(lambda s: agreed.replace_steward(s, named.replace, named.by))
 
     def _dispatchers(self) -> dict[str, float]:
-        """The dispatchers that are there, and the start of each."""
+        """Returns the live dispatchers with the start time of each process."""
         views = self.rollout.views()
         return {name: views[name].start for name in self.rollout.members.swim.there()}
 
--- a/millethead/rollout/driver.py
+++ b/millethead/rollout/driver.py
@@ -1,5 +1,8 @@
-"""What has to change next, as one dispatcher sees it. No input or output; every change is checked again against the
-agreed state when it is made, so that two that drive at once do nothing twice."""
+"""Selects the next changes of the agreed state, as seen by one dispatcher.
+
+The module does no input or output. Each change is checked again against the agreed state when it is applied, so two
+concurrent drivers do nothing twice.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +18,8 @@
 
 @dataclass(slots=True, frozen=True)
 class View:
-    """A member or booking worker as this dispatcher sees it: there (it answers), serving (measured), the start of its
-    process, its version."""
+    """A member or booking worker as this dispatcher sees it: whether it answers, whether it is measured as serving, the
+    start time of its process, and its version."""
 
     there: bool
     serving: bool
@@ -25,18 +28,23 @@
 
 
 class Driver:
-    """Times are seconds of this process's monotonic clock: how long something has been so is measured here, never taken
-    from others. One that takes over measures anew, so that it waits longer, never less."""
+    """Proposes changes while this dispatcher is the driver.
+
+    Times are seconds of this process's monotonic clock. Durations are measured here and never taken from other
+    dispatchers. A new driver measures from zero, so it waits longer but never less.
+    """
 
     def __init__(self, me: str, lease: float) -> None:
         self.me, self.lease = me, lease
-        self._gone: dict[int, float] = {}  # slot -> since when its subject is not there
-        self._slow: dict[tuple[str, str], float] = {}  # (way, subject) -> since when its move is owed
-        self._soak: tuple[int, int, float] | None = None  # (release, step, since)
-        self._vacant: dict[str, float] = {}  # steward -> since when it is not there
+        self._gone: dict[int, float] = {}  # slot token -> time since which its subject is absent
+        # (release status, subject) -> time since which its update or return is pending
+        self._slow: dict[tuple[str, str], float] = {}
+        self._soak: tuple[int, int, float] | None = None  # (release id, step index, start of the soak)
+        self._vacant: dict[str, float] = {}  # steward -> time since which it is absent
 
     def offices(self, now: float, state: State, there: Collection[str]) -> list[tuple[str, Change]]:
-        """The part of a steward that has not been there for a lease goes to a dispatcher that is `there`."""
+        """Returns the change that gives the part of a steward that has been absent for a lease to a dispatcher in
+        `present`."""
         names = [office.name for office in state.offices]
         self._vacant = {name: self._vacant.get(name, now) for name in names if name not in there}
         heir = min((name for name in there if name not in names), default=None)
@@ -53,7 +61,7 @@
         most: Callable[[str], int],
         unhealthy: Callable[[Release], str],
     ) -> list[tuple[str, Change]]:
-        """The changes to try now, in order, each with a word for the log."""
+        """Returns the changes to propose now, in order, each with a description for the log."""
         changes: list[tuple[str, Change]] = []
         for slot in state.slots:
             view = views.get(slot.subject)
@@ -75,7 +83,7 @@
         return changes + self._steps(now, state, release, views, most)
 
     def rest(self) -> None:
-        """No release is under way: what is measured of one begins anew."""
+        """Clears the measurements of a release. Called while none is active."""
         self._slow.clear()
         self._soak = None
 
@@ -96,7 +104,7 @@
         room = limit - state.out(release.group)
         for subject in agreed.moves(state)[: max(0, room)]:
             view = views.get(subject)
-            if view is not None and view.there:  # one that is not there is owed its move, until that takes too long
+            if view is not None and view.there:  # an absent subject stays pending until `_overdue` halts the release
                 changes.append(
                     (
                         f"{subject} is to move",
@@ -118,9 +126,10 @@
         return view.start > slot.start or bool(slot.version and not slot.begun)
 
     def _late(self, now: float, state: State, release: Release) -> str:
-        """Who has owed its move, or its return from it, for longer than the plan gives it."""
+        """Returns a description of a subject whose update or return takes longer than the plan allows, or an empty
+        string."""
         owed = {s.subject for s in state.slots if abs(s.release) == release.id}
-        if not owed:  # while others are out, who waits for a slot owes nothing
+        if not owed:  # subjects that wait for a free slot are not overdue
             owed = set(agreed.moves(state))
         keys = {(release.status, name) for name in owed}
         self._slow = {key: since for key, since in self._slow.items() if key in keys}
--- a/millethead/rollout/health.py
+++ b/millethead/rollout/health.py
@@ -1,4 +1,4 @@
-"""Whether those that a release has moved serve as well as those it has not. No input or output."""
+"""Compares the answers of the members that a release has updated with those of the others. No input or output."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Counts(msgspec.Struct, array_like=True):
-    """Answers of one class since the start of a process, and the ms that the served ones took in all."""
+    """Answers of one job class since the start of a process, and the total time of the served ones in ms."""
 
     served: int = 0
     refused: int = 0
@@ -22,11 +22,11 @@
         return self.served + self.refused + self.failed
 
 
-Table = Sequence[Counts]  # by class
+Table = Sequence[Counts]
 
 
 def since(now: Table, before: Table | None) -> list[Counts]:
-    """What has come in between; all of it where the process started anew meanwhile."""
+    """Returns the counts since `before`. If the process restarted in between, these are all of its counts."""
     if before is None or len(before) != len(now):
         return list(now)
     if any(n.answers < b.answers for n, b in zip(now, before, strict=True)):
@@ -49,8 +49,11 @@
 
 
 def judge(moved: Mapping[str, Table], rest: Iterable[Table], limits: Health, classes: Sequence[str] = ()) -> str:
-    """Why the release is unhealthy, in one line; empty while it is not. The moved ones are judged together and each by
-    itself; `rest` is what those not yet moved did. A class is judged from `limits.least` answers on."""
+    """Returns in one line why the release is unhealthy, or an empty string if it is not.
+
+    The updated members are judged together and each by itself, against `others`, the counts of members that are not
+    updated yet. A class is judged only from `limits.min_answers` answers on.
+    """
     base = add(rest)
     for who, table in [("those moved", add(moved.values())), *moved.items()]:
         for n, new in enumerate(table):
--- a/millethead/rollout/host.py
+++ b/millethead/rollout/host.py
@@ -1,4 +1,4 @@
-"""What the program does for rollout, and the figures that a release is judged by, counted where things happen."""
+"""Connects rollout to the program, and counts the answers that a release is judged by."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from millethead.rollout.driver import View
 from millethead.rollout.health import Counts
 
-MOST = 4096  # booking workers counted at once
+MOST = 4096
 
 
 class ProgramHost:
-    """`kinds`: the types of booking workers; `leave` has the program end in an orderly way."""
+    """`kinds`: names of the booking worker types. `leave` shuts the program down in an orderly way."""
 
     def __init__(self, exchange: Exchange, stage: Stage, kinds: list[str], leave: Callable[[], None]) -> None:
         self.exchange, self.kinds, self.leave = exchange, kinds, leave
         self._ms = [0.0] * len(exchange.settings.classes)
         self._made: dict[str, list[Counts]] = {}
-        self._serves: dict[str, float] = {}  # worker -> the start that it had when it last answered a probe
+        self._serves: dict[str, float] = {}  # worker -> its start time when it last answered a probe
         self._finished, stage.finished = stage.finished, self._count
         exchange.on_attempt, exchange.on_probe = self._attempt, self._probed
 
@@ -32,7 +32,7 @@
             self._finished(order, answer, came, ended)
 
     def _attempt(self, attempt: Attempt, outcome: Outcome, ms: float) -> None:
-        if outcome is Outcome.CANCELLED:  # given up here: that says nothing of the worker
+        if outcome is Outcome.CANCELLED:  # cancelled by the dispatcher, which says nothing about the worker
             return
         table = self._made.get(attempt.worker.name)
         if table is None:
--- a/millethead/rollout/judging.py
+++ b/millethead/rollout/judging.py
@@ -1,4 +1,4 @@
-"""How a release goes, by the counts that dispatchers tell: what moved against the rest, from its return on."""
+"""Health of a running release, from the counts that dispatchers report: updated members against the others."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 from millethead.rollout.health import Counts
 from millethead.rollout.state import DISPATCHERS, Release, State
 
-Tables = dict[str, list[Counts]]  # by subject, then by class
+Tables = dict[str, list[Counts]]  # counts of each class, by subject
 
 
 class Judging:
-    """`own`: this dispatcher's counts now."""
+    """Judges a release. `own_counts` returns this dispatcher's counts."""
 
     def __init__(self, me: str, own: Callable[[], Tables], classes: list[str]) -> None:
         self._me, self._own, self._classes = me, own, classes
-        self._counts: dict[str, Tables] = {}  # by dispatcher, as last told
-        self._base: dict[str, Tables] = {}  # subject -> dispatcher -> its counts when its judging began
+        self._counts: dict[str, Tables] = {}  # latest counts by dispatcher
+        # subject -> dispatcher -> its counts when the observation of the subject began
+        self._base: dict[str, Tables] = {}
         self._judged = 0
 
     def told(self, dispatcher: str, tables: Tables) -> None:
-        """A dispatcher has told its counts."""
+        """Stores the counts that a dispatcher reported."""
         self._counts[dispatcher] = tables
 
     def unhealthy(self, release: Release, state: State) -> str:
-        """Why it is; empty while it is not."""
+        """Returns why the release is unhealthy, or an empty string if it is not."""
         if self._judged != release.id:
             self._judged = release.id
             self._base.clear()
@@ -44,13 +45,14 @@
         return health.judge(judged, rest, release.health, self._classes)
 
     def _forget(self, subject: str, release: Release) -> None:
-        """A subject is on its way: it is judged from its return on."""
+        """Forgets a subject that is being updated. Its observation starts when it is back."""
         self._base.pop(subject, None)
-        if release.group == DISPATCHERS:  # what it said before it went is no news of what is to come
+        if release.group == DISPATCHERS:  # counts reported before the restart do not belong to the new process
             self._counts.pop(subject, None)
 
     def _since_base(self, subject: str, anew: bool) -> list[Counts]:
-        """A subject's counts by all dispatchers since its judging began; `anew`: its process counts from 0."""
+        """Returns the counts of a subject over all dispatchers since its observation began. With `restarted`, the
+        counters of its process start at 0."""
         told = {who: tables[subject] for who, tables in self._counts.items() if subject in tables}
         base = self._base.setdefault(subject, {} if anew else dict(told))
         return health.add(health.since(table, base.get(who)) for who, table in told.items())
--- a/millethead/rollout/notes.py
+++ b/millethead/rollout/notes.py
@@ -1,4 +1,4 @@
-"""What dispatchers tell each other about rollouts, sealed in datagrams over membership's socket."""
+"""Messages between dispatchers about rollouts, sent in authenticated datagrams over membership's socket."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 from millethead.rollout.health import Counts
 from millethead.rollout.register import Word
 
-MARK, MOST = b"MR1", 16_384  # a state of 12,000 bytes and what is around it
+MARK, MOST = b"MR1", 16_384  # leaves room for a state of 12,000 bytes
 
 
 class Note(msgspec.Struct, frozen=True, array_like=True):
-    """A datagram between dispatchers. kind: ask (to a voter), answer, state (what is agreed), health, counts."""
+    """A datagram between dispatchers. `kind` is ask (request to a voter), answer (of a voter), state (the agreed
+    state), health (request for counts) or counts."""
 
     kind: str
     seq: int
--- a/millethead/rollout/register.py
+++ b/millethead/rollout/register.py
@@ -1,8 +1,7 @@
-"""One value that the fleet agrees on: a register that is changed by compare and set, kept by a majority of voters.
+"""A replicated compare-and-set register: one value that a majority of the voters agrees on.
 
 Source: Rystsov, "CASPaxos: Replicated State Machines without logs", 2018; the two phases are those of Lamport's "Paxos
-made simple", 2001. No input or output here: messages and time come in, messages go out. An acceptor's state must be on
-disk before its answer leaves.
+made simple", 2001. The module does no input or output. An acceptor's state must be on disk before its answer is sent.
 """
 
 from __future__ import annotations
@@ -11,16 +10,17 @@
 
 import msgspec
 
-Ballot = tuple[int, str]  # a number, and who uses it: a name and the start of its process, so that none is used twice
+# number and name of the proposing process; the name includes the process start, so that no ballot is used twice
+Ballot = tuple[int, str]
 ZERO: Ballot = (0, "")
 
 
 class Refused(Exception):
-    """The change is not to be made of this value; the text says why in one line."""
+    """Raised if a change does not apply to the current value. The text gives the reason in one line."""
 
 
 class Kept(msgspec.Struct, frozen=True, array_like=True):
-    """What an acceptor must never forget."""
+    """Durable state of an acceptor."""
 
     promised: Ballot = ZERO
     accepted: Ballot = ZERO
@@ -28,7 +28,7 @@
 
 
 class Word(msgspec.Struct, frozen=True, array_like=True):
-    """A message between a proposer and an acceptor. kind: prepare, promise, accept, accepted, nack."""
+    """A message between a proposer and an acceptor. `kind` is prepare, promise, accept, accepted or nack."""
 
     kind: str
     ballot: Ballot
@@ -37,7 +37,7 @@
 
 
 class Acceptor:
-    """One voter's part."""
+    """The acceptor of one voter."""
 
     __slots__ = ("kept",)
 
@@ -45,7 +45,7 @@
         self.kept = kept or Kept()
 
     def take(self, word: Word) -> tuple[Word, bool]:
-        """(the answer, whether `kept` has changed and must be stored before the answer goes out)"""
+        """Returns the answer, and whether `state` has changed and must be stored before the answer is sent."""
         kept, ballot = self.kept, word.ballot
         if word.kind == "prepare":
             if ballot < kept.promised:
@@ -59,12 +59,15 @@
 
 
 class Round:
-    """One try of a proposer, under one ballot. `change` makes the new value of the old one, once, when a majority has
-    promised; it may raise Refused, and then the old value is confirmed, so that the refusal rests on what is agreed.
+    """One attempt of a proposer, under one ballot.
 
-    A value may name the voters that decide on the next one (`named`; none: the first ones). So `voters` become those of
-    the newest value heard of, and a majority of these must have promised: whoever starts from an old list is led to the
-    present one. It is enough that each change adds or takes away one voter: a majority before it and one after it meet.
+    `change` computes the new value from the old one. It is called once, when a majority has promised. If it raises
+    ChangeRefused, the old value is proposed again, so that the refusal rests on an agreed value.
+
+    A value may name the voters that decide on the next value (`voters_in`; if none, the initial ones decide). `voters`
+    follows the newest accepted value that was received, and a majority of these voters must have promised. So a
+    proposer that starts from an outdated list finds the current voters. This is safe as long as each change adds or
+    removes one voter: any majority before it and any majority after it intersect.
     """
 
     __slots__ = (
@@ -101,11 +104,11 @@
         return 2 * len(self._accepted) > len(self.voters)
 
     def ask(self) -> Word:
-        """What to send to every voter now, as often as need be."""
+        """Returns the request for every voter in the current phase. It may be sent repeatedly."""
         return Word("prepare", self.ballot) if self.value is None else Word("accept", self.ballot, ZERO, self.value)
 
     def take(self, voter: str, word: Word) -> bool:
-        """A voter's answer; returns whether there is something new to ask, or somebody else."""
+        """Handles a voter's answer. Returns whether there is a new request, or a new voter to send it to."""
         if word.ballot != self.ballot or self.lost is not None:
             return False
         if word.kind == "nack":
--- a/millethead/rollout/report.py
+++ b/millethead/rollout/report.py
@@ -1,4 +1,4 @@
-"""What `GET /fleet` answers."""
+"""Body of `GET /fleet`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def fleet_page(rollout: Rollout) -> dict[str, Any]:
-    """All that is agreed on, as this dispatcher knows it."""
+    """Returns the agreed state as known to this dispatcher."""
     state = rollout.state
     groups = [DISPATCHERS, *(WORKERS + kind for kind in rollout.setup.pools)]
     return {
--- a/millethead/rollout/setup.py
+++ b/millethead/rollout/setup.py
@@ -1,4 +1,4 @@
-"""The table [rollout] of the operator's file (docs/rollout.md, docs/on-call.md)."""
+"""The table [rollout] of the operator's configuration file (docs/rollout.md, docs/on-call.md)."""
 
 from __future__ import annotations
 
@@ -16,12 +16,15 @@
 
 
 class RolloutSetup(Table, frozen=True, kw_only=True):
-    """`folder`: where a voter keeps what it has agreed to; it must outlast the process. `voters`: names of members, the
-    same in every file; a majority of them decides. `dispatchers`: how many may be out at once, a count or a share as
-    "20%" (of those there, rounded down, at least one unless it is 0%); `pools`: the same for booking workers, by type.
-    Times in ms: `lease` after which the slot of a member that died comes back, `back` within which one that a release
-    moves has to be back and serving, `office` for which a steward lends shares after a majority has confirmed
-    it as one: so long after it was replaced its part is lent by the new one."""
+    """`folder`: directory for a voter's durable state; it must outlast the process. `voters`: names of members, the
+    same in every file; a majority of them decides. `dispatchers`: how many may be out at once, a count or a percentage
+    such as "20%" (of the live ones, rounded down, at least one unless it is 0%). `pools`: the same for booking workers,
+    by type.
+
+    Times in ms: `lease` after which the slot of a dead member is freed; `back` within which a member updated by a
+    release must be back and serving; `office` for which a steward grants shares after a majority has confirmed its
+    assignment. A new steward waits this long before it grants shares of the part.
+    """
 
     folder: str
     voters: Annotated[list[Name], Meta(min_length=1, max_length=15)]
@@ -33,7 +36,7 @@
 
 
 def most_out(budget: int | str, size: int) -> int:
-    """How many of `size` may be out."""
+    """Returns how many of `size` members may be out under a budget."""
     if isinstance(budget, int):
         return budget
     part = int(budget[:-1])
@@ -41,7 +44,7 @@
 
 
 def rollout_setup(raw: object) -> RolloutSetup:
-    """The table; raises ConfigError."""
+    """Reads and checks the table. Raises ConfigError."""
     setup = read_table(raw, RolloutSetup, "rollout")
     if len(set(setup.voters)) < len(setup.voters):
         raise ConfigError("rollout.voters: each name once is wanted")
--- a/millethead/rollout/shell.py
+++ b/millethead/rollout/shell.py
@@ -1,7 +1,7 @@
-"""The thin shell of rollout: notes over membership's socket, and a timer.
+"""Input and output of rollout: messages over membership's socket, and a timer.
 
-Decisions are elsewhere: register.py and agreement.py (agreeing), state.py (what is agreed on), driver.py (what comes
-next), judging.py (whether it goes well).
+The decisions are in other modules: register.py and agreement.py (consensus), state.py (the agreed state), driver.py
+(the next changes), release_health.py (health of a release).
 """
 
 from __future__ import annotations
@@ -38,25 +38,25 @@
 
 
 class Host(Protocol):
-    """What the program does for it."""
+    """What rollout needs from the program."""
 
     def leave(self) -> None:
-        """End in an orderly way: whoever looks after processes starts the next one."""
+        """Shuts the process down in an orderly way. The process supervisor starts the next one."""
 
     def fleet_out(self, names: frozenset[str]) -> None:
-        """Booking workers to leave out, all of them."""
+        """Excludes exactly these booking workers from use."""
 
     def workers(self) -> Mapping[str, tuple[str, View]]:
-        """The listed booking workers: (type, as this dispatcher sees it)."""
+        """Returns the listed booking workers: name -> (type, view of this dispatcher)."""
 
     def counts(self) -> list[Counts]:
-        """This dispatcher's answers by class."""
+        """Returns this dispatcher's answers by class."""
 
     def worker_counts(self) -> Mapping[str, list[Counts]]:
-        """What each booking worker made of this dispatcher's attempts, by class."""
+        """Returns the outcomes of this dispatcher's attempts by booking worker and class."""
 
     def probe(self, worker: str) -> None:
-        """Ask a booking worker whether it serves, though it is left out."""
+        """Probes an excluded booking worker, to find out whether it serves again."""
 
 
 class Rollout:
@@ -68,7 +68,7 @@
         self.me = members.me.name
         self.state, self.learned = State(), False
         store = Store(Path(setup.folder), self.me)
-        process = f"{self.me}@{members.me.start}"  # one started anew never uses a ballot of the one before
+        process = f"{self.me}@{members.me.start}"  # a restarted process never reuses a ballot of the previous one
         self._agreement = Agreement(self.me, process, tuple(setup.voters), store, self)
         self._heard_of = self._agreement.accepted_voters
         self.driver = Driver(self.me, setup.lease / 1000)
@@ -77,7 +77,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
         self._judging = Judging(self.me, self._tables, classes)
         self._going = False
-        self._not_stored = 0  # token of the step whose wanted version could not be written
+        self._not_stored = 0  # token of the slot whose version file could not be written
         self._pushed = self._asked = self._confirms = 0.0
         members.others = (MARK, self._datagram)
 
@@ -89,7 +89,7 @@
             task.cancel()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run in the background until the program ends."""
+        """Runs `work` in the background until the program ends."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -97,21 +97,23 @@
     # ---- agreeing ------------------------------------------------------------------------------------------
 
     async def change(self, change: Change, seconds: float = TRY) -> State:
-        """Have the fleet agree on a change. Raises Refused with why it is not made, and NoMajority."""
+        """Proposes a change until it is agreed on, and returns the resulting state. Raises ChangeRefused with the
+        reason if the change does not apply, and NoMajority."""
         return await self._agreement.change(change, seconds)
 
     async def votes(self, name: str, seconds: float = TRY) -> bool:
-        """Whether a dispatcher answers as a voter would: it is to become one."""
+        """Returns whether a dispatcher answers requests to voters. Checked before it becomes a voter."""
         return await self._agreement.votes(name, seconds)
 
     def agreed(self, state: State) -> State:
-        """This is agreed on by a change of this dispatcher's; returns the newest state that is known now."""
+        """Applies a state agreed on by this dispatcher's proposal and sends it to the others. Returns the newest known
+        state."""
         self._learn(state)
         self._push()
         return self.state
 
     def begun(self, state: State) -> State:
-        """A state with who decides and who lends: at first those that the file names."""
+        """Returns the state with the configured voters and stewards filled in where none were agreed on yet."""
         return msgspec.structs.replace(
             state,
             voters=state.voters or tuple(self.setup.voters),
@@ -120,19 +122,19 @@
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """Who decides, as far as this dispatcher has heard: agreed on, or else those that the file begins with."""
+        """The current voters as far as this dispatcher knows: those agreed on, or else the configured ones."""
         return self.state.voters or self._heard_of or tuple(self.setup.voters)
 
-    # ---- notes -------------------------------------------------------------------------------------------
+    # ---- messages ----------------------------------------------------------------------------------------
 
     def tell(self, name: str, note: Note) -> None:
-        """Send a note to a dispatcher that membership knows."""
+        """Sends a message to a dispatcher, if membership knows its address."""
         peer = self.members.swim.peers.get(name)
         if peer is not None:
             self.members.send_raw(peer.record.address, self._seal.seal(note))
 
     def _datagram(self, data: bytes) -> None:
-        """Raises Dropped, which membership counts."""
+        """Handles a received datagram. Raises DatagramDropped, which membership counts."""
         note = self._seal.open(data)
         if note.kind == "ask" and note.word is not None:
             self.spawn(self._agreement.vote(note.sender, note.seq, note.word))
@@ -149,7 +151,8 @@
             self._judging.told(note.sender, note.tables)
 
     def _tables(self) -> dict[str, list[Counts]]:
-        """What a release is judged by: answers of dispatchers, or what each booking worker made of attempts."""
+        """Returns this dispatcher's counts for judging a release: its own answers, or the outcomes by booking
+        worker."""
         release = self.state.release
         if release is None or release.group == DISPATCHERS:
             return {self.me: self.host.counts()}
@@ -163,8 +166,8 @@
             self.tell(name, note)
 
     def _learn(self, state: State) -> None:
-        """What is agreed now; older news changes nothing."""
-        state = self.begun(state)  # a refusal may be all that was agreed: it confirms an empty value
+        """Applies an agreed state, unless a state of the same or a later revision is known."""
+        state = self.begun(state)  # a refused first change confirms an empty value
         if self.learned and state.rev <= self.state.rev:
             return
         old, self.state, self.learned = self.state, state, True
@@ -185,7 +188,7 @@
         if out != frozenset(s.subject for s in old.slots if s.group != DISPATCHERS):
             self.host.fleet_out(out)
 
-    # ---- time --------------------------------------------------------------------------------------------
+    # ---- timer -------------------------------------------------------------------------------------------
 
     async def _beat(self) -> None:
         while True:
@@ -208,7 +211,7 @@
         if not self._drives():
             return
         if not self.learned:
-            await self.change(lambda state: state)  # a first look: what was agreed before this process
+            await self.change(lambda state: state)  # read what was agreed on before this process started
         if now - self._pushed > PUSH:
             self._push()
         release = self.state.under_way
@@ -230,32 +233,33 @@
                 log.info("rollout_step_refused", what=what, why=str(why))
 
     def _drives(self) -> bool:
-        """The first of the voters that are there drives. Two that both think so do no harm."""
+        """Returns whether this dispatcher drives: it is the first of the live voters. Two concurrent drivers do no
+        harm."""
         return self.me == min(self.voters_there(), default="")
 
     def voters_there(self) -> list[str]:
-        """Those who decide and are there, as far as this dispatcher sees."""
+        """Returns the voters that are live as far as this dispatcher sees."""
         there = self.members.swim.there()
         return [v for v in self.voters if v in there]
 
     async def _go(self) -> None:
-        """This dispatcher's own turn to go, if it has a slot: once."""
+        """Shuts this dispatcher down, once, if it holds a slot."""
         slot, me = self.state.of(self.me), self.members.swim.me
         if slot is None or slot.group != DISPATCHERS or self._going or slot.token == self._not_stored:
             return
         if slot.begun:
             if slot.start != me.start:
-                return  # the process before this one began it
-            # this process did, and found no majority in time: the change was agreed all the same
+                return  # the previous process of this dispatcher began the restart
+            # This process began the restart but received no majority in time. The change was agreed on nevertheless.
         elif slot.start != me.start if not slot.version else slot.version == me.version:
-            return  # meant for the process before this one, or there already
+            return  # meant for the previous process, or the version is already running
         else:
             await self.change(lambda state: agreed.begin(state, slot.token, me.start))
         if slot.version:
             body = json.dumps({"version": slot.version, "token": slot.token}).encode()
             try:
                 write_lasting(Path(self.setup.folder) / f"{self.me}.wanted", body)
-            except OSError as error:  # it stays; the release halts, and a resume has it try again
+            except OSError as error:  # Keep running. The release halts, and a resume makes this dispatcher try again.
                 self._not_stored = slot.token
                 log.error("rollout_not_stored", why=str(error))
                 return
@@ -270,10 +274,10 @@
             if slot.group != DISPATCHERS and found is not None and found[1].there and found[1].start > slot.start:
                 self.host.probe(slot.subject)
 
-    # ---- what it sees ------------------------------------------------------------------------------------
+    # ---- views -------------------------------------------------------------------------------------------
 
     def views(self) -> dict[str, View]:
-        """Dispatchers and booking workers by name, as this dispatcher sees them."""
+        """Returns this dispatcher's views of all dispatchers and booking workers, by name."""
         me = self.members.swim.me
         views = {name: view for name, (_, view) in self.host.workers().items()}
         views[self.me] = View(True, me.ready and not me.drain, me.start, me.version)
@@ -283,7 +287,7 @@
         return views
 
     def most(self, group: str) -> int:
-        """How many of a group may be out."""
+        """Returns how many members of a group may be out."""
         if group == DISPATCHERS:
             return most_out(self.setup.dispatchers, self.members.swim.counted())
         kind = group.removeprefix(WORKERS)
@@ -291,7 +295,7 @@
         return most_out(self.setup.pools.get(kind, 0), size)
 
     def group_of(self, worker: str) -> str:
-        """The group of a booking worker; raises Refused where it has no budget."""
+        """Returns the group of a booking worker. Raises ChangeRefused if its type has no budget."""
         kind = self.host.workers()[worker][0]
         if kind not in self.setup.pools:
             raise Refused(f"booking workers of the type {kind!r} have no budget in rollout.pools")
--- a/millethead/rollout/state.py
+++ b/millethead/rollout/state.py
@@ -1,4 +1,8 @@
-"""What the fleet agrees on, and each change of it: pure functions of the old state, which raise Refused."""
+"""The state that the fleet agrees on, and its changes: pure functions of the old state that raise ChangeRefused.
+
+A member or booking worker that takes part is called a subject. A slot is the permission for one subject to be out of
+service.
+"""
 
 from __future__ import annotations
 
@@ -9,18 +13,22 @@
 from millethead.members.offices import Office
 from millethead.rollout.register import Refused
 
-SCHEMA = 2  # 1 had no voters and no offices
-MOST_BYTES = 12_000  # of the state: it travels in one datagram
-MOST_NAMED = 64  # members in one plan
+SCHEMA = 2  # version 1 had no voters and no stewards
+MOST_BYTES = 12_000  # the state must fit one datagram
+MOST_NAMED = 64  # members in one release plan
 MOST_VOTERS = 15
 DISPATCHERS = "dispatchers"
 RUNNING, HALTED, UNDOING, DONE, UNDONE = "running", "halted", "undoing", "done", "undone"
 
 
 class Slot(msgspec.Struct, frozen=True, array_like=True):
-    """Somebody is out, or about to be. `token`: never used twice; `begun`: it has been told to go, once; `start`: when
-    the process that goes had started (one that started later is back); `version`: the one it shall come back with, if
-    any; `release`: the number of the release that this is a step of, negative for its undoing, 0 for none."""
+    """A subject is out of service, or about to be.
+
+    `token` is never used twice. `begun` is set once, when the subject begins its restart. `process_start` is the start
+    time of the process that leaves; a process with a later start is the returned subject. `version` is the version it
+    has to return with, if any. `release` is the id of the release that this slot belongs to, negative while the release
+    is undone, and 0 for a drain.
+    """
 
     group: str
     subject: str
@@ -33,8 +41,9 @@
 
 
 class Health(msgspec.Struct, frozen=True, array_like=True):
-    """What is unhealthy: the part of answers failed, or refused, above that of those not yet moved; time to answer as a
-    multiple of theirs. `least`: answers of a class before it is judged."""
+    """Health limits of a release: `error_margin` and `refusal_margin` are the excess of the failed and refused fraction
+    of answers over members that are not updated yet; `latency_factor` is the factor of their response time.
+    `min_answers`: answers of a class before it is judged."""
 
     errors: float = 0.02
     refusals: float = 0.10
@@ -43,14 +52,14 @@
 
 
 class Moved(msgspec.Struct, frozen=True, array_like=True):
-    """A member that a release has moved or is moving, and the version it had."""
+    """A subject that a release has updated or is updating, and the version it had before."""
 
     subject: str
     before: str
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True):
-    """A plan and how far it is. Times are seconds."""
+    """A release plan and its progress. Times are seconds."""
 
     id: int
     group: str
@@ -64,12 +73,12 @@
     moved: tuple[Moved, ...] = ()
     status: str = RUNNING
     why: str = ""
-    resumes: str = RUNNING  # what `resume` goes on with
+    resumes: str = RUNNING  # status that `resume_release` restores
 
 
 class State(msgspec.Struct, frozen=True, array_like=True):
-    """`rev` rises with every change, `tokens` with every slot and release; `voters` decide on the next change;
-    `offices`: the stewards of the fleet's limits, a part each."""
+    """`rev` increases with every change, `tokens` with every slot, release and steward replacement. `voters` decide on
+    the next change. `stewards` assigns the parts of the fleet-wide limits."""
 
     schema: int = SCHEMA
     rev: int = 0
@@ -81,7 +90,7 @@
 
     @property
     def under_way(self) -> Release | None:
-        """The release, while it goes forth or back."""
+        """The release if it is running or being undone, else None."""
         r = self.release
         return r if r is not None and r.status in (RUNNING, UNDOING) else None
 
@@ -101,7 +110,7 @@
 
 
 def read(value: bytes) -> State:
-    """Raises ValueError where it is not a state of this version."""
+    """Decodes a state. Raises ValueError if it is not a state of a known version."""
     if not value:
         return State()
     try:
@@ -114,7 +123,7 @@
 
 
 def write(state: State) -> bytes:
-    """Raises Refused where it has grown too large."""
+    """Encodes a state. Raises ChangeRefused if it is too large."""
     value = _encode(state)
     if len(value) > MOST_BYTES:
         raise Refused(f"the state would take {len(value)} bytes, more than {MOST_BYTES}")
@@ -131,18 +140,18 @@
 def take(
     state: State, group: str, subject: str, most: int, by: str, start: float = 0.0, version: str = "", release: int = 0
 ) -> State:
-    """A slot of `group`, of which `most` may be out."""
+    """Takes a slot for `subject`. At most `max_out` subjects of `group` may be out."""
     if state.of(subject) is not None:
         raise Refused(f"{subject} is out already")
     if state.out(group) >= most:
         raise Refused(f"no slot: {state.out(group)} of {group} are out, and max_out is {most}")
-    # a booking worker is told nothing: with its slot it is out
+    # a booking worker is not informed: it is out as soon as it has the slot
     slot = Slot(group, subject, state.tokens + 1, by, group != DISPATCHERS, start, version, release)
     return _next(state, tokens=state.tokens + 1, slots=(*state.slots, slot))
 
 
 def begin(state: State, token: int, start: float) -> State:
-    """The subject goes now; nobody else may do this step again."""
+    """Marks the restart as begun. No other process may begin it again."""
     slot = state.slot(token)
     if slot is None or slot.begun:
         raise Refused("this step was taken back, or is done already")
@@ -150,7 +159,8 @@
 
 
 def free(state: State, token: int) -> State:
-    """It is back, or its lease is over. What a release undoes counts as returned with its slot."""
+    """Frees a slot whose subject is back or whose lease has expired. In an undo, the subject then counts as
+    restored."""
     slot = state.slot(token)
     if slot is None:
         raise Refused("no such slot")
@@ -164,15 +174,18 @@
 
 
 def call_back(state: State, subject: str) -> State:
-    """An operator takes a drain back: that of a dispatcher which has not gone yet, or of a booking worker, where no
-    release asked for it, or one that is halted."""
+    """Cancels a drain on an operator's request.
+
+    This is possible for a dispatcher that has not begun its restart, and for a booking worker if no release took its
+    slot or that release is halted.
+    """
     slot, r = state.of(subject), state.release
     if slot is None or (slot.release and (slot.group == DISPATCHERS or r is None or r.status != HALTED)):
         raise Refused(f"{subject} is not out by a drain")
     if slot.group == DISPATCHERS and slot.begun:
         raise Refused(f"{subject} is going already")
     state = free(state, slot.token)
-    if r is not None and slot.release == r.id:  # it was not moved after all
+    if r is not None and slot.release == r.id:  # the subject was not updated after all
         state = _replace(state, release=_replace(r, moved=tuple(m for m in r.moved if m.subject != subject)))
     return state
 
@@ -181,7 +194,8 @@
 
 
 def add_voter(state: State, name: str) -> State:
-    """One at a time, so that a majority before the change and one after it always meet."""
+    """Adds one voter. Voters change one at a time, so that any majority before the change and any majority after it
+    intersect."""
     if name in state.voters:
         raise Refused(f"{name} is a voter already")
     if len(state.voters) >= MOST_VOTERS:
@@ -190,7 +204,8 @@
 
 
 def drop_voter(state: State, name: str, there: Collection[str]) -> State:
-    """`there`: the dispatchers that are there, of whom a majority must be left: without one nothing is agreed again."""
+    """Removes one voter. A majority of the remaining voters must be in `present`, the live dispatchers, since without
+    one no further change could be agreed on."""
     if name not in state.voters:
         raise Refused(f"{name} is no voter")
     left = tuple(v for v in state.voters if v != name)
@@ -200,7 +215,8 @@
 
 
 def replace_steward(state: State, old: str, new: str) -> State:
-    """`new` has the part of `old` from now on, and lends when all that `old` may have lent has run out."""
+    """Gives the part of the steward `old` to `new`. It grants shares once all grants that `old` may have made have
+    expired."""
     names = [office.name for office in state.offices]
     if old not in names:
         raise Refused(f"{old} is no steward")
@@ -225,7 +241,8 @@
 
 
 def halt(state: State, why: str, release: int = 0) -> State:
-    """Nothing new is begun; what is out comes back. `release`: only this one."""
+    """Halts the active release: no further update begins, and subjects that are out return. `release_id`: halt only
+    this release."""
     r = state.under_way
     if r is None or release not in (0, r.id):
         raise Refused("no release is under way")
@@ -234,15 +251,18 @@
 
 
 def _without_idle(state: State, r: Release) -> tuple[tuple[Slot, ...], tuple[Moved, ...]]:
-    """Without the steps that were agreed on and have not begun: they need not happen."""
+    """Returns the slots and updated subjects without the updates that were agreed on but have not begun."""
     idle = {s.token for s in state.slots if abs(s.release) == r.id and not s.begun}
     forward = {s.subject for s in state.slots if s.release == r.id and s.token in idle}
     return (tuple(s for s in state.slots if s.token not in idle), tuple(m for m in r.moved if m.subject not in forward))
 
 
 def resume(state: State) -> State:
-    """Go on. A dispatcher that had begun its step and is not back goes once more, under a new token: it may have been
-    killed before it said which version it wants, and come back as the one it was."""
+    """Resumes a halted release.
+
+    A dispatcher that had begun its restart and is not back restarts again under a new token. It may have been killed
+    before it stored the version it wants, and come back with the old one.
+    """
     r = state.release
     if r is None or r.status != HALTED:
         raise Refused("no release is halted")
@@ -256,24 +276,25 @@
 
 
 def undo(state: State) -> State:
-    """Go back: the last moved first, within the same budget."""
+    """Undoes the release within the same budget, starting with the subject updated last."""
     r = state.release
     if r is None or r.status not in (RUNNING, HALTED, DONE) or _way(r) == UNDOING:
         raise Refused("there is no release to undo")
     slots, moved = _without_idle(state, r)
-    # one that is just on its way to the new version comes back as that first; `moves` then sends it back
+    # A subject that is being updated returns with the new version first. `next_subjects` then sends it back.
     status = UNDOING if moved else UNDONE
     release = _replace(r, status=status, resumes=UNDOING, moved=moved, why="undone by hand")
     return _next(state, slots=slots, release=release)
 
 
 def _way(release: Release) -> str:
-    """Which way it goes, though it may be halted."""
+    """Returns the direction of a release, even if it is halted."""
     return release.resumes if release.status == HALTED else release.status
 
 
 def moves(state: State) -> list[str]:
-    """Who may be moved next, in order: in undoing one at a time, the last moved first."""
+    """Returns the subjects that may be updated next, in order. An undo handles one at a time, the last updated
+    first."""
     r = state.under_way
     if r is None:
         return []
@@ -284,12 +305,12 @@
 
 
 def move(state: State, subject: str, most: int, by: str, begun: float, before: str) -> State:
-    """Take a slot for the next move of the release; `before`: the version that `subject` has now."""
+    """Takes a slot for the next update of the release. `previous_version` is the version that `subject` runs now."""
     r = state.release
     if r is None or subject not in moves(state):
         raise Refused(f"{subject} is not to be moved now")
     version = r.version if r.status == RUNNING else next(m.before for m in r.moved if m.subject == subject)
-    if r.group != DISPATCHERS:  # booking workers tell no version: one that has started anew is back
+    if r.group != DISPATCHERS:  # booking workers report no version: a restarted one counts as updated
         version = ""
     state = take(
         state, r.group, subject, min(most, r.max_out), by, begun, version, r.id if r.status == RUNNING else -r.id
@@ -300,7 +321,7 @@
 
 
 def step_over(state: State) -> bool:
-    """Whether all of the present step are moved and back."""
+    """Returns whether all subjects of the current step are updated and back."""
     r = state.release
     return (
         r is not None
@@ -311,7 +332,7 @@
 
 
 def advance(state: State, at: int) -> State:
-    """The present step, number `at`, has been healthy for its soak."""
+    """Ends the current step, number `step_index`, after it was healthy for its soak time."""
     r = state.release
     if r is None or r.at != at or not step_over(state):
         raise Refused("this step is not over, or is done already")
--- a/millethead/rollout/store.py
+++ b/millethead/rollout/store.py
@@ -1,4 +1,4 @@
-"""What an acceptor must never forget, in a file that is written whole or not at all."""
+"""Durable storage of an acceptor's state."""
 
 from __future__ import annotations
 
@@ -13,30 +13,31 @@
 from millethead.rollout.register import Kept
 
 MAGIC = b"MHR1"
-PLACE = 16_384  # bytes of one of the two
+PLACE = 16_384  # size of one of the two copies
 _encode, _decoder = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(Kept)
 
 
 def write_lasting(path: Path, data: bytes) -> None:
-    """Write a file whole, its name on disk too; raises OSError."""
+    """Writes a file atomically and syncs its directory entry. Raises OSError."""
     write_whole(path, data)
     folder = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)  # else the new name may be lost with the power
+        os.fsync(folder)  # without this, the new name may be lost in a power failure
     finally:
         os.close(folder)
 
 
 class DamagedStore(ConfigError):
-    """The file is there, and what it held cannot be known."""
+    """Raised if the file exists but its content is unreadable."""
 
 
 class Store:
-    """The file of one voter: two places that are written in turn, each with a mark (and version), a checksum, a number
-    that rises, and the state. A write that is cut short leaves the other place, and was never answered.
+    """The file of one voter: two copies that are written alternately, each with a magic number (which includes the
+    version), a checksum, an increasing number and the state. An interrupted write leaves the other copy intact, and its
+    request was never answered.
 
-    Not taken: a new file put in the old one's place at each write. With the folder synced it takes 70 ms where this
-    takes less than one, four times in a change, and the staff wait a second at most.
+    The file is not replaced by a new one at each write: with the sync of the directory this takes 70 ms, against less
+    than 1 ms here. A change needs four writes, and the operator waits for one second at most.
     """
 
     def __init__(self, folder: Path, name: str) -> None:
@@ -44,8 +45,8 @@
         self._number = 0
 
     def load(self) -> Kept:
-        """Raises ConfigError where the file is there and cannot be used: a voter that forgets what it has promised
-        could break what the fleet agreed on, so that it does not start without."""
+        """Returns the stored state, or creates the file. Raises ConfigError if the file exists and cannot be used: a
+        voter that forgets its promises could break an agreement, so it must not start without them."""
         try:
             raw = self.path.read_bytes()
         except FileNotFoundError:
@@ -71,7 +72,7 @@
         return newest
 
     def _sync(self) -> None:
-        """Make durable what was read: a process that was killed may have left it unsynced."""
+        """Syncs what was read. A killed process may have left it unsynced."""
         file = os.open(self.path, os.O_WRONLY)
         try:
             os.fdatasync(file)
@@ -79,7 +80,7 @@
             os.close(file)
 
     def save(self, kept: Kept) -> None:
-        """Have it on disk when this returns; raises OSError, and then what was there still counts."""
+        """Stores the state durably. Raises OSError, and then the previous state stays in force."""
         place, number = encode_place(self._number + 1, kept), self._number + 1
         file = os.open(self.path, os.O_WRONLY)
         try:
@@ -91,7 +92,7 @@
 
 
 def encode_place(number: int, kept: Kept) -> bytes:
-    """The bytes of a place that holds a state under its number; raises OSError where it has no room."""
+    """Encodes one copy: number and state. Raises OSError if the state is too large."""
     body = number.to_bytes(8, "big") + _encode(kept)
     body = len(body).to_bytes(4, "big") + body
     if len(body) > PLACE - 8:
@@ -100,7 +101,7 @@
 
 
 def decode_place(place: bytes) -> tuple[int, Kept] | None:
-    """Number and state of a place; None where it is torn or bad."""
+    """Decodes a copy into its number and state. Returns None if it is torn or corrupt."""
     body = place[8 : 12 + int.from_bytes(place[8:12], "big")]
     if place[:4] != MAGIC or zlib.crc32(body) != int.from_bytes(place[4:8], "big"):
         return None
