--- a/benchmarks/members/detect.py
+++ b/benchmarks/members/detect.py
@@ -19,22 +19,22 @@
 from millethead.lab.table import keep
 from millethead.lab.world import World
 from millethead.members.messages import Message, State
-from millethead.members.peers import Settings
-from millethead.members.wire import Wire
+from millethead.members.peers import SwimSettings
+from millethead.members.wire import MemberCodec
 
 WARM, QUIET, MOST = 10.0, 60.0, 60.0  # s
-TUNE = Settings(stewards=("d0", "d1", "d2"))
+TUNE = SwimSettings(stewards=("d0", "d1", "d2"))
 
 
 def one(fleet: int, loss: float, seed: int) -> tuple[float, float, int, int, float, float]:
     """(first, all: periods from the kill to the finding; false deaths and suspicions in the quiet time; bytes a member
     and second; the largest sum of shares)"""
-    world, wire = World(fleet, seed, TUNE, Link(loss=loss)), Wire(b"k" * 32, "fleet")
+    world, codec = World(fleet, seed, TUNE, Link(loss=loss)), MemberCodec(b"k" * 32, "fleet")
     sizes = 0
 
     def sent(name: str, message: Message) -> None:
         nonlocal sizes
-        sizes += len(wire.seal(message))
+        sizes += len(codec.encode(message))
 
     world.run(WARM)
     before = sum(m.counts["deaths"] for m in world.members.values())
@@ -54,7 +54,7 @@
         found = [world.view(n, name) == State.DEAD for n in rest]
         first = first or (world.now - at if any(found) else 0.0)
         last = world.now - at if all(found) else 0.0
-    return first / TUNE.period, (last or MOST) / TUNE.period, false, suspected, rate, world.most / 2**30
+    return first / TUNE.period_s, (last or MOST) / TUNE.period_s, false, suspected, rate, world.most / 2**30
 
 
 def main(seeds: int) -> None:
--- a/millethead/lab/cold.py
+++ b/millethead/lab/cold.py
@@ -13,7 +13,7 @@
 from millethead.decide import interface as api
 from millethead.decide.balance import Balancer
 from millethead.lab.world import STEP, World
-from millethead.members.peers import Settings as Tune
+from millethead.members.peers import SwimSettings
 from millethead.members.share import UNITS
 
 WORK = 400.0  # ms that a job runs
@@ -44,7 +44,7 @@
 
     def __init__(self, dispatchers: int, mode: str, seed: int, workers: int = 4, rate: float = 40.0) -> None:
         self.mode, self.rate, self.count = mode, rate, dispatchers
-        self.world = World(dispatchers, seed, Tune(window=6.0, lease=2.0, stewards=("d0", "d1", "d2")))
+        self.world = World(dispatchers, seed, SwimSettings(window_s=6.0, lease_s=2.0, stewards=("d0", "d1", "d2")))
         self.nodes = {name: Balancer(SETTINGS, seed + n) for n, name in enumerate(self.world.members)}
         self.workers, self.jobs = workers, 0
         self.starts: list[tuple[float, int, float]] = []  # (ms, worker, the worker's start)
@@ -86,18 +86,18 @@
         member, names = self.world.members[name], sorted(self.world.members)
         if self.mode == "shares":
             clock = self.world.clock(name)
-            left = member.share.until(clock) - clock
-            here = sorted([name, *member.alive()])
-            fleet = member.share.fleet
+            left = member.share.earliest_expiry(clock) - clock
+            here = sorted([name, *member.peer_names()])
+            fleet = member.share.fleet_size
             settings = replace(
                 SETTINGS,
-                share=member.units(clock) / UNITS,
+                share=member.usable_units(clock) / UNITS,
                 nodes=fleet,
                 node=here.index(name) % fleet,
                 share_until=(self.world.now + left) * 1000,
             )
         elif self.mode == "view":
-            here = sorted([name, *member.alive()])
+            here = sorted([name, *member.peer_names()])
             settings = replace(SETTINGS, nodes=len(here), node=here.index(name))
         else:
             settings = replace(SETTINGS, nodes=len(names), node=names.index(name))
--- a/millethead/lab/world.py
+++ b/millethead/lab/world.py
@@ -7,20 +7,20 @@
 
 from millethead.lab.faults import Faults, Link
 from millethead.members.messages import Message, Record, State
-from millethead.members.peers import Settings
+from millethead.members.peers import SwimSettings
 from millethead.members.share import UNITS
-from millethead.members.swim import Out, Swim
+from millethead.members.swim import Outgoing, Swim
 
 STEP = 0.05  # s: what a datagram takes at least
 RATE = 0.009  # by how much a member's clock runs fast or slow
-TUNE = Settings(window=6.0, lease=2.0, stewards=("d0", "d1", "d2"))
+TUNE = SwimSettings(window_s=6.0, lease_s=2.0, stewards=("d0", "d1", "d2"))
 
 
 class World:
     """Members whose clocks differ in rate, over a network of `Faults`. A paused member gets what was sent to it when it
     goes on; a killed one gets nothing, but what it had counts until it runs out, as it would for a slow reader."""
 
-    def __init__(self, n: int, seed: int = 0, tune: Settings = TUNE, link: Link | None = None) -> None:
+    def __init__(self, n: int, seed: int = 0, tune: SwimSettings = TUNE, link: Link | None = None) -> None:
         self.now, self.seed, self.tune, self.rng = 0.0, seed, tune, random.Random(seed)
         self.faults, self.most = Faults(seed, link), 0
         self.members, self.rates = dict[str, Swim](), dict[str, float]()
@@ -48,7 +48,7 @@
     def leave(self, name: str) -> None:
         self.post(name, self.members[name].leave())
 
-    def post(self, sender: str, out: list[Out]) -> None:
+    def post(self, sender: str, out: list[Outgoing]) -> None:
         for address, message in out:
             if self.sent is not None:
                 self.sent(sender, message)
@@ -67,7 +67,7 @@
                     self.post(name, member.tick(self.clock(name)))
             self.turn()
             everybody = [*self.members.items(), *self.ghosts]
-            total = sum(member.units(self.clock(name)) for name, member in everybody)
+            total = sum(member.usable_units(self.clock(name)) for name, member in everybody)
             self.most = max(self.most, total)
             assert total <= UNITS, (self.seed, self.now, total / UNITS)
 
@@ -82,4 +82,4 @@
         return all(self.view(a, b) == State.ALIVE for a in here for b in here if a != b)
 
     def part(self, name: str) -> float:
-        return self.members[name].units(self.clock(name)) / UNITS
+        return self.members[name].usable_units(self.clock(name)) / UNITS
--- a/millethead/members/calls.py
+++ b/millethead/members/calls.py
@@ -9,7 +9,7 @@
 
 
 def members_call(members: Members) -> Part:
-    async def page(request: Request) -> Reply:
-        return json_reply(200, members.page())
+    async def handle(request: Request) -> Reply:
+        return json_reply(200, members.status())
 
-    return page
+    return handle
--- a/millethead/members/messages.py
+++ b/millethead/members/messages.py
@@ -24,7 +24,7 @@
     start: float = 0.0
     console: str = ""
     serves: str = ""
-    drain: bool = False
+    draining: bool = False
     version: str = ""
     ready: bool = False
 
@@ -35,7 +35,7 @@
     record: Record
     incarnation: int
     state: int
-    by: str = ""  # the suspecting member; independent confirmations are counted by it
+    suspected_by: str = ""  # the suspecting member; independent confirmations are counted by it
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
@@ -49,6 +49,6 @@
     sender: str
     target: str = ""
     start: float = 0.0
-    fleet: int = 1
+    fleet_size: int = 1
     units: int = 0
     updates: tuple[Update, ...] = ()
--- a/millethead/members/offices.py
+++ b/millethead/members/offices.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from millethead.members.share import DRIFT, Share, Steward
+from millethead.members.share import MAX_CLOCK_DRIFT, Share, Steward
 
 
-class Office(msgspec.Struct, frozen=True, array_like=True):
+class StewardAssignment(msgspec.Struct, frozen=True, array_like=True):
     """Assigns one part of every fleet-wide limit to the steward `name`. `token` is a fencing token: 0 for an initial
     assignment from the configuration, otherwise a number that is never used twice."""
 
@@ -22,40 +22,41 @@
     token: int = 0
 
 
-class Offices:
+class StewardRole:
     """This member's role as a steward, if it has one.
 
     A confirmation is a read of the agreed state that shows this member's assignment. The steward may grant leases for
     `confirmation_ttl_s` after the start of the latest confirmation. The value is infinite if assignments never change.
     """
 
-    def __init__(self, me: str, share: Share, window: float, held: float, now: float) -> None:
-        self.me, self.share, self.window, self.held = me, share, window, held
-        self.parts, self._token = len(share.stewards), 0
-        self.steward = self._steward(now) if me in share.stewards else None
+    def __init__(self, own_name: str, share: Share, window_s: float, confirmation_ttl_s: float, now: float) -> None:
+        self.own_name, self.share = own_name, share
+        self.window_s, self.confirmation_ttl_s = window_s, confirmation_ttl_s
+        self.part_count, self._token = len(share.stewards), 0
+        self.steward = self._new_steward(now) if own_name in share.stewards else None
 
-    def _steward(self, now: float) -> Steward:
-        steward = Steward(self.parts, self.share.lease, self.window, now)
-        if self.held < math.inf:
-            steward.closes = -math.inf  # no grants until the assignment is confirmed
+    def _new_steward(self, now: float) -> Steward:
+        steward = Steward(self.part_count, self.share.lease_s, self.window_s, now)
+        if self.confirmation_ttl_s < math.inf:
+            steward.grants_until = -math.inf  # no grants until the assignment is confirmed
         return steward
 
-    def learn(self, now: float, offices: Sequence[Office]) -> None:
+    def apply(self, now: float, assignments: Sequence[StewardAssignment]) -> None:
         """Applies the agreed assignments, given in the order of the parts."""
-        self.share.stewards = tuple(office.name for office in offices)
-        self.share.grants = self.share.fresh(now)
-        mine = next((office for office in offices if office.name == self.me), None)
-        if mine is None:
+        self.share.stewards = tuple(assignment.name for assignment in assignments)
+        self.share.grants = self.share.valid_grants(now)
+        own = next((assignment for assignment in assignments if assignment.name == self.own_name), None)
+        if own is None:
             self.steward = None
-        elif self.steward is None or mine.token != self._token:
-            self._token, self.steward = mine.token, self._steward(now)
+        elif self.steward is None or own.token != self._token:
+            self._token, self.steward = own.token, self._new_steward(now)
             # The previous steward may still grant leases until its confirmation expires, and these leases run out after
             # that.
-            if mine.token:
-                self.steward.opens += self.held * (1 + DRIFT)
+            if own.token:
+                self.steward.grants_from += self.confirmation_ttl_s * (1 + MAX_CLOCK_DRIFT)
 
-    def confirm(self, asked: float, offices: Sequence[Office]) -> None:
+    def confirm(self, asked_at: float, assignments: Sequence[StewardAssignment]) -> None:
         """Extends the right to grant after a read that started at `asked_at` returned `assignments`, which were applied
         before this call."""
-        if self.steward is not None and Office(self.me, self._token) in offices:
-            self.steward.closes = max(self.steward.closes, asked + self.held)
+        if self.steward is not None and StewardAssignment(self.own_name, self._token) in assignments:
+            self.steward.grants_until = max(self.steward.grants_until, asked_at + self.confirmation_ttl_s)
--- a/millethead/members/peers.py
+++ b/millethead/members/peers.py
@@ -9,26 +9,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
+class SwimSettings:
     """Settings of SWIM with Lifeguard, and of the share leases."""
 
-    period: float = 0.5
-    timeout: float = 0.2
-    helpers: int = 3
-    health_most: int = 8
-    alpha: float = 4.0  # minimum suspicion timeout: suspicion_alpha * log10(n) probe periods
-    beta: float = 6.0  # maximum suspicion timeout, without confirmations: suspicion_beta times the minimum
-    confirmations: int = 3
-    retransmit: int = 4  # each update is sent retransmit_factor * log10(n + 1) times
-    riders: int = 6  # also the number of updates in one part of a full state
-    queue: int = 256
-    most: int = 512
-    window: float = 10.0
-    lease: float = 3.0
-    sync_every: int = 20  # a full state exchange every so many probe periods
-    seek_every: int = 4  # and one with a dead member, which may have been behind a network partition that has healed
+    period_s: float = 0.5
+    probe_timeout_s: float = 0.2
+    indirect_probes: int = 3
+    max_health_score: int = 8
+    suspicion_alpha: float = 4.0  # minimum suspicion timeout: suspicion_alpha * log10(n) probe periods
+    suspicion_beta: float = 6.0  # maximum suspicion timeout, without confirmations: suspicion_beta times the minimum
+    max_confirmations: int = 3
+    retransmit_factor: int = 4  # each update is sent retransmit_factor * log10(n + 1) times
+    max_updates_per_message: int = 6  # also the number of updates in one part of a full state
+    max_queued_updates: int = 256
+    max_members: int = 512
+    window_s: float = 10.0
+    lease_s: float = 3.0
+    sync_interval_periods: int = 20  # a full state exchange every so many probe periods
+    dead_sync_interval_periods: int = (
+        4  # and one with a dead member, which may have been behind a network partition that has healed
+    )
     stewards: tuple[str, ...] = ()
-    office: float = math.inf  # a steward grants leases for this long after its assignment was confirmed
+    steward_confirmation_s: float = math.inf  # a steward grants leases for this long after its assignment was confirmed
 
 
 @dataclass(slots=True)
@@ -36,12 +38,12 @@
     record: Record
     incarnation: int = 0
     state: State = State.ALIVE
-    since: float = 0.0
-    heard: float = 0.0  # time of the latest message from it, or of an update that revived it
+    state_since: float = 0.0
+    last_heard: float = 0.0  # time of the latest message from it, or of an update that revived it
     suspectors: set[str] = field(default_factory=set)
 
     @property
-    def there(self) -> bool:
+    def is_member(self) -> bool:
         """True if the peer counts as a member: it is alive, or suspect and not yet declared dead."""
         return self.state in (State.ALIVE, State.SUSPECT)
 
@@ -49,8 +51,8 @@
 @dataclass(slots=True)
 class Probe:
     target: str
-    sent: float
-    asked: int = 0  # members that were asked to probe the target; each has to answer with an ack or a nack
-    nacks: int = 0
+    sent_at: float
+    helpers_asked: int = 0  # members that were asked to probe the target; each has to answer with an ack or a nack
+    nacks_received: int = 0
     indirect: bool = False
-    relay_for: tuple[str, int] | None = None  # (requester, its seq) if this is a probe on behalf of another member
+    relayed_for: tuple[str, int] | None = None  # (requester, its seq) if this is a probe on behalf of another member
--- a/millethead/members/setup.py
+++ b/millethead/members/setup.py
@@ -10,7 +10,7 @@
 from millethead.config import ConfigError
 from millethead.tables import Local, Table, read_table
 
-LEAST_KEY = 16  # bytes
+MIN_KEY_BYTES = 16
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[\x21-\x7e]+$")]
 
 
@@ -45,8 +45,10 @@
         except OSError:
             what = f"a file with the fleet's key is wanted, not {self.key_file!r}"
             raise ConfigError(f"members.key_file: {what}") from None
-        if len(key) < LEAST_KEY:
-            raise ConfigError(f"members.key_file: a key of at least {LEAST_KEY} bytes is wanted in {self.key_file!r}")
+        if len(key) < MIN_KEY_BYTES:
+            raise ConfigError(
+                f"members.key_file: a key of at least {MIN_KEY_BYTES} bytes is wanted in {self.key_file!r}"
+            )
         return key
 
 
--- a/millethead/members/share.py
+++ b/millethead/members/share.py
@@ -12,38 +12,39 @@
 from dataclasses import dataclass, field
 
 UNITS = 1 << 30
-DRIFT = 0.02  # a steward counts leases longer by this fraction, because the clocks of two machines differ in rate
-GRANTS = 8  # further grants are merged with the oldest one, at the larger size and the later expiry
-HOLDERS = 1024
+# a steward counts leases longer by this fraction, because the clocks of two machines differ in rate
+MAX_CLOCK_DRIFT = 0.02
+MAX_GRANTS_PER_HOLDER = 8  # further grants are merged with the oldest one, at the larger size and the later expiry
+MAX_HOLDERS = 1024
 
 Holder = tuple[str, float]  # member name and start time of its process: a restarted member is another holder
 
 
-class Largest:
+class WindowMaximum:
     """Maximum of the counts of the last `window_s` seconds, in bounded memory."""
 
-    __slots__ = ("_seen", "window")
+    __slots__ = ("_maxima", "window_s")
 
-    def __init__(self, window: float) -> None:
-        self.window, self._seen = window, deque[tuple[float, int]]()
+    def __init__(self, window_s: float) -> None:
+        self.window_s, self._maxima = window_s, deque[tuple[float, int]]()
 
-    def put(self, now: float, count: int) -> None:
-        while self._seen and self._seen[-1][1] <= count:
-            self._seen.pop()
-        self._seen.append((now, count))
+    def add(self, now: float, count: int) -> None:
+        while self._maxima and self._maxima[-1][1] <= count:
+            self._maxima.pop()
+        self._maxima.append((now, count))
 
-    def get(self, now: float) -> int:
-        while len(self._seen) > 1 and self._seen[0][0] < now - self.window:
-            self._seen.popleft()
-        return self._seen[0][1] if self._seen else 1
+    def value(self, now: float) -> int:
+        while len(self._maxima) > 1 and self._maxima[0][0] < now - self.window_s:
+            self._maxima.popleft()
+        return self._maxima[0][1] if self._maxima else 1
 
 
 @dataclass(slots=True)
-class _Given:
+class _HolderGrants:
     grants: deque[tuple[float, int]] = field(default_factory=deque)  # (expiry, units)
-    seq: int = -1  # sequence number of the last request that was answered, or of the release that ended the loans
+    seq: int = -1  # sequence number of the last request that was answered, or of the release that ended the grants
 
-    def most(self, now: float) -> int:
+    def max_units(self, now: float) -> int:
         while self.grants and self.grants[0][0] <= now:
             self.grants.popleft()
         return max((units for _, units in self.grants), default=0)
@@ -54,53 +55,56 @@
     seconds each. The grants that have not expired never add up to more than the part, whatever the steward assumes
     about the size of the fleet."""
 
-    def __init__(self, stewards: int, lease: float, window: float, now: float) -> None:
-        if stewards < 1 or lease <= 0:
-            raise ValueError("at least one steward, and a lease of more than 0 s, are wanted")
-        self.part, self.lease = UNITS // stewards, lease * (1 + DRIFT)
-        self.fleet = Largest(window)
+    def __init__(self, steward_count: int, lease_s: float, window_s: float, now: float) -> None:
+        if steward_count < 1 or lease_s <= 0:
+            raise ValueError("there must be at least one steward and a lease longer than 0 s")
+        self.part_units, self.lease_s = UNITS // steward_count, lease_s * (1 + MAX_CLOCK_DRIFT)
+        self.fleet_sizes = WindowMaximum(window_s)
         # Grants of an earlier process of this steward must have expired before the first new grant.
-        self.opens, self.closes = now + self.lease, math.inf
-        self._given: dict[Holder, _Given] = {}
+        self.grants_from, self.grants_until = now + self.lease_s, math.inf
+        self._grants_by_holder: dict[Holder, _HolderGrants] = {}
 
-    def ask(self, now: float, holder: Holder, seq: int, fleet: int) -> int | None:
+    def request(self, now: float, holder: Holder, seq: int, fleet_size: int) -> int | None:
         """Returns the units that `holder`, which counts `fleet_size` members, may use for one lease from the moment of
         its request. Returns None if the request stays unanswered: it is older than one already answered, there are too
         many holders, or the steward grants nothing at present."""
-        if not self.opens <= now < self.closes:
+        if not self.grants_from <= now < self.grants_until:
             return None
-        self.fleet.put(now, fleet)
-        given = self._given.get(holder)
-        if given is None:
-            if len(self._given) >= HOLDERS:
-                self._tidy(now)
-            if len(self._given) >= HOLDERS:
+        self.fleet_sizes.add(now, fleet_size)
+        holder_grants = self._grants_by_holder.get(holder)
+        if holder_grants is None:
+            if len(self._grants_by_holder) >= MAX_HOLDERS:
+                self._remove_expired_holders(now)
+            if len(self._grants_by_holder) >= MAX_HOLDERS:
                 return None
-            given = self._given[holder] = _Given()
-        if seq <= given.seq:
+            holder_grants = self._grants_by_holder[holder] = _HolderGrants()
+        if seq <= holder_grants.seq:
             return None  # duplicated or delayed by the network, or released since
-        given.seq = seq
-        others = self.lent(now) - given.most(now)
-        units = max(0, min(self.part // max(1, self.fleet.get(now)), self.part - others))
-        if len(given.grants) >= GRANTS:
-            until, largest = given.grants.popleft()
-            given.grants[0] = max(until, given.grants[0][0]), max(largest, given.grants[0][1])
-        given.grants.append((now + self.lease, units))
+        holder_grants.seq = seq
+        others = self.outstanding_units(now) - holder_grants.max_units(now)
+        units = max(0, min(self.part_units // max(1, self.fleet_sizes.value(now)), self.part_units - others))
+        if len(holder_grants.grants) >= MAX_GRANTS_PER_HOLDER:
+            expires_at, largest = holder_grants.grants.popleft()
+            holder_grants.grants[0] = (
+                max(expires_at, holder_grants.grants[0][0]),
+                max(largest, holder_grants.grants[0][1]),
+            )
+        holder_grants.grants.append((now + self.lease_s, units))
         return units
 
     def release(self, now: float, holder: Holder, seq: int) -> None:
         """Ends all grants of `holder` up to request `seq`."""
-        given = self._given.get(holder)
-        if given is not None and seq > given.seq:
-            given.grants.clear()
-            given.seq = seq
+        holder_grants = self._grants_by_holder.get(holder)
+        if holder_grants is not None and seq > holder_grants.seq:
+            holder_grants.grants.clear()
+            holder_grants.seq = seq
 
-    def lent(self, now: float) -> int:
-        return sum(given.most(now) for given in self._given.values())
+    def outstanding_units(self, now: float) -> int:
+        return sum(holder_grants.max_units(now) for holder_grants in self._grants_by_holder.values())
 
-    def _tidy(self, now: float) -> None:
-        for holder in [h for h, g in self._given.items() if not g.most(now)]:
-            del self._given[holder]
+    def _remove_expired_holders(self, now: float) -> None:
+        for holder in [name for name, grants in self._grants_by_holder.items() if not grants.max_units(now)]:
+            del self._grants_by_holder[holder]
 
 
 @dataclass(slots=True, frozen=True)
@@ -109,9 +113,9 @@
     assumes."""
 
     seq: int
-    until: float
+    expires_at: float
     units: int
-    fleet: int
+    fleet_size: int
 
 
 class Share:
@@ -122,47 +126,47 @@
     with a minority of the stewards keeps its value.
     """
 
-    def __init__(self, stewards: Iterable[str], lease: float, window: float) -> None:
-        self.stewards, self.lease = tuple(stewards), lease
-        self.fleet, self._own = 1, Largest(window)
+    def __init__(self, stewards: Iterable[str], lease_s: float, window_s: float) -> None:
+        self.stewards, self.lease_s = tuple(stewards), lease_s
+        self.fleet_size, self._own_counts = 1, WindowMaximum(window_s)
         self.grants: dict[str, Grant] = {}
-        self._asked: dict[int, tuple[str, float]] = {}
+        self._requests: dict[int, tuple[str, float]] = {}
 
-    def asking(self, now: float, seq: int, steward: str) -> None:
+    def record_request(self, now: float, seq: int, steward: str) -> None:
         """Records that request `seq` is sent to `steward` now. The lease counts from here, not from the answer."""
-        self._asked[seq] = (steward, now)
-        while len(self._asked) > 8 * len(self.stewards):
-            del self._asked[next(iter(self._asked))]
+        self._requests[seq] = (steward, now)
+        while len(self._requests) > 8 * len(self.stewards):
+            del self._requests[next(iter(self._requests))]
 
-    def granted(self, now: float, seq: int, steward: str, units: int, fleet: int) -> None:
-        asked = self._asked.pop(seq, None)
-        if asked is None or asked[0] != steward:
+    def record_grant(self, now: float, seq: int, steward: str, units: int, fleet_size: int) -> None:
+        request = self._requests.pop(seq, None)
+        if request is None or request[0] != steward:
             return
-        held = self.grants.get(steward)
-        if held is None or held.seq < seq:  # a late answer must not replace a newer grant
-            self.grants[steward] = Grant(seq, asked[1] + self.lease, units, fleet)
+        current = self.grants.get(steward)
+        if current is None or current.seq < seq:  # a late answer must not replace a newer grant
+            self.grants[steward] = Grant(seq, request[1] + self.lease_s, units, fleet_size)
 
-    def observe(self, now: float, count: int) -> None:
+    def observe_count(self, now: float, count: int) -> None:
         """Updates the fleet size, given that this member counts `count` members including itself."""
-        self._own.put(now, count)
-        fresh = self.fresh(now)
-        known = max([self._own.get(now), *(g.fleet for g in fresh.values())])
-        if known > self.fleet or 2 * sum(name in fresh for name in self.stewards) > len(self.stewards):
-            self.fleet = known
+        self._own_counts.add(now, count)
+        valid = self.valid_grants(now)
+        largest = max([self._own_counts.value(now), *(grant.fleet_size for grant in valid.values())])
+        if largest > self.fleet_size or 2 * sum(name in valid for name in self.stewards) > len(self.stewards):
+            self.fleet_size = largest
 
-    def fresh(self, now: float) -> dict[str, Grant]:
+    def valid_grants(self, now: float) -> dict[str, Grant]:
         """Returns the grants that have not expired, by steward."""
-        return {name: grant for name, grant in self.grants.items() if now < grant.until}
+        return {name: grant for name, grant in self.grants.items() if now < grant.expires_at}
 
-    def units(self, now: float) -> int:
+    def usable_units(self, now: float) -> int:
         """Returns the units that this member may use now, out of `UNITS`."""
-        return min(sum(g.units for g in self.fresh(now).values()), UNITS // self.fleet)
+        return min(sum(grant.units for grant in self.valid_grants(now).values()), UNITS // self.fleet_size)
 
-    def until(self, now: float) -> float:
+    def earliest_expiry(self, now: float) -> float:
         """Returns the earliest expiry of the valid grants; infinite without grants."""
-        return min((g.until for g in self.fresh(now).values()), default=math.inf)
+        return min((grant.expires_at for grant in self.valid_grants(now).values()), default=math.inf)
 
-    def drop(self) -> None:
+    def drop_grants(self) -> None:
         """Drops all grants. Answers to earlier requests have no effect."""
         self.grants.clear()
-        self._asked.clear()
+        self._requests.clear()
--- a/millethead/members/shell.py
+++ b/millethead/members/shell.py
@@ -18,16 +18,16 @@
 from millethead.console.figures import More
 from millethead.logs import Sparing
 from millethead.members.messages import Record, State
-from millethead.members.offices import Office
-from millethead.members.peers import Settings
+from millethead.members.offices import StewardAssignment
+from millethead.members.peers import SwimSettings
 from millethead.members.setup import MembersSetup
 from millethead.members.share import UNITS
-from millethead.members.swim import Out, Swim
-from millethead.members.wire import CAUSES, Dropped, Wire
+from millethead.members.swim import Outgoing, Swim
+from millethead.members.wire import DROP_CAUSES, DatagramDropped, MemberCodec
 
 log = structlog.get_logger("members")
 sparing_log = Sparing(2)
-TICK = 0.05  # longest interval between two ticks
+MAX_TICK_INTERVAL_S = 0.05  # longest interval between two ticks
 
 
 class Members(asyncio.DatagramProtocol):
@@ -48,37 +48,38 @@
         console: str,
         seed: int,
         on_share: Callable[[float, float, int, int], None],
-        takes: Callable[[], str] = str,
-        office: float = math.inf,
+        not_ready_reason: Callable[[], str] = str,
+        steward_confirmation_s: float = math.inf,
     ) -> None:
         if len(name) > 64:
             raise ConfigError(f"members: a name of at most 64 characters is wanted, not {name!r}")
-        self.wire, self.dropped = Wire(setup.key(), setup.fleet), Counter[str](dict.fromkeys(CAUSES, 0))
+        self.codec, self.dropped = MemberCodec(setup.key(), setup.fleet), Counter[str](dict.fromkeys(DROP_CAUSES, 0))
         host, port = setup.advertise or setup.listen
         self.me = Record(
             name, f"{host}:{port}", time.time(), console, setup.serves, version=setup.version or __version__
         )
         self.swim = Swim(
             self.me,
-            Settings(
-                period=setup.period / 1000,
-                timeout=setup.timeout / 1000,
-                window=setup.window / 1000,
-                lease=setup.lease / 1000,
+            SwimSettings(
+                period_s=setup.period / 1000,
+                probe_timeout_s=setup.timeout / 1000,
+                window_s=setup.window / 1000,
+                lease_s=setup.lease / 1000,
                 stewards=tuple(setup.stewards),
-                office=office,
+                steward_confirmation_s=steward_confirmation_s,
             ),
             time.monotonic(),
             seed,
         )
-        self.setup, self.on_share, self._known = setup, on_share, dict[str, tuple[int, int]]()
+        self.setup, self.on_share, self._reported_states = setup, on_share, dict[str, tuple[int, int]]()
         self.bytes_sent = 0
-        self._takes, self._drains = takes, False
+        self._not_ready_reason, self._draining = not_ready_reason, False
         # (prefix, handler of the datagrams with this prefix)
-        self.others: tuple[bytes, Callable[[bytes], None]] | None = None
-        self._tick, self._knock, self._said = min(TICK, setup.period / 4000), 0.0, (-1, -1)
-        self._warned = False
-        self._held: tuple[tuple[str, float], ...] = ()
+        self.prefix_handler: tuple[bytes, Callable[[bytes], None]] | None = None
+        self._tick_interval_s = min(MAX_TICK_INTERVAL_S, setup.period / 4000)
+        self._next_seed_contact_at, self._reported_share = 0.0, (-1, -1)
+        self._name_conflict_logged = False
+        self._reported_expiries: tuple[tuple[str, float], ...] = ()
         self._transport: asyncio.DatagramTransport | None = None
         self._task: asyncio.Task[None] | None = None
 
@@ -87,7 +88,7 @@
         binding is retried until that process has ended. Raises ConfigError."""
         if not replaces and not await self._bind():
             raise ConfigError(f"cannot listen on {self.setup.listen[0]}:{self.setup.listen[1]} (members): in use")
-        self._task = asyncio.get_running_loop().create_task(self._beat())
+        self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _bind(self) -> bool:
         loop = asyncio.get_running_loop()
@@ -102,7 +103,7 @@
 
     def leave(self) -> None:
         out = self.swim.leave()
-        self._report()  # the share is dropped before other members are informed
+        self._report_changes()  # the share is dropped before other members are informed
         self._send(out)
         if self._task is not None:
             self._task.cancel()
@@ -111,57 +112,58 @@
 
     def drain(self) -> None:
         """Announces that this member accepts no new work from now on."""
-        self._drains = True
-        self.swim.say(drain=True, ready=False)
+        self._draining = True
+        self.swim.set_status(draining=True, ready=False)
 
-    def offices(self, offices: Sequence[Office]) -> None:
+    def apply_assignments(self, assignments: Sequence[StewardAssignment]) -> None:
         """Applies the agreed assignment of the stewards."""
-        if offices:
-            self.swim.offices.learn(time.monotonic(), offices)
+        if assignments:
+            self.swim.steward_role.apply(time.monotonic(), assignments)
 
     # ---- datagrams -----------------------------------------------------------------------------------
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         try:
-            if self.others is not None and data[:2] == self.others[0][:2]:
-                self.others[1](data)
+            if self.prefix_handler is not None and data[:2] == self.prefix_handler[0][:2]:
+                self.prefix_handler[1](data)
                 return
-            message = self.wire.open(data)
-        except Dropped as cause:
+            message = self.codec.decode(data)
+        except DatagramDropped as cause:
             self.dropped[str(cause)] += 1
             sparing_log.warning("member_message_dropped", cause=str(cause), peer=f"{addr[0]}:{addr[1]}")
             return
         self._send(self.swim.receive(time.monotonic(), message))
-        self._report()
+        self._report_changes()
 
-    async def _beat(self) -> None:
+    async def _run(self) -> None:
         while self._transport is None and not await self._bind():
             await asyncio.sleep(0.1)
         log.info("members_join", address=self.me.address, start=self.me.start, stewards=",".join(self.setup.stewards))
         while True:
             now = time.monotonic()
-            self.swim.say(self._drains, not self._drains and not self._takes())
+            self.swim.set_status(self._draining, not self._draining and not self._not_ready_reason())
             self._send(self.swim.tick(now))
-            if not self.swim.alive() and now >= self._knock:  # no peer is known: contact the seeds until one answers
-                self._knock = now + self.setup.period / 1000
+            # no peer is known: contact the seeds until one answers
+            if not self.swim.peer_names() and now >= self._next_seed_contact_at:
+                self._next_seed_contact_at = now + self.setup.period / 1000
                 for host, port in self.setup.seeds:
-                    self._send(self.swim.hello(f"{host}:{port}"))
-            self._report()
-            await asyncio.sleep(self._tick)
+                    self._send(self.swim.join_request(f"{host}:{port}"))
+            self._report_changes()
+            await asyncio.sleep(self._tick_interval_s)
 
-    def _send(self, out: list[Out]) -> None:
+    def _send(self, out: list[Outgoing]) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         for address, message in out:
             try:
-                data = self.wire.seal(message)
-            except Dropped:  # too large for one datagram: send halves; only the last one may request an answer
+                data = self.codec.encode(message)
+            except DatagramDropped:  # too large for one datagram: send halves; only the last one may request an answer
                 half = len(message.updates) // 2
                 if half:
                     self._send(
                         [
-                            (address, self.wire.part(message, message.updates[:half], False)),
-                            (address, self.wire.part(message, message.updates[half:], True)),
+                            (address, self.codec.with_updates(message, message.updates[:half], False)),
+                            (address, self.codec.with_updates(message, message.updates[half:], True)),
                         ]
                     )
                 continue
@@ -179,47 +181,49 @@
 
     # ---- status and metrics ------------------------------------------------------------------------------
 
-    def _report(self) -> None:
+    def _report_changes(self) -> None:
         now, swim = time.monotonic(), self.swim
         for name, peer in swim.peers.items():
-            said = (int(peer.state), peer.incarnation)
-            if self._known.get(name) != said:
-                self._known[name] = said
+            reported = (int(peer.state), peer.incarnation)
+            if self._reported_states.get(name) != reported:
+                self._reported_states[name] = reported
                 log.info(
                     "member",
                     member=name,
                     state=State(peer.state).name.lower(),
                     incarnation=peer.incarnation,
-                    drains=peer.record.drain,
+                    drains=peer.record.draining,
                     mono=now,
                 )
-        for name in [n for n in self._known if n not in swim.peers]:
-            del self._known[name]
-        if swim.name_taken and not self._warned:
-            self._warned = True
+        for name in [n for n in self._reported_states if n not in swim.peers]:
+            del self._reported_states[name]
+        if swim.name_taken and not self._name_conflict_logged:
+            self._name_conflict_logged = True
             log.error("member_name_taken", member=self.me.name)
         if not self.setup.stewards:
             return
-        units, fleet = swim.units(now), swim.share.fleet
-        fresh = swim.share.fresh(now)
-        held = tuple((name, g.until) for name, g in fresh.items())
-        if held == self._held and (units, fleet) == self._said:
+        units, fleet_size = swim.usable_units(now), swim.share.fleet_size
+        grants_by_steward = swim.share.valid_grants(now)
+        expiries = tuple((name, grant.expires_at) for name, grant in grants_by_steward.items())
+        if expiries == self._reported_expiries and (units, fleet_size) == self._reported_share:
             return
-        self._held = held
-        grants = ",".join(f"{name}:{g.units}:{g.until:.4f}" for name, g in fresh.items())
-        names = swim.there()
-        self.on_share(units / UNITS, swim.share.until(now), fleet, names.index(self.me.name) % fleet)
-        if (units, fleet) != self._said:
-            self._said = units, fleet
-            log.info("fleet_share", units=units, fleet=fleet, grants=grants, mono=now)
+        self._reported_expiries = expiries
+        grants = ",".join(f"{name}:{grant.units}:{grant.expires_at:.4f}" for name, grant in grants_by_steward.items())
+        names = swim.member_names()
+        self.on_share(
+            units / UNITS, swim.share.earliest_expiry(now), fleet_size, names.index(self.me.name) % fleet_size
+        )
+        if (units, fleet_size) != self._reported_share:
+            self._reported_share = units, fleet_size
+            log.info("fleet_share", units=units, fleet=fleet_size, grants=grants, mono=now)
         else:  # same share with a later expiry
-            log.debug("fleet_share", units=units, fleet=fleet, grants=grants, mono=now)
+            log.debug("fleet_share", units=units, fleet=fleet_size, grants=grants, mono=now)
 
-    def page(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Returns the body of `GET /members`."""
         now, swim = time.monotonic(), self.swim
 
-        def line(record: Record, state: State, incarnation: int, ago: float) -> dict[str, Any]:
+        def member_entry(record: Record, state: State, incarnation: int, heard_s_ago: float) -> dict[str, Any]:
             return {
                 "name": record.name,
                 "state": state.name.lower(),
@@ -228,23 +232,26 @@
                 "console": record.console,
                 "serves": record.serves,
                 "version": record.version,
-                "drains": record.drain,
+                "drains": record.draining,
                 "ready": record.ready,
                 "start": record.start,
-                "heard_s_ago": round(ago, 3),
+                "heard_s_ago": round(heard_s_ago, 3),
             }
 
         state = State.ALIVE
         return {
             "member": self.me.name,
             "fleet": self.setup.fleet,
-            "reckons_with": swim.share.fleet,
-            "share": round(swim.units(now) / UNITS, 6),
+            "reckons_with": swim.share.fleet_size,
+            "share": round(swim.usable_units(now) / UNITS, 6),
             "stewards": list(swim.share.stewards),
-            "health": swim.health,
+            "health": swim.health_score,
             "members": [
-                line(swim.me, state, swim.incarnation, 0.0),
-                *(line(p.record, State(p.state), p.incarnation, now - p.heard) for _, p in sorted(swim.peers.items())),
+                member_entry(swim.me, state, swim.incarnation, 0.0),
+                *(
+                    member_entry(p.record, State(p.state), p.incarnation, now - p.last_heard)
+                    for _, p in sorted(swim.peers.items())
+                ),
             ],
         }
 
@@ -277,6 +284,6 @@
                 "fleet_share",
                 "gauge",
                 "Part of fleet-wide limits that this dispatcher may use now.",
-                [("", "", swim.units(now) / UNITS)],
+                [("", "", swim.usable_units(now) / UNITS)],
             ),
         ]
--- a/millethead/members/wire.py
+++ b/millethead/members/wire.py
@@ -10,66 +10,69 @@
 import msgspec
 
 from millethead.members.messages import Message, Update
-from millethead.members.setup import LEAST_KEY
+from millethead.members.setup import MIN_KEY_BYTES
 
-VERSION = b"MH1"
-MOST = 1400  # below the usual path MTU, so that datagrams are not fragmented
-_DIGEST = 32
+PREFIX = b"MH1"
+MAX_DATAGRAM_BYTES = 1400  # below the usual path MTU, so that datagrams are not fragmented
+_DIGEST_BYTES = 32
 _encoder = msgspec.msgpack.Encoder()
 T = TypeVar("T")
 
 
-CAUSES = ("torn", "large", "version", "key")
+DROP_CAUSES = ("torn", "large", "version", "key")
 
 
-class Dropped(Exception):
+class DatagramDropped(Exception):
     """Raised for a datagram that is not used. The text is the cause: torn, large, version or key."""
 
 
-class Seal(Generic[T]):
+class DatagramCodec(Generic[T]):
     """Authenticates, encodes and decodes the datagrams of one fleet and message type. `prefix` is two letters and the
     version; `max_bytes` is the largest datagram."""
 
-    def __init__(self, key: bytes, fleet: str, kind: type[T], mark: bytes, most: int) -> None:
-        if len(key) < LEAST_KEY:
-            raise ValueError(f"a fleet key of at least {LEAST_KEY} bytes is wanted")
-        self._key, self._fleet, self.mark, self.most = key, mark + fleet.encode(), mark, most
-        self._decoder = msgspec.msgpack.Decoder(kind)
+    def __init__(self, key: bytes, fleet: str, message_type: type[T], prefix: bytes, max_bytes: int) -> None:
+        if len(key) < MIN_KEY_BYTES:
+            raise ValueError(f"a fleet key of at least {MIN_KEY_BYTES} bytes is wanted")
+        self._key, self._authenticated_prefix = key, prefix + fleet.encode()
+        self.prefix, self.max_bytes = prefix, max_bytes
+        self._decoder = msgspec.msgpack.Decoder(message_type)
 
-    def seal(self, message: T) -> bytes:
+    def encode(self, message: T) -> bytes:
         """Returns the encoded datagram. Raises DatagramDropped('large') if it exceeds the limit; the caller then sends
         fewer updates per datagram."""
         body = _encoder.encode(message)
-        data = self.mark + hmac.new(self._key, self._fleet + body, hashlib.sha256).digest() + body
-        if len(data) > self.most:
-            raise Dropped("large")
+        data = self.prefix + hmac.new(self._key, self._authenticated_prefix + body, hashlib.sha256).digest() + body
+        if len(data) > self.max_bytes:
+            raise DatagramDropped("large")
         return data
 
-    def open(self, data: bytes) -> T:
+    def decode(self, data: bytes) -> T:
         """Returns the decoded message. Raises DatagramDropped with the cause."""
-        if len(data) > self.most:
-            raise Dropped("large")
-        if len(data) < len(self.mark) + _DIGEST or data[:2] != self.mark[:2]:
-            raise Dropped("torn")
-        if data[: len(self.mark)] != self.mark:
-            raise Dropped("version")
-        mac, body = data[len(self.mark) : len(self.mark) + _DIGEST], data[len(self.mark) + _DIGEST :]
-        if not hmac.compare_digest(mac, hmac.new(self._key, self._fleet + body, hashlib.sha256).digest()):
-            raise Dropped("key")
+        if len(data) > self.max_bytes:
+            raise DatagramDropped("large")
+        if len(data) < len(self.prefix) + _DIGEST_BYTES or data[:2] != self.prefix[:2]:
+            raise DatagramDropped("torn")
+        if data[: len(self.prefix)] != self.prefix:
+            raise DatagramDropped("version")
+        mac, body = data[len(self.prefix) : len(self.prefix) + _DIGEST_BYTES], data[len(self.prefix) + _DIGEST_BYTES :]
+        if not hmac.compare_digest(
+            mac, hmac.new(self._key, self._authenticated_prefix + body, hashlib.sha256).digest()
+        ):
+            raise DatagramDropped("key")
         try:
             return self._decoder.decode(body)
         except (msgspec.DecodeError, msgspec.ValidationError):
-            raise Dropped("torn") from None
+            raise DatagramDropped("torn") from None
 
 
-class Wire(Seal[Message]):
+class MemberCodec(DatagramCodec[Message]):
     """Codec of the membership datagrams."""
 
     def __init__(self, key: bytes, fleet: str) -> None:
-        super().__init__(key, fleet, Message, VERSION, MOST)
+        super().__init__(key, fleet, Message, PREFIX, MAX_DATAGRAM_BYTES)
 
     @staticmethod
-    def part(message: Message, updates: tuple[Update, ...], last: bool) -> Message:
+    def with_updates(message: Message, updates: tuple[Update, ...], last: bool) -> Message:
         """Returns the message with some of its updates. Only the last part of a full state may request an answer. The
         other parts are sent as plain sync messages."""
         if last:
--- a/millethead/rollout/calls.py
+++ b/millethead/rollout/calls.py
@@ -205,7 +205,7 @@
     def _dispatchers(self) -> dict[str, float]:
         """Returns the live dispatchers with the start time of each process."""
         views = self.rollout.views()
-        return {name: views[name].start for name in self.rollout.members.swim.there()}
+        return {name: views[name].start for name in self.rollout.members.swim.member_names()}
 
 
 def _no(status: int, why: str) -> Reply:
--- a/millethead/rollout/shell.py
+++ b/millethead/rollout/shell.py
@@ -18,9 +18,9 @@
 import structlog
 
 from millethead.config import ConfigError
-from millethead.members.offices import Office
+from millethead.members.offices import StewardAssignment
 from millethead.members.shell import Members
-from millethead.members.wire import Seal
+from millethead.members.wire import DatagramCodec
 from millethead.rollout import state as agreed
 from millethead.rollout.agreement import TRY, Agreement, NoMajority
 from millethead.rollout.driver import Change, Driver, View
@@ -72,14 +72,14 @@
         self._agreement = Agreement(self.me, process, tuple(setup.voters), store, self)
         self._heard_of = self._agreement.accepted_voters
         self.driver = Driver(self.me, setup.lease / 1000)
-        self._seal = Seal(members.setup.key(), members.setup.fleet, Note, MARK, MOST)
+        self._codec = DatagramCodec(members.setup.key(), members.setup.fleet, Note, MARK, MOST)
         self._random = random.Random(f"{self.me}{members.me.start}")
         self._tasks: set[asyncio.Task[Any]] = set()
         self._judging = Judging(self.me, self._tables, classes)
         self._going = False
         self._not_stored = 0  # token of the slot whose version file could not be written
         self._pushed = self._asked = self._confirms = 0.0
-        members.others = (MARK, self._datagram)
+        members.prefix_handler = (MARK, self._datagram)
 
     def start(self) -> None:
         self.spawn(self._beat())
@@ -117,7 +117,7 @@
         return msgspec.structs.replace(
             state,
             voters=state.voters or tuple(self.setup.voters),
-            offices=state.offices or tuple(Office(name) for name in self.members.setup.stewards),
+            offices=state.offices or tuple(StewardAssignment(name) for name in self.members.setup.stewards),
         )
 
     @property
@@ -131,11 +131,11 @@
         """Sends a message to a dispatcher, if membership knows its address."""
         peer = self.members.swim.peers.get(name)
         if peer is not None:
-            self.members.send_raw(peer.record.address, self._seal.seal(note))
+            self.members.send_raw(peer.record.address, self._codec.encode(note))
 
     def _datagram(self, data: bytes) -> None:
         """Handles a received datagram. Raises DatagramDropped, which membership counts."""
-        note = self._seal.open(data)
+        note = self._codec.decode(data)
         if note.kind == "ask" and note.word is not None:
             self.spawn(self._agreement.vote(note.sender, note.seq, note.word))
         elif note.kind == "answer" and note.word is not None:
@@ -162,7 +162,7 @@
     def _push(self) -> None:
         self._pushed = time.monotonic()
         note = Note("state", 0, self.me, value=agreed.write(self.state))
-        for name in self.members.swim.alive():
+        for name in self.members.swim.peer_names():
             self.tell(name, note)
 
     def _learn(self, state: State) -> None:
@@ -171,7 +171,7 @@
         if self.learned and state.rev <= self.state.rev:
             return
         old, self.state, self.learned = self.state, state, True
-        self.members.offices(state.offices)
+        self.members.apply_assignments(state.offices)
         release = state.release
         log.info(
             "rollout_agreed",
@@ -206,7 +206,7 @@
         await self._go()
         if now >= self._confirms and self.me in self.members.swim.share.stewards:
             await self.change(lambda state: state)
-            self.members.swim.offices.confirm(now, self.state.offices)
+            self.members.swim.steward_role.confirm(now, self.state.offices)
             self._confirms = now + self.setup.office / 4000
         if not self._drives():
             return
@@ -217,9 +217,9 @@
         release = self.state.under_way
         if release is not None and release.status == agreed.RUNNING and now - self._asked > ASK_HEALTH:
             self._asked = now
-            for name in self.members.swim.alive():
+            for name in self.members.swim.peer_names():
                 self.tell(name, Note("health", 0, self.me))
-        changes = self.driver.offices(now, self.state, self.members.swim.there())
+        changes = self.driver.offices(now, self.state, self.members.swim.member_names())
         if self.state.slots or release is not None:
             self._probe_out()
             changes += self.driver.tick(now, self.state, self.views(), self.most, self._unhealthy)
@@ -239,7 +239,7 @@
 
     def voters_there(self) -> list[str]:
         """Returns the voters that are live as far as this dispatcher sees."""
-        there = self.members.swim.there()
+        there = self.members.swim.member_names()
         return [v for v in self.voters if v in there]
 
     async def _go(self) -> None:
@@ -280,16 +280,16 @@
         """Returns this dispatcher's views of all dispatchers and booking workers, by name."""
         me = self.members.swim.me
         views = {name: view for name, (_, view) in self.host.workers().items()}
-        views[self.me] = View(True, me.ready and not me.drain, me.start, me.version)
+        views[self.me] = View(True, me.ready and not me.draining, me.start, me.version)
         for name, peer in self.members.swim.peers.items():
-            r, there = peer.record, peer.there
-            views[name] = View(there, there and r.ready and not r.drain, r.start, r.version)
+            r, there = peer.record, peer.is_member
+            views[name] = View(there, there and r.ready and not r.draining, r.start, r.version)
         return views
 
     def most(self, group: str) -> int:
         """Returns how many members of a group may be out."""
         if group == DISPATCHERS:
-            return most_out(self.setup.dispatchers, self.members.swim.counted())
+            return most_out(self.setup.dispatchers, self.members.swim.member_count())
         kind = group.removeprefix(WORKERS)
         size = sum(k == kind for k, _ in self.host.workers().values())
         return most_out(self.setup.pools.get(kind, 0), size)
--- a/millethead/rollout/state.py
+++ b/millethead/rollout/state.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from millethead.members.offices import Office
+from millethead.members.offices import StewardAssignment
 from millethead.rollout.register import Refused
 
 SCHEMA = 2  # version 1 had no voters and no stewards
@@ -86,7 +86,7 @@
     slots: tuple[Slot, ...] = ()
     release: Release | None = None
     voters: tuple[str, ...] = ()
-    offices: tuple[Office, ...] = ()
+    offices: tuple[StewardAssignment, ...] = ()
 
     @property
     def under_way(self) -> Release | None:
@@ -226,7 +226,7 @@
     return _next(
         state,
         tokens=token,
-        offices=tuple(Office(new, token) if office.name == old else office for office in state.offices),
+        offices=tuple(StewardAssignment(new, token) if office.name == old else office for office in state.offices),
     )
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -15,10 +15,18 @@
 from millethead.lab.faults import Link
 from millethead.lab.world import TUNE, World
 from millethead.members.messages import Message, Record, State, Update
-from millethead.members.offices import Office
-from millethead.members.peers import Settings
-from millethead.members.share import DRIFT, GRANTS, HOLDERS, UNITS, Largest, Share, Steward
-from millethead.members.wire import Dropped, Wire
+from millethead.members.offices import StewardAssignment
+from millethead.members.peers import SwimSettings
+from millethead.members.share import (
+    MAX_CLOCK_DRIFT,
+    MAX_GRANTS_PER_HOLDER,
+    MAX_HOLDERS,
+    UNITS,
+    Share,
+    Steward,
+    WindowMaximum,
+)
+from millethead.members.wire import DatagramDropped, MemberCodec
 from millethead.operators import load_operator
 
 EXAMPLES = int(os.environ.get("MEMBERS_EXAMPLES", "40"))
@@ -67,7 +75,9 @@
         self.assertEqual(world.part("d3"), 0)
         world.run(0.2)
         self.assertEqual({world.view(n, "d3") for n in ("d0", "d1", "d2")}, {State.LEFT})
-        self.assertTrue(all(not m.steward.lent(world.now) > UNITS // 3 for m in world.members.values() if m.steward))
+        self.assertTrue(
+            all(not m.steward.outstanding_units(world.now) > UNITS // 3 for m in world.members.values() if m.steward)
+        )
 
     def test_views_agree_soon_after_a_long_cut_heals(self):
         world = World(6)
@@ -117,7 +127,7 @@
         self.assertEqual(suspects.peers["d3"].state, State.ALIVE)
 
     def test_names_are_bounded_and_the_gone_make_room(self):
-        world = World(1, tune=Settings(most=8))
+        world = World(1, tune=SwimSettings(max_members=8))
         member = world.members["d0"]
         for n in range(30):
             record = Record(f"x{n}", f"x{n}", start=1.0)
@@ -179,8 +189,8 @@
         world.run(5)
         world.killed.add("d0")
         world.join("d0", "d1")
-        world.run(TUNE.lease * 0.9)
-        self.assertEqual(world.members["d0"].steward.lent(world.clock("d0")), 0)
+        world.run(TUNE.lease_s * 0.9)
+        self.assertEqual(world.members["d0"].steward.outstanding_units(world.clock("d0")), 0)
 
     @settings(max_examples=EXAMPLES, deadline=None)
     @given(
@@ -210,13 +220,13 @@
     """Offices change hands: `agreed` is whose they are, and members look at it, late, or not at all while `mute`."""
 
     def __init__(self, n, seed=0, link=None):
-        super().__init__(n, seed, replace(TUNE, office=3.0), link)
-        self.agreed, self.token, self.mute = tuple(Office(name) for name in TUNE.stewards), 0, set()
+        super().__init__(n, seed, replace(TUNE, steward_confirmation_s=3.0), link)
+        self.agreed, self.token, self.mute = tuple(StewardAssignment(name) for name in TUNE.stewards), 0, set()
         self.looks, self.known = [], {}
 
     def give(self, old, new):
         self.token += 1
-        self.agreed = tuple(Office(new, self.token) if o.name == old else o for o in self.agreed)
+        self.agreed = tuple(StewardAssignment(new, self.token) if o.name == old else o for o in self.agreed)
 
     def turn(self):
         for name, member in self.members.items():
@@ -231,13 +241,13 @@
                 self.looks.remove(look)
                 if seen[0] >= self.known.get(id(member), 0):
                     self.known[id(member)] = seen[0]
-                    member.offices.learn(self.clock(name), seen[1])
-                    member.offices.confirm(asked, seen[1])
+                    member.steward_role.apply(self.clock(name), seen[1])
+                    member.steward_role.confirm(asked, seen[1])
         # what is lent, though a member may use less of it
         lent = sum(
             g.units
             for name, member in (*self.members.items(), *self.ghosts)
-            for g in member.share.fresh(self.clock(name)).values()
+            for g in member.share.valid_grants(self.clock(name)).values()
         )
         assert lent <= UNITS, (self.seed, self.now, lent / UNITS)
 
@@ -250,8 +260,8 @@
         world.faults.split({"d0", "d4"}, {"d1", "d2", "d3"})
         world.mute |= {"d0", "d4"}
         world.give("d0", "d3")
-        world.run(3.0 + TUNE.lease)
-        self.assertEqual(world.members["d3"].steward.lent(world.clock("d3")), 0)
+        world.run(3.0 + TUNE.lease_s)
+        self.assertEqual(world.members["d3"].steward.outstanding_units(world.clock("d3")), 0)
         self.assertEqual(world.part("d4"), 0.0)  # the one that is cut off has lent nothing since its office ran out
         world.run(12)
         self.assertGreater(sum(world.part(n) for n in ("d1", "d2", "d3")), 0.99)
@@ -267,13 +277,13 @@
         world.mute = {"d0"}
         world.give("d0", "d3")
         world.run(12)
-        self.assertGreater(world.members["d3"].steward.lent(world.clock("d3")), 0)
+        self.assertGreater(world.members["d3"].steward.outstanding_units(world.clock("d3")), 0)
         world.mute = {"d3", "d4"}
         world.give("d3", "d0")
         world.run(3.0)
-        self.assertEqual(world.members["d0"].steward.lent(world.clock("d0")), 0)
+        self.assertEqual(world.members["d0"].steward.outstanding_units(world.clock("d0")), 0)
         world.run(5.0)
-        self.assertGreater(world.members["d0"].steward.lent(world.clock("d0")), 0)
+        self.assertGreater(world.members["d0"].steward.outstanding_units(world.clock("d0")), 0)
 
     @settings(max_examples=EXAMPLES, deadline=None)
     @given(
@@ -320,7 +330,7 @@
     @rule(who=st.sampled_from("abcd"), fleet=st.integers(1, 6))
     def ask(self, who, fleet):
         self.seq += 1
-        self.holders[who, 1.0].asking(self.now, self.seq, "s")
+        self.holders[who, 1.0].record_request(self.now, self.seq, "s")
         self.post.append(("ask", (who, 1.0), self.seq, fleet))
 
     @rule(pick=st.integers(0, 1000))
@@ -329,18 +339,18 @@
             return
         kind, holder, seq, value = self.post[pick % len(self.post)]
         if kind == "ask":
-            units = self.steward.ask(self.now, holder, seq, value)
+            units = self.steward.request(self.now, holder, seq, value)
             if units is not None:
                 self.post.append(("grant", holder, seq, units))
         elif kind == "release":
             self.steward.release(self.now, holder, seq)
         else:
-            self.holders[holder].granted(self.now, seq, "s", value, 1)
+            self.holders[holder].record_grant(self.now, seq, "s", value, 1)
 
     @rule(who=st.sampled_from("abcd"))
     def leave(self, who):
         self.seq += 1
-        self.holders[who, 1.0].drop()
+        self.holders[who, 1.0].drop_grants()
         self.post.append(("release", (who, 1.0), self.seq, 0))
 
     @rule(seconds=st.floats(0.01, 3.0))
@@ -349,8 +359,8 @@
 
     @invariant()
     def bound(self):
-        used = sum(h.units(self.now) for h in self.holders.values())
-        assert used <= self.steward.lent(self.now) <= UNITS, used / UNITS
+        used = sum(h.usable_units(self.now) for h in self.holders.values())
+        assert used <= self.steward.outstanding_units(self.now) <= UNITS, used / UNITS
 
 
 Book.TestCase.settings = settings(max_examples=EXAMPLES, stateful_step_count=60, deadline=None)
@@ -379,37 +389,39 @@
 
 class Parts(unittest.TestCase):
     def test_the_largest_count_of_a_window(self):
-        largest = Largest(5.0)
+        largest = WindowMaximum(5.0)
         for now, count in ((0, 3), (1, 7), (2, 4), (3, 5)):
-            largest.put(now, count)
-        self.assertEqual([largest.get(t) for t in (3, 6, 7, 20)], [7, 7, 5, 5])
+            largest.add(now, count)
+        self.assertEqual([largest.value(t) for t in (3, 6, 7, 20)], [7, 7, 5, 5])
 
     def test_a_stewards_memory_is_bounded(self):
         steward = Steward(1, 1.0, 5.0, -10.0)
-        for n in range(HOLDERS + 50):
-            steward.ask(0.0, (f"h{n}", 0.0), 1, 2 * HOLDERS)
-        self.assertLessEqual(len(steward._given), HOLDERS)
-        self.assertIsNone(steward.ask(0.0, ("late", 0.0), 1, 1))
-        self.assertIsNotNone(steward.ask(2.0 * (1 + DRIFT), ("late", 0.0), 1, 1))  # what has run out makes room
-        for n in range(3 * GRANTS):
-            steward.ask(3.0, ("late", 0.0), 2 + n, 1)
-        self.assertLessEqual(len(steward._given["late", 0.0].grants), GRANTS)
+        for n in range(MAX_HOLDERS + 50):
+            steward.request(0.0, (f"h{n}", 0.0), 1, 2 * MAX_HOLDERS)
+        self.assertLessEqual(len(steward._grants_by_holder), MAX_HOLDERS)
+        self.assertIsNone(steward.request(0.0, ("late", 0.0), 1, 1))
+        self.assertIsNotNone(
+            steward.request(2.0 * (1 + MAX_CLOCK_DRIFT), ("late", 0.0), 1, 1)
+        )  # what has run out makes room
+        for n in range(3 * MAX_GRANTS_PER_HOLDER):
+            steward.request(3.0, ("late", 0.0), 2 + n, 1)
+        self.assertLessEqual(len(steward._grants_by_holder["late", 0.0].grants), MAX_GRANTS_PER_HOLDER)
 
     def test_datagrams_torn_large_foreign_or_of_another_version_are_dropped(self):
-        wire, other = Wire(b"k" * 16, "fleet"), Wire(b"k" * 16, "other")
-        data = wire.seal(Message("ping", 1, "d0"))
-        self.assertEqual(wire.open(data).sender, "d0")
+        codec, other = MemberCodec(b"k" * 16, "fleet"), MemberCodec(b"k" * 16, "other")
+        data = codec.encode(Message("ping", 1, "d0"))
+        self.assertEqual(codec.decode(data).sender, "d0")
         for bad, cause in (
             (data[:20], "torn"),
             (b"xx" + data[2:], "torn"),
             (b"MH9" + data[3:], "version"),
             (data + b"x" * 2000, "large"),
             (data[:-1], "key"),
-            (other.seal(Message("ping", 1, "d0")), "key"),
-            (Wire(b"q" * 16, "fleet").seal(Message("ping", 1, "d0")), "key"),
+            (other.encode(Message("ping", 1, "d0")), "key"),
+            (MemberCodec(b"q" * 16, "fleet").encode(Message("ping", 1, "d0")), "key"),
         ):
-            with self.subTest(cause=cause), self.assertRaisesRegex(Dropped, cause):
-                wire.open(bad)
+            with self.subTest(cause=cause), self.assertRaisesRegex(DatagramDropped, cause):
+                codec.decode(bad)
 
 
 class Setup(unittest.TestCase):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from millethead.config import ConfigError
-from millethead.members.offices import Office
+from millethead.members.offices import StewardAssignment
 from millethead.members.setup import MembersSetup
 from millethead.members.shell import Members
 from millethead.operators import load_operator
@@ -554,10 +554,11 @@
             rollout = self.rollout(folder)
             rollout._learn(State())
             self.assertEqual(
-                (rollout.state.voters, rollout.state.offices), (("d0", "d1", "d2"), (Office("d0"), Office("d1")))
+                (rollout.state.voters, rollout.state.offices),
+                (("d0", "d1", "d2"), (StewardAssignment("d0"), StewardAssignment("d1"))),
             )
-            rollout.members.swim.offices.confirm(5.0, rollout.state.offices)
-            self.assertEqual(rollout.members.swim.steward.closes, 65.0)
+            rollout.members.swim.steward_role.confirm(5.0, rollout.state.offices)
+            self.assertEqual(rollout.members.swim.steward.grants_until, 65.0)
 
     def test_a_step_that_was_begun_without_word_of_it_is_gone_on_with(self):
         """The begin was agreed on, but its proposer found no majority in time, or a ballot later it was refused as
@@ -598,7 +599,7 @@
             "",
             1,
             print,
-            office=60.0,
+            steward_confirmation_s=60.0,
         )
         return Rollout(RolloutSetup(folder=folder, voters=["d0", "d1", "d2"]), members, mock.Mock(), [], [])
 
@@ -606,7 +607,7 @@
         self.assertEqual(agreed.read(b"\x95\x01\x07\x02\x90\xc0"), State(rev=7, tokens=2))
 
     def test_the_part_of_a_steward_that_is_gone_for_a_lease_goes_to_one_that_is_there(self):
-        driver, state = Driver("d1", 10.0), State(offices=tuple(Office(f"d{n}") for n in range(3)))
+        driver, state = Driver("d1", 10.0), State(offices=tuple(StewardAssignment(f"d{n}") for n in range(3)))
         there = {"d1", "d2", "d4", "d5"}
         self.assertEqual(driver.offices(0.0, state, there), [])
         self.assertEqual(driver.offices(9.0, state, there), [])
@@ -616,7 +617,7 @@
         ((what, change),) = driver.offices(31.0, state, there)
         self.assertEqual(what, "the part of d0 goes to d4")
         state = change(state)
-        self.assertEqual(state.offices, (Office("d4", 1), Office("d1"), Office("d2")))
+        self.assertEqual(state.offices, (StewardAssignment("d4", 1), StewardAssignment("d1"), StewardAssignment("d2")))
         for old, new, why in (("d0", "d5", "d0 is no steward"), ("d1", "d4", "d4 is a steward already")):
             with self.assertRaisesRegex(Refused, why):
                 agreed.replace_steward(state, old, new)
