--- a/millethead/lab/core_durability.py
+++ b/millethead/lab/core_durability.py
@@ -10,7 +10,7 @@
 from millethead.programs.core_disk import ACCEPTOR_NAME
 from millethead.replication.agreement import decode_view
 from millethead.replication.view import View
-from millethead.rollout.store import PLACE
+from millethead.rollout.store import STATE_COPY_BYTES
 from millethead.storage import identity as identities
 from millethead.storage.identity import COPY_AT, IDENTITY_NAME
 from millethead.storage.log import LOG_NAME, CorruptLog, LogFile
@@ -66,7 +66,7 @@
     found: list[tuple[Path, int]] = []
     for name, distance, starts in (
         (IDENTITY_NAME, COPY_AT, (0,)),
-        (ACCEPTOR_NAME, SLOTS * PLACE, tuple(slot * PLACE for slot in range(SLOTS))),
+        (ACCEPTOR_NAME, SLOTS * STATE_COPY_BYTES, tuple(slot * STATE_COPY_BYTES for slot in range(SLOTS))),
     ):
         data = lasting_bytes(disk, FOLDER / name) or b""
         for start in starts if data else ():
--- a/millethead/lab/core_machine.py
+++ b/millethead/lab/core_machine.py
@@ -26,7 +26,7 @@
 from millethead.replication.proposal import ViewProposal
 from millethead.replication.replica import START_OF_EPOCH, Replica, ReplicaSettings
 from millethead.replication.view import ChainMember, Member, View
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.rpc.codec import Record
 from millethead.rpc.loop_budget import IterationBudget
 from millethead.storage.log import Entry, Recovered, Snapshot
@@ -214,7 +214,7 @@
     def _make_replica(self) -> Replica:
         storage = self.storage
         recovered = storage.recovered if storage is not None else Recovered(None, ())
-        kept = storage.kept if storage is not None else Kept()
+        kept = storage.kept if storage is not None else AcceptorState()
         member = Member(self.address, storage.identity.disk_id if storage is not None else 0)
         bootstrapping = storage is not None and storage.identity.bootstrapping
         self.state = ControlState()
@@ -341,7 +341,7 @@
         assert self.storage is not None
         self.storage.install(snapshot, durable)
 
-    def _save(self, kept: Kept, done: Callable[[], None]) -> None:
+    def _save(self, kept: AcceptorState, done: Callable[[], None]) -> None:
         if self.storage is not None:
             self.storage.save(kept, done)
 
--- a/millethead/lab/core_storage.py
+++ b/millethead/lab/core_storage.py
@@ -14,7 +14,7 @@
 
 from millethead.lab.disk import Operation, SimulatedDisk, _SimulatedFile, _Write
 from millethead.programs.core_disk import ACCEPTOR_NAME
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.storage import identity as identities
 from millethead.storage.files import Files
 from millethead.storage.identity import IDENTITY_NAME, DiskIdentity
@@ -116,7 +116,7 @@
         self._log = LogFile(FOLDER, self._disk, generation=lambda: self._random.getrandbits(64))
         self.recovered: Recovered = self._log.recover()
         self._acceptor = RegisterFile(self._disk, FOLDER / ACCEPTOR_NAME)
-        self.kept: Kept = self._acceptor.load()
+        self.kept: AcceptorState = self._acceptor.load()
         self._write_anew()
 
     def _write_anew(self) -> None:
@@ -185,7 +185,7 @@
         self.writer.run(job, done)
         self._wake()
 
-    def save(self, kept: Kept, done: Callable[[], None]) -> None:
+    def save(self, kept: AcceptorState, done: Callable[[], None]) -> None:
         self._register_writer.save(kept, done)
         self._wake()
 
--- a/millethead/members/calls.py
+++ b/millethead/members/calls.py
@@ -9,6 +9,8 @@
 
 
 def members_call(members: Members) -> Part:
+    """Returns the handler of `GET /members`."""
+
     async def handle(request: Request) -> Reply:
         return json_reply(200, members.status())
 
--- a/millethead/members/messages.py
+++ b/millethead/members/messages.py
@@ -8,6 +8,8 @@
 
 
 class State(IntEnum):
+    """State of a member."""
+
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
--- a/millethead/members/peers.py
+++ b/millethead/members/peers.py
@@ -35,6 +35,8 @@
 
 @dataclass(slots=True)
 class Peer:
+    """Another member and its state, as this member knows it."""
+
     record: Record
     incarnation: int = 0
     state: State = State.ALIVE
@@ -50,6 +52,8 @@
 
 @dataclass(slots=True)
 class Probe:
+    """A ping that waits for its ack. Times are seconds."""
+
     target: str
     sent_at: float
     helpers_asked: int = 0  # members that were asked to probe the target; each has to answer with an ack or a nack
--- a/millethead/members/share.py
+++ b/millethead/members/share.py
@@ -29,11 +29,13 @@
         self.window_s, self._maxima = window_s, deque[tuple[float, int]]()
 
     def add(self, now: float, count: int) -> None:
+        """Adds a count."""
         while self._maxima and self._maxima[-1][1] <= count:
             self._maxima.pop()
         self._maxima.append((now, count))
 
     def value(self, now: float) -> int:
+        """Returns the maximum, or 1 without any count."""
         while len(self._maxima) > 1 and self._maxima[0][0] < now - self.window_s:
             self._maxima.popleft()
         return self._maxima[0][1] if self._maxima else 1
@@ -100,6 +102,7 @@
             holder_grants.seq = seq
 
     def outstanding_units(self, now: float) -> int:
+        """Returns the sum of the units granted and not expired."""
         return sum(holder_grants.max_units(now) for holder_grants in self._grants_by_holder.values())
 
     def _remove_expired_holders(self, now: float) -> None:
@@ -139,6 +142,7 @@
             del self._requests[next(iter(self._requests))]
 
     def record_grant(self, now: float, seq: int, steward: str, units: int, fleet_size: int) -> None:
+        """Stores the grant that answers request `seq`. Answers to unknown requests are ignored."""
         request = self._requests.pop(seq, None)
         if request is None or request[0] != steward:
             return
--- a/millethead/members/shell.py
+++ b/millethead/members/shell.py
@@ -102,6 +102,7 @@
         return True
 
     def leave(self) -> None:
+        """Gives up the share, announces the leave and closes the socket."""
         out = self.swim.leave()
         self._report_changes()  # the share is dropped before other members are informed
         self._send(out)
--- a/millethead/members/swim.py
+++ b/millethead/members/swim.py
@@ -49,6 +49,7 @@
 
     # --- queries
     def peer_names(self) -> list[str]:
+        """Returns the sorted names of all alive or suspect members, without this one."""
         return sorted(name for name, peer in self.peers.items() if peer.is_member)
 
     def member_names(self) -> list[str]:
@@ -68,6 +69,7 @@
 
     # --- time
     def tick(self, now: float) -> list[Outgoing]:
+        """Handles all time limits that have passed. Called every few hundredths of a second."""
         if self._has_left:
             return []
         out: list[Outgoing] = []
@@ -171,10 +173,12 @@
 
     @property
     def steward(self) -> Steward | None:
+        """The steward of this member, if it is one."""
         return self.steward_role.steward
 
     # --- messages
     def receive(self, now: float, message: Message) -> list[Outgoing]:
+        """Handles a message. A message from an unknown sender is ignored, apart from its updates."""
         if self._has_left:
             return []
         self._now, previous_incarnation = now, self.incarnation
--- a/millethead/programs/control.py
+++ b/millethead/programs/control.py
@@ -30,7 +30,7 @@
 from millethead.replication.proposal import ViewProposal
 from millethead.replication.replica import Replica, ReplicaSettings
 from millethead.replication.view import Member, View
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.rpc.codec import CodecError, Record, decode_any, encode_any
 from millethead.rpc.connection import Connection, InputBudget
 from millethead.rpc.loop_budget import IterationBudget
@@ -85,7 +85,7 @@
         settings, disk = self._settings, self._disk
         tolerated = settings.tolerate.machines
         recovered = disk.recovered if disk is not None else Recovered(None, ())
-        kept = disk.kept if disk is not None else Kept()
+        kept = disk.kept if disk is not None else AcceptorState()
         member = Member(self._address, disk.identity.disk_id if disk is not None else 0)
         bootstrapping = disk is not None and disk.identity.bootstrapping
         return Replica(
@@ -246,7 +246,7 @@
     def soon(self, call: Callable[[], None]) -> None:
         self._clock.soon(call)
 
-    def _save(self, kept: Kept, done: Callable[[], None]) -> None:
+    def _save(self, kept: AcceptorState, done: Callable[[], None]) -> None:
         if self._disk is not None:
             self._disk.save(kept, done)
 
--- a/millethead/programs/core_disk.py
+++ b/millethead/programs/core_disk.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.storage.files import OS_FILES
 from millethead.storage.identity import (
     DiskIdentity,
@@ -90,7 +90,7 @@
         self._log = LogFile(self._folder)
         self.recovered: Recovered = self._log.recover()
         self._register = RegisterFile(OS_FILES, self._folder / ACCEPTOR_NAME)
-        self.kept: Kept = self._register.load()
+        self.kept: AcceptorState = self._register.load()
         self._write_anew()
 
     def _write_anew(self) -> None:
@@ -141,7 +141,7 @@
         """Put a new file with just the snapshot in the log's place."""
         self.writer.rewrite(snapshot, ())
 
-    def save(self, kept: Kept, done: Callable[[], None]) -> None:
+    def save(self, kept: AcceptorState, done: Callable[[], None]) -> None:
         assert self._register_writer is not None
         self._register_writer.save(kept, done)
 
--- a/millethead/programs/offline.py
+++ b/millethead/programs/offline.py
@@ -17,7 +17,7 @@
 from millethead.replication.agreement import decode_view
 from millethead.replication.log import ReplicatedLog
 from millethead.replication.view import NO_VIEW, View
-from millethead.rollout.register import Refused
+from millethead.rollout.register import ChangeRefused
 from millethead.rpc.codec import CodecError
 from millethead.storage.files import OS_FILES, drop_cached
 from millethead.storage.identity import IDENTITY_NAME, DiskIdentity, load_identity
@@ -116,7 +116,7 @@
         return NO_VIEW  # its first start was cut short
     try:
         return decode_view(register.read().value)
-    except (OSError, Refused) as error:
+    except (OSError, ChangeRefused) as error:
         raise CorruptLog(str(error)) from None
 
 
--- a/millethead/programs/restoring.py
+++ b/millethead/programs/restoring.py
@@ -16,7 +16,7 @@
 from millethead.programs.core_disk import ACCEPTOR_NAME
 from millethead.programs.offline import LogReport
 from millethead.replication.view import ChainMember, Member, View
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.rpc.codec import encode
 from millethead.storage.files import OS_FILES
 from millethead.storage.identity import DISK_ID_BITS, load_identity
@@ -55,7 +55,7 @@
     register = RegisterFile(OS_FILES, folder / ACCEPTOR_NAME)
     register.load()  # makes the file
     ballot = (view.epoch, member.name)
-    register.save(Kept(ballot, ballot, encode(view)))
+    register.save(AcceptorState(ballot, ballot, encode(view)))
     register.save_copy()
     return Restored(member, view, snapshot)
 
--- a/millethead/replication/agreement.py
+++ b/millethead/replication/agreement.py
@@ -15,7 +15,7 @@
 from millethead.replication.joint import JointRound, Quorums
 from millethead.replication.messages import PaxosKind, PaxosMessage
 from millethead.replication.view import NO_VIEW, Member, View, ViewWithoutOutgoing
-from millethead.rollout.register import Acceptor, Ballot, Kept, Refused, Word
+from millethead.rollout.register import Acceptor, AcceptorState, Ballot, ChangeRefused, RegisterMessage
 from millethead.rpc.codec import CodecError, decode, encode
 
 REPEAT_S = 0.12  # an unanswered question is put again after this time
@@ -46,7 +46,7 @@
     try:
         found = decode(ViewWithoutOutgoing, value)
     except CodecError as error:
-        raise Refused(f"the register holds no view: {error}") from None
+        raise ChangeRefused(f"the register holds no view: {error}") from None
     return View(found.epoch, found.voters, found.chain)
 
 
@@ -77,7 +77,7 @@
 
     def change(old: bytes) -> bytes:
         if decode_view(old).epoch != expected:
-            raise Refused("another view is in place")
+            raise ChangeRefused("another view is in place")
         return encode(wanted)
 
     def quorums(value: bytes) -> Quorums:
@@ -95,7 +95,7 @@
 
     def send(self, address: str, message: PaxosMessage) -> None: ...
 
-    def save(self, kept: Kept, done: Callable[[], None]) -> None: ...
+    def save(self, kept: AcceptorState, done: Callable[[], None]) -> None: ...
 
 
 @dataclass(slots=True)
@@ -113,7 +113,7 @@
         me: Member,
         incarnation: int,
         ports: AgreementPorts,
-        kept: Kept,
+        kept: AcceptorState,
         random: Random,
         adopted: Callable[[View], None],
     ) -> None:
@@ -131,7 +131,7 @@
 
     def hint(self) -> View:
         """The newest view that this member's acceptor has accepted; it may not be agreed."""
-        return decode_view(self._acceptor.kept.value)
+        return decode_view(self._acceptor.state.value)
 
     def propose(self, now: float, expected: int, wanted: View, known: KnownView) -> bool:
         """Try to put `wanted` in the place of the view of epoch `expected`; does nothing, and returns false, while a
@@ -171,8 +171,8 @@
             self._count(now, message)
 
     def _vote(self, sender: str, message: PaxosMessage) -> None:
-        word = Word(_WORDS[message.kind], (message.number, message.owner), (0, ""), message.value)
-        answer, changed = self._acceptor.take(word)
+        word = RegisterMessage(_WORDS[message.kind], (message.number, message.owner), (0, ""), message.value)
+        answer, changed = self._acceptor.handle(word)
         reply = PaxosMessage(
             _KINDS[answer.kind],
             self._me.name,
@@ -191,13 +191,13 @@
             self._saving -= 1
             self._ports.send(sender, reply)
 
-        self._ports.save(self._acceptor.kept, saved)
+        self._ports.save(self._acceptor.state, saved)
 
     def _count(self, now: float, message: PaxosMessage) -> None:
         attempt = self._attempt
         if attempt is None:
             return
-        word = Word(
+        word = RegisterMessage(
             _WORDS[message.kind],
             (message.number, message.owner),
             (message.accepted_number, message.accepted_owner),
--- a/millethead/replication/joint.py
+++ b/millethead/replication/joint.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable
 
-from millethead.rollout.register import ZERO, Ballot, Refused, Word
+from millethead.rollout.register import ZERO_BALLOT, Ballot, ChangeRefused, RegisterMessage
 
 Quorums = tuple[frozenset[str], ...]  # names of voters, a majority of each group is needed
 
@@ -22,8 +22,8 @@
 
 class JointRound:
     """One try of a proposer, under one ballot. `known`: the groups of the newest value that the proposer knows of.
-    `change` makes the new value of the old one, once, when enough have promised; it may raise Refused, and then the
-    old value is confirmed, so that the refusal rests on what is agreed. `quorums` tells of which groups a majority
+    `change` makes the new value of the old one, once, when enough have promised; it may raise ChangeRefused, and then
+    the old value is confirmed, so that the refusal rests on what is agreed. `quorums` tells of which groups a majority
     each is needed to follow a value, `voters` which its own voters are."""
 
     __slots__ = (
@@ -53,10 +53,10 @@
         self._old_quorums = known
         self.value: bytes | None = None
         self.old = b""
-        self.refused: Refused | None = None
+        self.refused: ChangeRefused | None = None
         self.lost: Ballot | None = None  # a higher ballot that an acceptor had promised
         self._promised, self._accepted = frozenset[str](), frozenset[str]()
-        self._found: Ballot = ZERO
+        self._found: Ballot = ZERO_BALLOT
 
     @property
     def needed(self) -> Quorums:
@@ -75,11 +75,15 @@
         """Whether the value is the register's."""
         return self.value is not None and has_majorities(self._accepted, self.needed)
 
-    def ask(self) -> Word:
+    def ask(self) -> RegisterMessage:
         """What to send to everybody who is asked, as often as need be."""
-        return Word("prepare", self.ballot) if self.value is None else Word("accept", self.ballot, ZERO, self.value)
+        return (
+            RegisterMessage("prepare", self.ballot)
+            if self.value is None
+            else RegisterMessage("accept", self.ballot, ZERO_BALLOT, self.value)
+        )
 
-    def take(self, voter: str, word: Word) -> bool:
+    def take(self, voter: str, word: RegisterMessage) -> bool:
         """A voter's answer; returns whether there is something new to ask, or somebody else."""
         if word.ballot != self.ballot or self.lost is not None:
             return False
@@ -91,7 +95,7 @@
             self._accepted |= {voter}
         return False
 
-    def _take_promise(self, voter: str, word: Word) -> bool:
+    def _take_promise(self, voter: str, word: RegisterMessage) -> bool:
         before = self._old_quorums
         if word.accepted > self._found:
             self._found, self.old = word.accepted, word.value
@@ -101,6 +105,6 @@
             return self._old_quorums != before
         try:
             self.value = self._change(self.old)
-        except Refused as why:
+        except ChangeRefused as why:
             self.value, self.refused = self.old, why
         return True
--- a/millethead/replication/replica.py
+++ b/millethead/replication/replica.py
@@ -40,7 +40,7 @@
 )
 from millethead.replication.proposal import ViewCause, ViewProposal
 from millethead.replication.view import NO_VIEW, ChainMember, Member, View
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.rpc.codec import Record
 
 FIRST_PLAN_S = 0.03  # from the start of a process until it may ask for the view
@@ -91,13 +91,13 @@
 
 
 class _Register(AgreementPorts):
-    def __init__(self, replica: Replica, save: Callable[[Kept, Callable[[], None]], None]) -> None:
+    def __init__(self, replica: Replica, save: Callable[[AcceptorState, Callable[[], None]], None]) -> None:
         self._replica, self._save = replica, save
 
     def send(self, address: str, message: PaxosMessage) -> None:
         self._replica.send_datagram(address, message)
 
-    def save(self, kept: Kept, done: Callable[[], None]) -> None:
+    def save(self, kept: AcceptorState, done: Callable[[], None]) -> None:
         self._save(kept, done)
 
 
@@ -111,9 +111,9 @@
         settings: ReplicaSettings,
         ports: ReplicaPorts,
         chain_ports: ChainPorts,
-        save: Callable[[Kept, Callable[[], None]], None],
+        save: Callable[[AcceptorState, Callable[[], None]], None],
         log: ReplicatedLog,
-        kept: Kept,
+        kept: AcceptorState,
         seeds: tuple[str, ...],
         bootstrapping: bool,
         now: float,
--- a/millethead/rollout/agreement.py
+++ b/millethead/rollout/agreement.py
@@ -15,16 +15,17 @@
 
 import structlog
 
-from millethead.rollout import state as agreed
+from millethead.rollout import state as fleet_state
 from millethead.rollout.driver import Change
-from millethead.rollout.notes import Note
-from millethead.rollout.register import ZERO, Acceptor, Refused, Round, Word
+from millethead.rollout.notes import RolloutMessage
+from millethead.rollout.register import ZERO_BALLOT, Acceptor, ChangeRefused, RegisterMessage, Round
 from millethead.rollout.state import State
-from millethead.rollout.store import Store
+from millethead.rollout.store import AcceptorStore
 
 log = structlog.get_logger("rollout")
-AGAIN, TRY = 0.08, 0.7  # s: until a question is put again, and in which a change must be agreed (the staff wait 1 s)
-PAUSE_S = (0.005, 0.06)  # after a round that was superseded by a higher ballot
+RETRY_INTERVAL_S = 0.08  # until an unanswered request is repeated
+CHANGE_TIMEOUT_S = 0.7  # a change must be agreed on within this time; the operator waits for one second
+BACKOFF_S = (0.005, 0.06)  # after a round that was superseded by a higher ballot
 
 
 class NoMajority(Exception):
@@ -38,24 +39,24 @@
     def voters(self) -> tuple[str, ...]:
         """The current voters, as far as this dispatcher knows."""
 
-    def begun(self, state: State) -> State:
+    def with_initial_roles(self, state: State) -> State:
         """Returns the state with the configured voters and stewards filled in where none were agreed on yet."""
 
-    def agreed(self, state: State) -> State:
+    def apply_agreed(self, state: State) -> State:
         """Applies an agreed state. Returns the newest state that is known now."""
 
-    def tell(self, name: str, note: Note) -> None:
+    def send(self, name: str, message: RolloutMessage) -> None:
         """Sends a message to a dispatcher."""
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         """Runs `work` in the background until the program ends."""
 
 
-def voters_of(value: bytes) -> tuple[str, ...]:
+def decode_voters(value: bytes) -> tuple[str, ...]:
     """Returns the voters named in an encoded state. Returns none if the state is of another version, which this
     dispatcher never changes."""
     try:
-        return agreed.read(value).voters
+        return fleet_state.decode_state(value).voters
     except ValueError:
         return ()
 
@@ -68,137 +69,148 @@
     """
 
     def __init__(
-        self, me: str, process: str, first_voters: tuple[str, ...], store: Store, ports: AgreementPorts
+        self, me: str, process: str, first_voters: tuple[str, ...], store: AcceptorStore, ports: AgreementPorts
     ) -> None:
         self.me, self._process, self._first_voters, self._ports = me, process, first_voters, ports
         self._store = store  # kept also by dispatchers that are not voters, since they may become voters
         self._acceptor = Acceptor(store.load())
         self._random = random.Random(process)
         self._rounds: dict[int, tuple[Round, asyncio.Event]] = {}
-        self._calls: dict[int, asyncio.Event] = {}  # requests of `answers_as_voter` that wait for any answer
-        self._seq, self._top = 0, 0
-        self._lock, self._disk = asyncio.Lock(), asyncio.Lock()
+        self._voter_checks: dict[int, asyncio.Event] = {}  # requests of `answers_as_voter` that wait for any answer
+        self._seq, self._highest_ballot = 0, 0
+        self._change_lock, self._disk_lock = asyncio.Lock(), asyncio.Lock()
 
     @property
     def accepted_voters(self) -> tuple[str, ...]:
         """The voters named in the value that this dispatcher accepted last, if any."""
-        return voters_of(self._acceptor.kept.value)
+        return decode_voters(self._acceptor.state.value)
 
     # ---- proposing -----------------------------------------------------------------------------------------
 
-    async def change(self, change: Change, seconds: float = TRY) -> State:
+    async def change(self, change: Change, seconds: float = CHANGE_TIMEOUT_S) -> State:
         """Proposes a change until it is agreed on, and returns the resulting state. Raises ChangeRefused with the
         reason if the change does not apply, and NoMajority."""
-        until = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         try:
             async with asyncio.timeout(seconds):
-                await self._lock.acquire()
+                await self._change_lock.acquire()
         except TimeoutError:
             raise NoMajority("no majority of the voters answered; nothing was changed") from None
         try:
-            return await self._agree(change, until)
+            return await self._propose(change, deadline)
         finally:
-            self._lock.release()
+            self._change_lock.release()
 
-    async def _agree(self, change: Change, until: float) -> State:
-        def renew(old: bytes) -> bytes:
+    async def _propose(self, change: Change, deadline: float) -> State:
+        def apply_change(old_value: bytes) -> bytes:
             try:
-                return agreed.write(change(self._ports.begun(agreed.read(old))))
-            except ValueError as why:  # a state of another version is not changed
-                raise Refused(str(why)) from None
-
-        asked = False
-        while time.monotonic() < until:
-            self._top += 1
-            one = Round((self._top, self._process), self._first_voters, renew, voters_of)
-            asked = await self._play(one, until) or asked
-            if one.agreed:
-                state = self._ports.agreed(agreed.read(one.value or b""))
-                if one.refused is not None:
-                    raise one.refused
+                return fleet_state.encode_state(
+                    change(self._ports.with_initial_roles(fleet_state.decode_state(old_value)))
+                )
+            except ValueError as error:  # a state of another version is not changed
+                raise ChangeRefused(str(error)) from None
+
+        may_be_accepted = False
+        while time.monotonic() < deadline:
+            self._highest_ballot += 1
+            paxos_round = Round((self._highest_ballot, self._process), self._first_voters, apply_change, decode_voters)
+            may_be_accepted = await self._run_round(paxos_round, deadline) or may_be_accepted
+            if paxos_round.is_chosen:
+                state = self._ports.apply_agreed(fleet_state.decode_state(paxos_round.value or b""))
+                if paxos_round.refusal is not None:
+                    raise paxos_round.refusal
                 return state
-            if one.lost is not None:
-                self._top = max(self._top, one.lost[0])
-                await asyncio.sleep(self._random.uniform(*PAUSE_S))
+            if paxos_round.superseded_by is not None:
+                self._highest_ballot = max(self._highest_ballot, paxos_round.superseded_by[0])
+                await asyncio.sleep(self._random.uniform(*BACKOFF_S))
         raise NoMajority(
             "no majority of the voters answered in time; "
-            + ("the change may still come to be: see GET /fleet" if asked else "nothing was changed")
+            + ("the change may still come to be: see GET /fleet" if may_be_accepted else "nothing was changed")
         )
 
-    async def _play(self, one: Round, until: float) -> bool:
+    async def _run_round(self, paxos_round: Round, deadline: float) -> bool:
         """Repeats the requests of one round until it ends or the deadline passes. Returns whether a voter may have
         accepted the change."""
         self._seq += 1
-        seq, news, asked = self._seq, asyncio.Event(), False
-        self._rounds[seq] = one, news
+        seq, progress, may_be_accepted = self._seq, asyncio.Event(), False
+        self._rounds[seq] = paxos_round, progress
         try:
-            while not one.agreed and one.lost is None and (left := until - time.monotonic()) > 0:
-                self._ask(seq, one)
-                asked = asked or (one.value is not None and one.refused is None)
-                news.clear()
+            while (
+                not paxos_round.is_chosen
+                and paxos_round.superseded_by is None
+                and (left := deadline - time.monotonic()) > 0
+            ):
+                self._send_requests(seq, paxos_round)
+                may_be_accepted = may_be_accepted or (paxos_round.value is not None and paxos_round.refusal is None)
+                progress.clear()
                 with suppress(TimeoutError):
-                    async with asyncio.timeout(min(AGAIN, left)):
-                        await news.wait()
+                    async with asyncio.timeout(min(RETRY_INTERVAL_S, left)):
+                        await progress.wait()
         finally:
             del self._rounds[seq]
-        return asked
+        return may_be_accepted
 
-    def _ask(self, seq: int, one: Round) -> None:
-        word = one.ask()
+    def _send_requests(self, seq: int, paxos_round: Round) -> None:
+        message = paxos_round.request()
         # The initial voters may all be gone. The currently known voters can answer with the newest value.
-        for voter in one.voters if one.value is not None else dict.fromkeys((*one.voters, *self._ports.voters)):
-            self._ask_one(voter, seq, word)
-
-    def _ask_one(self, voter: str, seq: int, word: Word) -> None:
+        for voter in (
+            paxos_round.voters
+            if paxos_round.value is not None
+            else dict.fromkeys((*paxos_round.voters, *self._ports.voters))
+        ):
+            self._send_request(voter, seq, message)
+
+    def _send_request(self, voter: str, seq: int, message: RegisterMessage) -> None:
         if voter == self.me:
-            self._ports.spawn(self.vote(voter, seq, word))
+            self._ports.spawn(self.handle_request(voter, seq, message))
         else:
-            self._ports.tell(voter, Note("ask", seq, self.me, word))
+            self._ports.send(voter, RolloutMessage("ask", seq, self.me, message))
 
-    async def votes(self, name: str, seconds: float = TRY) -> bool:
+    async def answers_as_voter(self, name: str, seconds: float = CHANGE_TIMEOUT_S) -> bool:
         """Returns whether a dispatcher answers requests to voters. Checked before it becomes a voter."""
         self._seq += 1
-        seq, news = self._seq, asyncio.Event()
-        self._calls[seq] = news
+        seq, answered = self._seq, asyncio.Event()
+        self._voter_checks[seq] = answered
         try:
             async with asyncio.timeout(seconds):
-                while not news.is_set():
-                    self._ask_one(name, seq, Word("prepare", ZERO))  # the zero ballot adds no promise
+                while not answered.is_set():
+                    # the zero ballot adds no promise
+                    self._send_request(name, seq, RegisterMessage("prepare", ZERO_BALLOT))
                     with suppress(TimeoutError):
-                        async with asyncio.timeout(AGAIN):
-                            await news.wait()
+                        async with asyncio.timeout(RETRY_INTERVAL_S):
+                            await answered.wait()
         except TimeoutError:
             return False
         finally:
-            del self._calls[seq]
+            del self._voter_checks[seq]
         return True
 
-    def answered(self, voter: str, seq: int, word: Word) -> None:
+    def handle_answer(self, voter: str, seq: int, message: RegisterMessage) -> None:
         """Handles an answer of a voter."""
-        if seq in self._calls:
-            self._calls[seq].set()
-        one, news = self._rounds.get(seq, (None, None))
-        if one is not None and news is not None:
-            if one.take(voter, word):
-                self._ask(seq, one)
-            if one.agreed or one.lost is not None:
-                news.set()
+        if seq in self._voter_checks:
+            self._voter_checks[seq].set()
+        paxos_round, progress = self._rounds.get(seq, (None, None))
+        if paxos_round is not None and progress is not None:
+            if paxos_round.handle(voter, message):
+                self._send_requests(seq, paxos_round)
+            if paxos_round.is_chosen or paxos_round.superseded_by is not None:
+                progress.set()
 
     # ---- voting --------------------------------------------------------------------------------------------
 
-    async def vote(self, asker: str, seq: int, word: Word) -> None:
+    async def handle_request(self, proposer: str, seq: int, message: RegisterMessage) -> None:
         """Answers a proposer's request as a voter, after the acceptor's state is on disk."""
-        async with self._disk:
-            before = self._acceptor.kept
-            answer, changed = self._acceptor.take(word)
+        async with self._disk_lock:
+            previous_state = self._acceptor.state
+            answer, changed = self._acceptor.handle(message)
             if changed:
                 try:
-                    await asyncio.get_running_loop().run_in_executor(None, self._store.save, self._acceptor.kept)
+                    await asyncio.get_running_loop().run_in_executor(None, self._store.save, self._acceptor.state)
                 except OSError as error:
-                    self._acceptor.kept = before
+                    self._acceptor.state = previous_state
                     log.error("rollout_not_stored", why=str(error))
                     return
-        if asker == self.me:
-            self.answered(self.me, seq, answer)
+        if proposer == self.me:
+            self.handle_answer(self.me, seq, answer)
         else:
-            self._ports.tell(asker, Note("answer", seq, self.me, answer))
+            self._ports.send(proposer, RolloutMessage("answer", seq, self.me, answer))
--- a/millethead/rollout/health.py
+++ b/millethead/rollout/health.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from millethead.rollout.state import Health
+from millethead.rollout.state import HealthLimits
 
 
 class Counts(msgspec.Struct, array_like=True):
@@ -15,59 +15,69 @@
     served: int = 0
     refused: int = 0
     failed: int = 0
-    ms: float = 0.0
+    total_ms: float = 0.0
 
     @property
-    def answers(self) -> int:
+    def answer_count(self) -> int:
         return self.served + self.refused + self.failed
 
 
-Table = Sequence[Counts]
+ClassCounts = Sequence[Counts]
 
 
-def since(now: Table, before: Table | None) -> list[Counts]:
-    """Returns the counts since `before`. If the process restarted in between, these are all of its counts."""
-    if before is None or len(before) != len(now):
-        return list(now)
-    if any(n.answers < b.answers for n, b in zip(now, before, strict=True)):
-        return list(now)
+def counts_since(current: ClassCounts, previous: ClassCounts | None) -> list[Counts]:
+    """Returns the counts since `previous`. If the process restarted in between, these are all of its counts."""
+    if previous is None or len(previous) != len(current):
+        return list(current)
+    if any(n.answer_count < b.answer_count for n, b in zip(current, previous, strict=True)):
+        return list(current)
     return [
-        Counts(n.served - b.served, n.refused - b.refused, n.failed - b.failed, n.ms - b.ms)
-        for n, b in zip(now, before, strict=True)
+        Counts(n.served - b.served, n.refused - b.refused, n.failed - b.failed, n.total_ms - b.total_ms)
+        for n, b in zip(current, previous, strict=True)
     ]
 
 
-def add(tables: Iterable[Table]) -> list[Counts]:
+def sum_counts(counts_of_subjects: Iterable[ClassCounts]) -> list[Counts]:
+    """Returns the sum by class."""
     total: list[Counts] = []
-    for table in tables:
+    for table in counts_of_subjects:
         while len(total) < len(table):
             total.append(Counts())
-        for have, more in zip(total, table, strict=False):
-            have.served, have.refused = have.served + more.served, have.refused + more.refused
-            have.failed, have.ms = have.failed + more.failed, have.ms + more.ms
+        for sum_of_class, more in zip(total, table, strict=False):
+            sum_of_class.served = sum_of_class.served + more.served
+            sum_of_class.refused = sum_of_class.refused + more.refused
+            sum_of_class.failed = sum_of_class.failed + more.failed
+            sum_of_class.total_ms = sum_of_class.total_ms + more.total_ms
     return total
 
 
-def judge(moved: Mapping[str, Table], rest: Iterable[Table], limits: Health, classes: Sequence[str] = ()) -> str:
+def find_regression(
+    updated: Mapping[str, ClassCounts], others: Iterable[ClassCounts], limits: HealthLimits, classes: Sequence[str] = ()
+) -> str:
     """Returns in one line why the release is unhealthy, or an empty string if it is not.
 
     The updated members are judged together and each by itself, against `others`, the counts of members that are not
     updated yet. A class is judged only from `limits.min_answers` answers on.
     """
-    base = add(rest)
-    for who, table in [("those moved", add(moved.values())), *moved.items()]:
-        for n, new in enumerate(table):
-            old = base[n] if n < len(base) else Counts()
-            name = classes[n] if n < len(classes) else f"class {n}"
-            if new.answers < limits.least:
+    baseline = sum_counts(others)
+    for who, counts in [("those moved", sum_counts(updated.values())), *updated.items()]:
+        for index, new in enumerate(counts):
+            old = baseline[index] if index < len(baseline) else Counts()
+            name = classes[index] if index < len(classes) else f"class {index}"
+            if new.answer_count < limits.min_answers:
                 continue
-            for what, of_new, of_old, more in (
-                ("failed", new.failed, old.failed, limits.errors),
-                ("refused", new.refused, old.refused, limits.refusals),
+            for what, new_count, old_count, margin in (
+                ("failed", new.failed, old.failed, limits.error_margin),
+                ("refused", new.refused, old.refused, limits.refusal_margin),
             ):
-                part, usual = of_new / new.answers, of_old / old.answers if old.answers else 0.0
-                if part > usual + more:
-                    return f"{who}: {part:.0%} of {name} {what}, the others {usual:.0%}"
-            if new.served >= limits.least <= old.served and new.ms / new.served > limits.slower * old.ms / old.served:
-                return f"{who}: {name} takes {new.ms / new.served:.0f} ms, the others {old.ms / old.served:.0f} ms"
+                fraction = new_count / new.answer_count
+                usual_fraction = old_count / old.answer_count if old.answer_count else 0.0
+                if fraction > usual_fraction + margin:
+                    return f"{who}: {fraction:.0%} of {name} {what}, the others {usual_fraction:.0%}"
+            if (
+                new.served >= limits.min_answers <= old.served
+                and new.total_ms / new.served > limits.latency_factor * old.total_ms / old.served
+            ):
+                new_ms, old_ms = new.total_ms / new.served, old.total_ms / old.served
+                return f"{who}: {name} takes {new_ms:.0f} ms, the others {old_ms:.0f} ms"
     return ""
--- a/millethead/rollout/host.py
+++ b/millethead/rollout/host.py
@@ -8,10 +8,10 @@
 from millethead.exchange.core import Exchange
 from millethead.exchange.model import Answer, Attempt, Final, Order
 from millethead.exchange.stage import Stage
-from millethead.rollout.driver import View
+from millethead.rollout.driver import SubjectView
 from millethead.rollout.health import Counts
 
-MOST = 4096
+MAX_COUNTED_WORKERS = 4096
 
 
 class ProgramHost:
@@ -19,58 +19,64 @@
 
     def __init__(self, exchange: Exchange, stage: Stage, kinds: list[str], leave: Callable[[], None]) -> None:
         self.exchange, self.kinds, self.leave = exchange, kinds, leave
-        self._ms = [0.0] * len(exchange.settings.classes)
-        self._made: dict[str, list[Counts]] = {}
-        self._serves: dict[str, float] = {}  # worker -> its start time when it last answered a probe
-        self._finished, stage.finished = stage.finished, self._count
-        exchange.on_attempt, exchange.on_probe = self._attempt, self._probed
+        self._served_ms = [0.0] * len(exchange.settings.classes)
+        self._worker_counts: dict[str, list[Counts]] = {}
+        self._serving_start: dict[str, float] = {}  # worker -> its start time when it last answered a probe
+        self._next_finished, stage.finished = stage.finished, self._count_answer
+        exchange.on_attempt, exchange.on_probe = self._count_attempt, self._record_probe
 
-    def _count(self, order: Order, answer: Answer | None, came: float, ended: float) -> None:
+    def _count_answer(self, order: Order, answer: Answer | None, came: float, ended: float) -> None:
         if answer is not None and answer.final is Final.SERVED:
-            self._ms[order.job_class] += ended - came
-        if self._finished is not None:
-            self._finished(order, answer, came, ended)
+            self._served_ms[order.job_class] += ended - came
+        if self._next_finished is not None:
+            self._next_finished(order, answer, came, ended)
 
-    def _attempt(self, attempt: Attempt, outcome: Outcome, ms: float) -> None:
+    def _count_attempt(self, attempt: Attempt, outcome: Outcome, ms: float) -> None:
         if outcome is Outcome.CANCELLED:  # cancelled by the dispatcher, which says nothing about the worker
             return
-        table = self._made.get(attempt.worker.name)
+        table = self._worker_counts.get(attempt.worker.name)
         if table is None:
-            while len(self._made) >= MOST:
-                del self._made[next(iter(self._made))]
-            table = self._made[attempt.worker.name] = [Counts() for _ in self._ms]
+            while len(self._worker_counts) >= MAX_COUNTED_WORKERS:
+                del self._worker_counts[next(iter(self._worker_counts))]
+            table = self._worker_counts[attempt.worker.name] = [Counts() for _ in self._served_ms]
         counts = table[attempt.order.job_class]
         if outcome is Outcome.OK:
-            counts.served, counts.ms = counts.served + 1, counts.ms + ms
+            counts.served, counts.total_ms = counts.served + 1, counts.total_ms + ms
         elif outcome in NEVER_RAN:
             counts.refused += 1
         else:
             counts.failed += 1
 
-    def _probed(self, name: str, outcome: Outcome) -> None:
+    def _record_probe(self, name: str, outcome: Outcome) -> None:
         worker = self.exchange.worker(name)
         if worker is not None and outcome is Outcome.OK:
-            self._serves[name] = worker.entry.started
+            self._serving_start[name] = worker.entry.started
         else:
-            self._serves.pop(name, None)
+            self._serving_start.pop(name, None)
 
-    def fleet_out(self, names: frozenset[str]) -> None:
+    def exclude_workers(self, names: frozenset[str]) -> None:
         self.exchange.fleet_out(names)
 
-    def workers(self) -> Mapping[str, tuple[str, View]]:
+    def workers(self) -> Mapping[str, tuple[str, SubjectView]]:
         found = {}
         for worker in self.exchange.workers:
             entry = worker.entry
             kind = self.kinds[entry.kind] if entry.kind < len(self.kinds) else ""
-            found[worker.name] = kind, View(worker.open, self._serves.get(worker.name) == entry.started, entry.started)
+            found[worker.name] = (
+                kind,
+                SubjectView(worker.open, self._serving_start.get(worker.name) == entry.started, entry.started),
+            )
         return found
 
     def counts(self) -> list[Counts]:
-        tally = self.exchange.counters
-        return [Counts(*each) for each in zip(tally.served, tally.refused, tally.failed, self._ms, strict=True)]
+        counters = self.exchange.counters
+        return [
+            Counts(*each)
+            for each in zip(counters.served, counters.refused, counters.failed, self._served_ms, strict=True)
+        ]
 
     def worker_counts(self) -> Mapping[str, list[Counts]]:
-        return self._made
+        return self._worker_counts
 
     def probe(self, worker: str) -> None:
         found = self.exchange.worker(worker)
--- a/millethead/rollout/register.py
+++ b/millethead/rollout/register.py
@@ -12,50 +12,50 @@
 
 # number and name of the proposing process; the name includes the process start, so that no ballot is used twice
 Ballot = tuple[int, str]
-ZERO: Ballot = (0, "")
+ZERO_BALLOT: Ballot = (0, "")
 
 
-class Refused(Exception):
+class ChangeRefused(Exception):
     """Raised if a change does not apply to the current value. The text gives the reason in one line."""
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True):
+class AcceptorState(msgspec.Struct, frozen=True, array_like=True):
     """Durable state of an acceptor."""
 
-    promised: Ballot = ZERO
-    accepted: Ballot = ZERO
+    promised: Ballot = ZERO_BALLOT
+    accepted: Ballot = ZERO_BALLOT
     value: bytes = b""
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True):
+class RegisterMessage(msgspec.Struct, frozen=True, array_like=True):
     """A message between a proposer and an acceptor. `kind` is prepare, promise, accept, accepted or nack."""
 
     kind: str
     ballot: Ballot
-    accepted: Ballot = ZERO
+    accepted: Ballot = ZERO_BALLOT
     value: bytes = b""
 
 
 class Acceptor:
     """The acceptor of one voter."""
 
-    __slots__ = ("kept",)
+    __slots__ = ("state",)
 
-    def __init__(self, kept: Kept | None = None) -> None:
-        self.kept = kept or Kept()
+    def __init__(self, state: AcceptorState | None = None) -> None:
+        self.state = state or AcceptorState()
 
-    def take(self, word: Word) -> tuple[Word, bool]:
+    def handle(self, message: RegisterMessage) -> tuple[RegisterMessage, bool]:
         """Returns the answer, and whether `state` has changed and must be stored before the answer is sent."""
-        kept, ballot = self.kept, word.ballot
-        if word.kind == "prepare":
-            if ballot < kept.promised:
-                return Word("nack", ballot, kept.promised), False
-            self.kept = Kept(ballot, kept.accepted, kept.value)
-            return Word("promise", ballot, kept.accepted, kept.value), ballot != kept.promised
-        if word.kind == "accept" and ballot >= kept.promised:
-            self.kept = Kept(ballot, ballot, word.value)
-            return Word("accepted", ballot), self.kept != kept
-        return Word("nack", ballot, kept.promised), False
+        state, ballot = self.state, message.ballot
+        if message.kind == "prepare":
+            if ballot < state.promised:
+                return RegisterMessage("nack", ballot, state.promised), False
+            self.state = AcceptorState(ballot, state.accepted, state.value)
+            return RegisterMessage("promise", ballot, state.accepted, state.value), ballot != state.promised
+        if message.kind == "accept" and ballot >= state.promised:
+            self.state = AcceptorState(ballot, ballot, message.value)
+            return RegisterMessage("accepted", ballot), self.state != state
+        return RegisterMessage("nack", ballot, state.promised), False
 
 
 class Round:
@@ -73,13 +73,13 @@
     __slots__ = (
         "_accepted",
         "_change",
-        "_found",
-        "_named",
+        "_newest_accepted",
+        "_voters_in",
         "_promised",
         "ballot",
-        "lost",
-        "old",
-        "refused",
+        "superseded_by",
+        "old_value",
+        "refusal",
         "value",
         "voters",
     )
@@ -89,43 +89,48 @@
         ballot: Ballot,
         voters: tuple[str, ...],
         change: Callable[[bytes], bytes],
-        named: Callable[[bytes], tuple[str, ...]] = lambda value: (),
+        voters_in: Callable[[bytes], tuple[str, ...]] = lambda value: (),
     ) -> None:
-        self.ballot, self.voters, self._change, self._named = ballot, voters, change, named
+        self.ballot, self.voters, self._change, self._voters_in = ballot, voters, change, voters_in
         self.value: bytes | None = None
-        self.old = b""
-        self.refused: Refused | None = None
-        self.lost: Ballot | None = None  # a higher ballot that an acceptor had promised
+        self.old_value = b""
+        self.refusal: ChangeRefused | None = None
+        self.superseded_by: Ballot | None = None  # a higher ballot that an acceptor had promised
         self._promised, self._accepted = frozenset[str](), frozenset[str]()
-        self._found: Ballot = ZERO
+        self._newest_accepted: Ballot = ZERO_BALLOT
 
     @property
-    def agreed(self) -> bool:
+    def is_chosen(self) -> bool:
+        """Whether a majority of the voters has accepted the value."""
         return 2 * len(self._accepted) > len(self.voters)
 
-    def ask(self) -> Word:
+    def request(self) -> RegisterMessage:
         """Returns the request for every voter in the current phase. It may be sent repeatedly."""
-        return Word("prepare", self.ballot) if self.value is None else Word("accept", self.ballot, ZERO, self.value)
+        return (
+            RegisterMessage("prepare", self.ballot)
+            if self.value is None
+            else RegisterMessage("accept", self.ballot, ZERO_BALLOT, self.value)
+        )
 
-    def take(self, voter: str, word: Word) -> bool:
+    def handle(self, voter: str, message: RegisterMessage) -> bool:
         """Handles a voter's answer. Returns whether there is a new request, or a new voter to send it to."""
-        if word.ballot != self.ballot or self.lost is not None:
+        if message.ballot != self.ballot or self.superseded_by is not None:
             return False
-        if word.kind == "nack":
-            self.lost = word.accepted
-        elif word.kind == "promise" and self.value is None:
-            before = self.voters
-            if word.accepted > self._found:
-                self._found, self.old = word.accepted, word.value
-                self.voters = self._named(self.old) or self.voters
+        if message.kind == "nack":
+            self.superseded_by = message.accepted
+        elif message.kind == "promise" and self.value is None:
+            previous_voters = self.voters
+            if message.accepted > self._newest_accepted:
+                self._newest_accepted, self.old_value = message.accepted, message.value
+                self.voters = self._voters_in(self.old_value) or self.voters
             self._promised |= {voter}
             if 2 * len(self._promised & set(self.voters)) > len(self.voters):
                 try:
-                    self.value = self._change(self.old)
-                except Refused as why:
-                    self.value, self.refused = self.old, why
+                    self.value = self._change(self.old_value)
+                except ChangeRefused as refusal:
+                    self.value, self.refusal = self.old_value, refusal
                 return True
-            return self.voters != before
-        elif word.kind == "accepted" and self.value is not None and voter in self.voters:
+            return self.voters != previous_voters
+        elif message.kind == "accepted" and self.value is not None and voter in self.voters:
             self._accepted |= {voter}
         return False
--- a/millethead/rollout/report.py
+++ b/millethead/rollout/report.py
@@ -4,22 +4,22 @@
 
 from typing import Any
 
-from millethead.rollout.shell import WORKERS, Rollout
+from millethead.rollout.shell import WORKER_GROUP_PREFIX, Rollout
 from millethead.rollout.state import DISPATCHERS, Release, Slot
 
 
 def fleet_page(rollout: Rollout) -> dict[str, Any]:
     """Returns the agreed state as known to this dispatcher."""
     state = rollout.state
-    groups = [DISPATCHERS, *(WORKERS + kind for kind in rollout.setup.pools)]
+    groups = [DISPATCHERS, *(WORKER_GROUP_PREFIX + kind for kind in rollout.setup.pools)]
     return {
         "dispatcher": rollout.me,
-        "known": rollout.learned,
+        "known": rollout.has_state,
         "rev": state.rev,
         "voters": list(rollout.voters),
-        "voters_there": rollout.voters_there(),
-        "stewards": [{"member": office.name, "token": office.token} for office in state.offices],
-        "groups": {group: {"out": state.out(group), "max_out": rollout.most(group)} for group in groups},
+        "voters_there": rollout.live_voters(),
+        "stewards": [{"member": steward.name, "token": steward.token} for steward in state.stewards],
+        "groups": {group: {"out": state.out_count(group), "max_out": rollout.max_out(group)} for group in groups},
         "out": [_slot(slot) for slot in state.slots],
         "release": _release(state.release) if state.release is not None else None,
     }
@@ -30,8 +30,8 @@
         "member": slot.subject,
         "group": slot.group,
         "token": slot.token,
-        "by": slot.by,
-        "begun": slot.begun,
+        "by": slot.requested_by,
+        "begun": slot.restart_begun,
         "version": slot.version,
         "release": slot.release,
     }
@@ -43,9 +43,9 @@
         "group": release.group,
         "version": release.version,
         "status": release.status,
-        "why": release.why,
-        "step": release.at + 1,
+        "why": release.reason,
+        "step": release.step_index + 1,
         "steps": [list(step) for step in release.steps],
-        "moved": [move.subject for move in release.moved],
+        "moved": [update.subject for update in release.updated],
         "max_out": release.max_out,
     }
--- a/millethead/rollout/setup.py
+++ b/millethead/rollout/setup.py
@@ -35,7 +35,7 @@
     office: Annotated[float, Meta(ge=1_000, le=86_400_000)] = 60_000.0
 
 
-def most_out(budget: int | str, size: int) -> int:
+def max_out_of(budget: int | str, size: int) -> int:
     """Returns how many of `size` members may be out under a budget."""
     if isinstance(budget, int):
         return budget
--- a/millethead/rollout/shell.py
+++ b/millethead/rollout/shell.py
@@ -21,20 +21,20 @@
 from millethead.members.offices import StewardAssignment
 from millethead.members.shell import Members
 from millethead.members.wire import DatagramCodec
-from millethead.rollout import state as agreed
-from millethead.rollout.agreement import TRY, Agreement, NoMajority
-from millethead.rollout.driver import Change, Driver, View
+from millethead.rollout import state as fleet_state
+from millethead.rollout.agreement import CHANGE_TIMEOUT_S, Agreement, NoMajority
+from millethead.rollout.driver import Change, Driver, SubjectView
 from millethead.rollout.health import Counts
-from millethead.rollout.judging import Judging
-from millethead.rollout.notes import MARK, MOST, Note
-from millethead.rollout.register import Refused
-from millethead.rollout.setup import RolloutSetup, most_out
+from millethead.rollout.judging import ReleaseHealth
+from millethead.rollout.notes import MAX_DATAGRAM_BYTES, PREFIX, RolloutMessage
+from millethead.rollout.register import ChangeRefused
+from millethead.rollout.setup import RolloutSetup, max_out_of
 from millethead.rollout.state import DISPATCHERS, Release, State
-from millethead.rollout.store import Store, write_lasting
+from millethead.rollout.store import AcceptorStore, write_durably
 
 log = structlog.get_logger("rollout")
-TICK, PUSH, ASK_HEALTH = 0.1, 1.0, 0.3  # s
-WORKERS = "workers:"
+TICK_INTERVAL_S, PUSH_INTERVAL_S, HEALTH_REQUEST_INTERVAL_S = 0.1, 1.0, 0.3
+WORKER_GROUP_PREFIX = "workers:"
 
 
 class Host(Protocol):
@@ -43,10 +43,10 @@
     def leave(self) -> None:
         """Shuts the process down in an orderly way. The process supervisor starts the next one."""
 
-    def fleet_out(self, names: frozenset[str]) -> None:
+    def exclude_workers(self, names: frozenset[str]) -> None:
         """Excludes exactly these booking workers from use."""
 
-    def workers(self) -> Mapping[str, tuple[str, View]]:
+    def workers(self) -> Mapping[str, tuple[str, SubjectView]]:
         """Returns the listed booking workers: name -> (type, view of this dispatcher)."""
 
     def counts(self) -> list[Counts]:
@@ -60,29 +60,34 @@
 
 
 class Rollout:
+    """Takes part in the consensus on drains and releases, executes the steps of this dispatcher, and drives releases
+    if it is the first live voter."""
+
     def __init__(self, setup: RolloutSetup, members: Members, host: Host, kinds: list[str], classes: list[str]) -> None:
         for kind in setup.pools:
             if kind not in kinds:
                 raise ConfigError(f"rollout.pools: one of {', '.join(kinds)} is wanted, not {kind!r}")
         self.setup, self.members, self.host, self.classes = setup, members, host, classes
         self.me = members.me.name
-        self.state, self.learned = State(), False
-        store = Store(Path(setup.folder), self.me)
+        self.state, self.has_state = State(), False
+        store = AcceptorStore(Path(setup.folder), self.me)
         process = f"{self.me}@{members.me.start}"  # a restarted process never reuses a ballot of the previous one
         self._agreement = Agreement(self.me, process, tuple(setup.voters), store, self)
-        self._heard_of = self._agreement.accepted_voters
+        self._accepted_voters = self._agreement.accepted_voters
         self.driver = Driver(self.me, setup.lease / 1000)
-        self._codec = DatagramCodec(members.setup.key(), members.setup.fleet, Note, MARK, MOST)
+        self._codec = DatagramCodec(
+            members.setup.key(), members.setup.fleet, RolloutMessage, PREFIX, MAX_DATAGRAM_BYTES
+        )
         self._random = random.Random(f"{self.me}{members.me.start}")
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._judging = Judging(self.me, self._tables, classes)
-        self._going = False
-        self._not_stored = 0  # token of the slot whose version file could not be written
-        self._pushed = self._asked = self._confirms = 0.0
-        members.prefix_handler = (MARK, self._datagram)
+        self._release_health = ReleaseHealth(self.me, self._local_counts, classes)
+        self._is_leaving = False
+        self._failed_token = 0  # token of the slot whose version file could not be written
+        self._pushed_at = self._health_requested_at = self._next_confirmation_at = 0.0
+        members.prefix_handler = (PREFIX, self._receive)
 
     def start(self) -> None:
-        self.spawn(self._beat())
+        self.spawn(self._run())
 
     def stop(self) -> None:
         for task in self._tasks:
@@ -94,212 +99,223 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # ---- agreeing ------------------------------------------------------------------------------------------
+    # ---- consensus -----------------------------------------------------------------------------------------
 
-    async def change(self, change: Change, seconds: float = TRY) -> State:
+    async def change(self, change: Change, seconds: float = CHANGE_TIMEOUT_S) -> State:
         """Proposes a change until it is agreed on, and returns the resulting state. Raises ChangeRefused with the
         reason if the change does not apply, and NoMajority."""
         return await self._agreement.change(change, seconds)
 
-    async def votes(self, name: str, seconds: float = TRY) -> bool:
+    async def answers_as_voter(self, name: str, seconds: float = CHANGE_TIMEOUT_S) -> bool:
         """Returns whether a dispatcher answers requests to voters. Checked before it becomes a voter."""
-        return await self._agreement.votes(name, seconds)
+        return await self._agreement.answers_as_voter(name, seconds)
 
-    def agreed(self, state: State) -> State:
+    def apply_agreed(self, state: State) -> State:
         """Applies a state agreed on by this dispatcher's proposal and sends it to the others. Returns the newest known
         state."""
-        self._learn(state)
-        self._push()
+        self._apply_state(state)
+        self._push_state()
         return self.state
 
-    def begun(self, state: State) -> State:
+    def with_initial_roles(self, state: State) -> State:
         """Returns the state with the configured voters and stewards filled in where none were agreed on yet."""
         return msgspec.structs.replace(
             state,
             voters=state.voters or tuple(self.setup.voters),
-            offices=state.offices or tuple(StewardAssignment(name) for name in self.members.setup.stewards),
+            stewards=state.stewards or tuple(StewardAssignment(name) for name in self.members.setup.stewards),
         )
 
     @property
     def voters(self) -> tuple[str, ...]:
         """The current voters as far as this dispatcher knows: those agreed on, or else the configured ones."""
-        return self.state.voters or self._heard_of or tuple(self.setup.voters)
+        return self.state.voters or self._accepted_voters or tuple(self.setup.voters)
 
     # ---- messages ----------------------------------------------------------------------------------------
 
-    def tell(self, name: str, note: Note) -> None:
+    def send(self, name: str, message: RolloutMessage) -> None:
         """Sends a message to a dispatcher, if membership knows its address."""
         peer = self.members.swim.peers.get(name)
         if peer is not None:
-            self.members.send_raw(peer.record.address, self._codec.encode(note))
+            self.members.send_raw(peer.record.address, self._codec.encode(message))
 
-    def _datagram(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         """Handles a received datagram. Raises DatagramDropped, which membership counts."""
-        note = self._codec.decode(data)
-        if note.kind == "ask" and note.word is not None:
-            self.spawn(self._agreement.vote(note.sender, note.seq, note.word))
-        elif note.kind == "answer" and note.word is not None:
-            self._agreement.answered(note.sender, note.seq, note.word)
-        elif note.kind == "state":
+        message = self._codec.decode(data)
+        if message.kind == "ask" and message.register_message is not None:
+            self.spawn(self._agreement.handle_request(message.sender, message.seq, message.register_message))
+        elif message.kind == "answer" and message.register_message is not None:
+            self._agreement.handle_answer(message.sender, message.seq, message.register_message)
+        elif message.kind == "state":
             try:
-                self._learn(agreed.read(note.value))
-            except ValueError as why:
-                log.warning("rollout_state_unusable", why=str(why))
-        elif note.kind == "health":
-            self.tell(note.sender, Note("counts", note.seq, self.me, tables=self._tables()))
-        elif note.kind == "counts":
-            self._judging.told(note.sender, note.tables)
-
-    def _tables(self) -> dict[str, list[Counts]]:
+                self._apply_state(fleet_state.decode_state(message.value))
+            except ValueError as error:
+                log.warning("rollout_state_unusable", why=str(error))
+        elif message.kind == "health":
+            self.send(message.sender, RolloutMessage("counts", message.seq, self.me, counts=self._local_counts()))
+        elif message.kind == "counts":
+            self._release_health.record_counts(message.sender, message.counts)
+
+    def _local_counts(self) -> dict[str, list[Counts]]:
         """Returns this dispatcher's counts for judging a release: its own answers, or the outcomes by booking
         worker."""
         release = self.state.release
         if release is None or release.group == DISPATCHERS:
             return {self.me: self.host.counts()}
-        named, counts = set(agreed.named(release.steps)), self.host.worker_counts()
-        return {name: table for name, table in counts.items() if name in named}
+        subjects, counts = set(fleet_state.all_subjects(release.steps)), self.host.worker_counts()
+        return {name: table for name, table in counts.items() if name in subjects}
 
-    def _push(self) -> None:
-        self._pushed = time.monotonic()
-        note = Note("state", 0, self.me, value=agreed.write(self.state))
+    def _push_state(self) -> None:
+        self._pushed_at = time.monotonic()
+        message = RolloutMessage("state", 0, self.me, value=fleet_state.encode_state(self.state))
         for name in self.members.swim.peer_names():
-            self.tell(name, note)
+            self.send(name, message)
 
-    def _learn(self, state: State) -> None:
+    def _apply_state(self, state: State) -> None:
         """Applies an agreed state, unless a state of the same or a later revision is known."""
-        state = self.begun(state)  # a refused first change confirms an empty value
-        if self.learned and state.rev <= self.state.rev:
+        state = self.with_initial_roles(state)  # a refused first change confirms an empty value
+        if self.has_state and state.rev <= self.state.rev:
             return
-        old, self.state, self.learned = self.state, state, True
-        self.members.apply_assignments(state.offices)
+        old, self.state, self.has_state = self.state, state, True
+        self.members.apply_assignments(state.stewards)
         release = state.release
         log.info(
             "rollout_agreed",
             rev=state.rev,
             voters=",".join(state.voters),
-            stewards=",".join(f"{o.name}:{o.token}" for o in state.offices),
+            stewards=",".join(f"{steward.name}:{steward.token}" for steward in state.stewards),
             out=",".join(f"{s.subject}:{s.token}:{s.group}" for s in state.slots),
-            release=f"{release.id}:{release.status}:{release.at}" if release is not None else "",
-            moved=",".join(m.subject for m in release.moved) if release is not None else "",
-            why=release.why if release is not None else "",
+            release=f"{release.id}:{release.status}:{release.step_index}" if release is not None else "",
+            moved=",".join(update.subject for update in release.updated) if release is not None else "",
+            why=release.reason if release is not None else "",
             mono=time.monotonic(),
         )
-        out = frozenset(s.subject for s in state.slots if s.group != DISPATCHERS)
-        if out != frozenset(s.subject for s in old.slots if s.group != DISPATCHERS):
-            self.host.fleet_out(out)
+        excluded = frozenset(s.subject for s in state.slots if s.group != DISPATCHERS)
+        if excluded != frozenset(s.subject for s in old.slots if s.group != DISPATCHERS):
+            self.host.exclude_workers(excluded)
 
     # ---- timer -------------------------------------------------------------------------------------------
 
-    async def _beat(self) -> None:
+    async def _run(self) -> None:
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_INTERVAL_S)
             try:
-                await self._turn()
-            except (NoMajority, Refused):
+                await self._tick()
+            except (NoMajority, ChangeRefused):
                 await asyncio.sleep(self._random.uniform(0.1, 0.4))
             except Exception:
                 log.exception("rollout_broke")
                 await asyncio.sleep(1.0)
 
-    async def _turn(self) -> None:
+    async def _tick(self) -> None:
         now = time.monotonic()
-        await self._go()
-        if now >= self._confirms and self.me in self.members.swim.share.stewards:
+        await self._restart_if_due()
+        if now >= self._next_confirmation_at and self.me in self.members.swim.share.stewards:
             await self.change(lambda state: state)
-            self.members.swim.steward_role.confirm(now, self.state.offices)
-            self._confirms = now + self.setup.office / 4000
-        if not self._drives():
+            self.members.swim.steward_role.confirm(now, self.state.stewards)
+            self._next_confirmation_at = now + self.setup.office / 4000
+        if not self._is_driver():
             return
-        if not self.learned:
+        if not self.has_state:
             await self.change(lambda state: state)  # read what was agreed on before this process started
-        if now - self._pushed > PUSH:
-            self._push()
-        release = self.state.under_way
-        if release is not None and release.status == agreed.RUNNING and now - self._asked > ASK_HEALTH:
-            self._asked = now
+        if now - self._pushed_at > PUSH_INTERVAL_S:
+            self._push_state()
+        release = self.state.active_release
+        if (
+            release is not None
+            and release.status == fleet_state.RUNNING
+            and now - self._health_requested_at > HEALTH_REQUEST_INTERVAL_S
+        ):
+            self._health_requested_at = now
             for name in self.members.swim.peer_names():
-                self.tell(name, Note("health", 0, self.me))
-        changes = self.driver.offices(now, self.state, self.members.swim.member_names())
+                self.send(name, RolloutMessage("health", 0, self.me))
+        changes = self.driver.replace_absent_steward(now, self.state, self.members.swim.member_names())
         if self.state.slots or release is not None:
-            self._probe_out()
-            changes += self.driver.tick(now, self.state, self.views(), self.most, self._unhealthy)
+            self._probe_excluded_workers()
+            changes += self.driver.tick(now, self.state, self.views(), self.max_out, self._find_problem)
         else:
-            self.driver.rest()
+            self.driver.clear_measurements()
         for what, change in changes:
             try:
                 await self.change(change)
                 log.info("rollout_step", what=what, mono=time.monotonic())
-            except Refused as why:
-                log.info("rollout_step_refused", what=what, why=str(why))
+            except ChangeRefused as error:
+                log.info("rollout_step_refused", what=what, why=str(error))
 
-    def _drives(self) -> bool:
+    def _is_driver(self) -> bool:
         """Returns whether this dispatcher drives: it is the first of the live voters. Two concurrent drivers do no
         harm."""
-        return self.me == min(self.voters_there(), default="")
+        return self.me == min(self.live_voters(), default="")
 
-    def voters_there(self) -> list[str]:
+    def live_voters(self) -> list[str]:
         """Returns the voters that are live as far as this dispatcher sees."""
-        there = self.members.swim.member_names()
-        return [v for v in self.voters if v in there]
+        present = self.members.swim.member_names()
+        return [voter for voter in self.voters if voter in present]
 
-    async def _go(self) -> None:
+    async def _restart_if_due(self) -> None:
         """Shuts this dispatcher down, once, if it holds a slot."""
-        slot, me = self.state.of(self.me), self.members.swim.me
-        if slot is None or slot.group != DISPATCHERS or self._going or slot.token == self._not_stored:
+        slot, me = self.state.slot_of(self.me), self.members.swim.me
+        if slot is None or slot.group != DISPATCHERS or self._is_leaving or slot.token == self._failed_token:
             return
-        if slot.begun:
-            if slot.start != me.start:
+        if slot.restart_begun:
+            if slot.process_start != me.start:
                 return  # the previous process of this dispatcher began the restart
             # This process began the restart but received no majority in time. The change was agreed on nevertheless.
-        elif slot.start != me.start if not slot.version else slot.version == me.version:
+        elif slot.process_start != me.start if not slot.version else slot.version == me.version:
             return  # meant for the previous process, or the version is already running
         else:
-            await self.change(lambda state: agreed.begin(state, slot.token, me.start))
+            await self.change(lambda state: fleet_state.begin_restart(state, slot.token, me.start))
         if slot.version:
             body = json.dumps({"version": slot.version, "token": slot.token}).encode()
             try:
-                write_lasting(Path(self.setup.folder) / f"{self.me}.wanted", body)
+                write_durably(Path(self.setup.folder) / f"{self.me}.wanted", body)
             except OSError as error:  # Keep running. The release halts, and a resume makes this dispatcher try again.
-                self._not_stored = slot.token
+                self._failed_token = slot.token
                 log.error("rollout_not_stored", why=str(error))
                 return
-        self._going = True
+        self._is_leaving = True
         log.info("rollout_goes", version=slot.version, token=slot.token, mono=time.monotonic())
         self.host.leave()
 
-    def _probe_out(self) -> None:
+    def _probe_excluded_workers(self) -> None:
         workers = self.host.workers()
         for slot in self.state.slots:
             found = workers.get(slot.subject)
-            if slot.group != DISPATCHERS and found is not None and found[1].there and found[1].start > slot.start:
+            if (
+                slot.group != DISPATCHERS
+                and found is not None
+                and found[1].present
+                and found[1].process_start > slot.process_start
+            ):
                 self.host.probe(slot.subject)
 
     # ---- views -------------------------------------------------------------------------------------------
 
-    def views(self) -> dict[str, View]:
+    def views(self) -> dict[str, SubjectView]:
         """Returns this dispatcher's views of all dispatchers and booking workers, by name."""
         me = self.members.swim.me
         views = {name: view for name, (_, view) in self.host.workers().items()}
-        views[self.me] = View(True, me.ready and not me.draining, me.start, me.version)
+        views[self.me] = SubjectView(True, me.ready and not me.draining, me.start, me.version)
         for name, peer in self.members.swim.peers.items():
-            r, there = peer.record, peer.is_member
-            views[name] = View(there, there and r.ready and not r.draining, r.start, r.version)
+            record, present = peer.record, peer.is_member
+            views[name] = SubjectView(
+                present, present and record.ready and not record.draining, record.start, record.version
+            )
         return views
 
-    def most(self, group: str) -> int:
+    def max_out(self, group: str) -> int:
         """Returns how many members of a group may be out."""
         if group == DISPATCHERS:
-            return most_out(self.setup.dispatchers, self.members.swim.member_count())
-        kind = group.removeprefix(WORKERS)
+            return max_out_of(self.setup.dispatchers, self.members.swim.member_count())
+        kind = group.removeprefix(WORKER_GROUP_PREFIX)
         size = sum(k == kind for k, _ in self.host.workers().values())
-        return most_out(self.setup.pools.get(kind, 0), size)
+        return max_out_of(self.setup.pools.get(kind, 0), size)
 
     def group_of(self, worker: str) -> str:
         """Returns the group of a booking worker. Raises ChangeRefused if its type has no budget."""
         kind = self.host.workers()[worker][0]
         if kind not in self.setup.pools:
-            raise Refused(f"booking workers of the type {kind!r} have no budget in rollout.pools")
-        return WORKERS + kind
+            raise ChangeRefused(f"booking workers of the type {kind!r} have no budget in rollout.pools")
+        return WORKER_GROUP_PREFIX + kind
 
-    def _unhealthy(self, release: Release) -> str:
-        return self._judging.unhealthy(release, self.state)
+    def _find_problem(self, release: Release) -> str:
+        return self._release_health.find_problem(release, self.state)
--- a/millethead/rollout/store.py
+++ b/millethead/rollout/store.py
@@ -10,28 +10,28 @@
 
 from millethead.errors import ConfigError
 from millethead.files import plain_name, write_whole
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 
 MAGIC = b"MHR1"
-PLACE = 16_384  # size of one of the two copies
-_encode, _decoder = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(Kept)
+STATE_COPY_BYTES = 16_384  # size of one of the two copies
+_encode, _decoder = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(AcceptorState)
 
 
-def write_lasting(path: Path, data: bytes) -> None:
+def write_durably(path: Path, data: bytes) -> None:
     """Writes a file atomically and syncs its directory entry. Raises OSError."""
     write_whole(path, data)
-    folder = os.open(path.parent, os.O_RDONLY)
+    directory = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)  # without this, the new name may be lost in a power failure
+        os.fsync(directory)  # without this, the new name may be lost in a power failure
     finally:
-        os.close(folder)
+        os.close(directory)
 
 
-class DamagedStore(ConfigError):
+class StoreDamaged(ConfigError):
     """Raised if the file exists but its content is unreadable."""
 
 
-class Store:
+class AcceptorStore:
     """The file of one voter: two copies that are written alternately, each with a magic number (which includes the
     version), a checksum, an increasing number and the state. An interrupted write leaves the other copy intact, and its
     request was never answered.
@@ -44,22 +44,24 @@
         self.path = folder / f"{plain_name(name)}.agreed"
         self._number = 0
 
-    def load(self) -> Kept:
+    def load(self) -> AcceptorState:
         """Returns the stored state, or creates the file. Raises ConfigError if the file exists and cannot be used: a
         voter that forgets its promises could break an agreement, so it must not start without them."""
         try:
             raw = self.path.read_bytes()
         except FileNotFoundError:
             try:
-                write_lasting(self.path, encode_place(0, Kept()) * 2)
+                write_durably(self.path, encode_copy(0, AcceptorState()) * 2)
             except OSError as error:
                 raise ConfigError(f"rollout.folder: {error}") from None
-            return Kept()
+            return AcceptorState()
         except OSError as error:
             raise ConfigError(f"rollout.folder: {error}") from None
-        found = [read for at in (0, PLACE) if (read := decode_place(raw[at : at + PLACE])) is not None]
+        found = [
+            read for at in (0, STATE_COPY_BYTES) if (read := decode_copy(raw[at : at + STATE_COPY_BYTES])) is not None
+        ]
         if not found:
-            raise DamagedStore(
+            raise StoreDamaged(
                 f"{self.path}: what this voter had promised cannot be read (torn, or of another "
                 "version); bring the file back, or vote this one out, delete it, start, and add it "
                 "again"
@@ -79,31 +81,31 @@
         finally:
             os.close(file)
 
-    def save(self, kept: Kept) -> None:
+    def save(self, state: AcceptorState) -> None:
         """Stores the state durably. Raises OSError, and then the previous state stays in force."""
-        place, number = encode_place(self._number + 1, kept), self._number + 1
+        copy, number = encode_copy(self._number + 1, state), self._number + 1
         file = os.open(self.path, os.O_WRONLY)
         try:
-            os.pwrite(file, place, PLACE * (number % 2))
+            os.pwrite(file, copy, STATE_COPY_BYTES * (number % 2))
             os.fdatasync(file)
         finally:
             os.close(file)
         self._number = number
 
 
-def encode_place(number: int, kept: Kept) -> bytes:
+def encode_copy(number: int, state: AcceptorState) -> bytes:
     """Encodes one copy: number and state. Raises OSError if the state is too large."""
-    body = number.to_bytes(8, "big") + _encode(kept)
+    body = number.to_bytes(8, "big") + _encode(state)
     body = len(body).to_bytes(4, "big") + body
-    if len(body) > PLACE - 8:
-        raise OSError(f"a state of {len(body)} bytes has no room")
-    return (MAGIC + zlib.crc32(body).to_bytes(4, "big") + body).ljust(PLACE, b"\0")
+    if len(body) > STATE_COPY_BYTES - 8:
+        raise OSError(f"a state of {len(body)} bytes does not fit a copy of the file")
+    return (MAGIC + zlib.crc32(body).to_bytes(4, "big") + body).ljust(STATE_COPY_BYTES, b"\0")
 
 
-def decode_place(place: bytes) -> tuple[int, Kept] | None:
+def decode_copy(copy: bytes) -> tuple[int, AcceptorState] | None:
     """Decodes a copy into its number and state. Returns None if it is torn or corrupt."""
-    body = place[8 : 12 + int.from_bytes(place[8:12], "big")]
-    if place[:4] != MAGIC or zlib.crc32(body) != int.from_bytes(place[4:8], "big"):
+    body = copy[8 : 12 + int.from_bytes(copy[8:12], "big")]
+    if copy[:4] != MAGIC or zlib.crc32(body) != int.from_bytes(copy[4:8], "big"):
         return None
     try:
         return int.from_bytes(body[4:12], "big"), _decoder.decode(body[12:])
--- a/millethead/storage/identity.py
+++ b/millethead/storage/identity.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from millethead.rollout.store import write_lasting
+from millethead.rollout.store import write_durably
 from millethead.storage.files import OS_FILES
 from millethead.storage.log import LOG_NAME, CorruptLog
 
@@ -50,7 +50,7 @@
 def bootstrap_done(folder: Path, identity: DiskIdentity) -> DiskIdentity:
     """The identity with its flag cleared, durably; raises OSError, and then the old one stands."""
     done = replace(identity, bootstrapping=False)
-    write_lasting(folder / IDENTITY_NAME, encode_identity(done))
+    write_durably(folder / IDENTITY_NAME, encode_identity(done))
     return done
 
 
@@ -61,7 +61,7 @@
     with contextlib.suppress(FileNotFoundError):
         if path.read_bytes() == expected:
             return False
-    write_lasting(path, expected)
+    write_durably(path, expected)
     return True
 
 
@@ -80,7 +80,7 @@
     if (folder / LOG_NAME).exists():
         raise CorruptLog(f"{IDENTITY_NAME}: missing beside a log")
     identity = DiskIdentity(random() % (1 << DISK_ID_BITS), bootstrap)
-    write_lasting(folder / IDENTITY_NAME, encode_identity(identity))
+    write_durably(folder / IDENTITY_NAME, encode_identity(identity))
     return identity
 
 
--- a/millethead/storage/register_file.py
+++ b/millethead/storage/register_file.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from millethead.rollout.register import Kept
-from millethead.rollout.store import PLACE, decode_place, encode_place
+from millethead.rollout.register import AcceptorState
+from millethead.rollout.store import STATE_COPY_BYTES, decode_copy, encode_copy
 from millethead.storage.files import Files
 from millethead.storage.log import CorruptLog
 
@@ -28,31 +28,31 @@
     def __init__(self, files: Files, path: Path) -> None:
         self._files, self.path = files, path
         self._number = 0
-        self._last = Kept()
+        self._last = AcceptorState()
         self._copied = True
 
-    def load(self) -> Kept:
+    def load(self) -> AcceptorState:
         """What was kept, written anew: a process that was killed may have left it unsynced, and what a failed sync gave
         up can still be read. Makes the file where there is none; raises CorruptLog as `read` does."""
         try:
             kept = self.read()
         except FileNotFoundError:
             self._create()
-            return Kept()
+            return AcceptorState()
         self.save(kept)
         self.save_copy()
         return kept
 
-    def read(self) -> Kept:
+    def read(self) -> AcceptorState:
         """What was kept; raises FileNotFoundError, and CorruptLog where it cannot be known."""
         file = self._files.open(self.path)
         try:
-            self._number, self._last = self._newest(file.read(0, SLOTS * COPIES * PLACE))
+            self._number, self._last = self._newest(file.read(0, SLOTS * COPIES * STATE_COPY_BYTES))
         finally:
             file.close()
         return self._last
 
-    def save(self, kept: Kept) -> None:
+    def save(self, kept: AcceptorState) -> None:
         """Have it on the disk when this returns; after an OSError what was there still counts."""
         before = self._number, self._last
         self._number, self._last = self._number + 1, kept
@@ -72,10 +72,10 @@
     def repair(self) -> bool:
         """Read both copies of what was saved last, and write them anew where they are not there; whether that was
         needed."""
-        expected = encode_place(self._number, self._last)
+        expected = encode_copy(self._number, self._last)
         file = self._files.open(self.path)
         try:
-            bad = [copy for copy in range(COPIES) if file.read(self._offset(copy), PLACE) != expected]
+            bad = [copy for copy in range(COPIES) if file.read(self._offset(copy), STATE_COPY_BYTES) != expected]
         finally:
             file.close()
         if bad:
@@ -87,16 +87,16 @@
         new = self.path.with_name(f"{self.path.name}.new")
         file = self._files.create(new)
         try:
-            file.write(0, encode_place(0, Kept()) * (SLOTS * COPIES))
+            file.write(0, encode_copy(0, AcceptorState()) * (SLOTS * COPIES))
             file.fdatasync()
         finally:
             file.close()
         self._files.rename(new, self.path)
         self._files.sync_folder(self.path.parent)
 
-    def _newest(self, data: bytes) -> tuple[int, Kept]:
-        places = [data[at : at + PLACE] for at in range(0, len(data), PLACE)]
-        found = [decode_place(place) for place in places]
+    def _newest(self, data: bytes) -> tuple[int, AcceptorState]:
+        places = [data[at : at + STATE_COPY_BYTES] for at in range(0, len(data), STATE_COPY_BYTES)]
+        found = [decode_copy(place) for place in places]
         if len(found) < SLOTS:
             raise CorruptLog(f"{self.path.name}: cut short")
         for slot in range(SLOTS):
@@ -109,11 +109,11 @@
         return max(readable, key=lambda read: read[0])
 
     def _offset(self, copy: int) -> int:
-        return PLACE * (SLOTS * copy + self._number % SLOTS)
+        return STATE_COPY_BYTES * (SLOTS * copy + self._number % SLOTS)
 
     def _write_synced(self, copies: Iterable[int]) -> None:
         """Write copies of what was saved last, each synced before the next."""
-        place = encode_place(self._number, self._last)
+        place = encode_copy(self._number, self._last)
         file = self._files.open(self.path)
         try:
             for copy in copies:
--- a/millethead/storage/register_writer.py
+++ b/millethead/storage/register_writer.py
@@ -12,7 +12,7 @@
 from threading import Lock
 from typing import Protocol
 
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.storage.register_file import RegisterFile
 
 Callback = Callable[[], None]
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Save:
-    kept: Kept
+    kept: AcceptorState
     done: Callback
 
 
@@ -40,7 +40,7 @@
         self._due: list[_Save] = []
         self._written: deque[list[_Save]] = deque()  # whose ends are not told yet
 
-    def save(self, kept: Kept, done: Callback) -> None:
+    def save(self, kept: AcceptorState, done: Callback) -> None:
         """Have a state on the disk, and then `done` called."""
         with self._lock:
             self._due.append(_Save(kept, done))
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -22,8 +22,8 @@
 from millethead.programs.core_client import CoreClient
 from millethead.replication.place import NO_PLACE, LogPlace
 from millethead.replication.view import ChainMember, Member, View
-from millethead.rollout.register import Kept
-from millethead.rollout.store import Store
+from millethead.rollout.register import AcceptorState
+from millethead.rollout.store import AcceptorStore
 from millethead.rpc.codec import decode_any, encode, encode_any
 from millethead.scheduling.model import StepKey
 from millethead.storage.identity import load_identity
@@ -400,9 +400,9 @@
     log.append([Entry(4, len(core.chain.payloads) + 1, b"")])
     log.sync()
     log.close()
-    store = Store(folder, "view")
+    store = AcceptorStore(folder, "view")
     store.load()
-    store.save(Kept((2, "a"), (2, "a"), encode(VIEW)))
+    store.save(AcceptorState((2, "a"), (2, "a"), encode(VIEW)))
     return folder
 
 
@@ -456,7 +456,7 @@
     folder = tmp_path / "disk"
     folder.mkdir()
     load_identity(folder, False, lambda: 1)
-    Store(folder, "view").load()
+    AcceptorStore(folder, "view").load()
     log = LogFile(folder)
     log.recover()
     log.append([Entry(1, 1, encode_any(InspectCall(1, "no command")))])
--- a/tests/test_joint.py
+++ b/tests/test_joint.py
@@ -10,7 +10,7 @@
 from millethead.replication.messages import Heard, Heartbeat
 from millethead.replication.planning import DEAD_VOTER_S, Myself, plan_as_head, wanted_voters
 from millethead.replication.view import ChainMember, Member, View, ViewWithoutOutgoing, next_view
-from millethead.rollout.register import Refused, Word
+from millethead.rollout.register import ChangeRefused, RegisterMessage
 from millethead.rpc.codec import encode
 
 A, B, C, D, E, F, G = (Member(f"{name}:1", disk) for disk, name in enumerate("abcdefg", 1))
@@ -28,12 +28,12 @@
 
 def promise(made: JointRound, *members: Member, view: View = FIRST, accepted: tuple[int, str] = ACCEPTED_FIRST) -> None:
     for member in members:
-        made.take(member.name, Word("promise", BALLOT, accepted, encode(view)))
+        made.take(member.name, RegisterMessage("promise", BALLOT, accepted, encode(view)))
 
 
 def accept(made: JointRound, *members: Member) -> None:
     for member in members:
-        made.take(member.name, Word("accepted", BALLOT))
+        made.take(member.name, RegisterMessage("accepted", BALLOT))
 
 
 def test_a_view_with_other_voters_needs_a_majority_of_both() -> None:
@@ -108,7 +108,7 @@
 def test_a_view_that_an_earlier_version_wrote_is_read() -> None:
     written = encode(ViewWithoutOutgoing(FIRST.epoch, FIRST.voters, FIRST.chain))
     assert decode_view(written) == FIRST
-    with pytest.raises(Refused):
+    with pytest.raises(ChangeRefused):
         decode_view(b"\0" * 7)
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -15,7 +15,7 @@
 from millethead.replication.planning import Myself, wanted_chain
 from millethead.replication.replica import Replica, ReplicaSettings
 from millethead.replication.view import ChainMember, Member, View, next_view
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.storage.log import Recovered
 
 A, B, C, D = (Member(f"{name}:1", disk) for disk, name in enumerate("abcd", 1))
@@ -87,7 +87,18 @@
     ports = Surroundings()
     log = ReplicatedLog(SilentMachine(), Recovered(None, ()))
     replica = Replica(
-        member, 10, ReplicaSettings(), ports, ports, lambda kept, done: done(), log, Kept(), (), False, 0.0, Random(1)
+        member,
+        10,
+        ReplicaSettings(),
+        ports,
+        ports,
+        lambda kept, done: done(),
+        log,
+        AcceptorState(),
+        (),
+        False,
+        0.0,
+        Random(1),
     )
     replica.adopt(view)
     return replica
--- a/tests/test_register_file.py
+++ b/tests/test_register_file.py
@@ -8,8 +8,8 @@
 import pytest
 
 from millethead.lab.disk import Operation, SimulatedDisk
-from millethead.rollout.register import Kept
-from millethead.rollout.store import PLACE, Store, encode_place
+from millethead.rollout.register import AcceptorState
+from millethead.rollout.store import STATE_COPY_BYTES, AcceptorStore, encode_copy
 from millethead.storage.log import CorruptLog
 from millethead.storage.register_file import COPIES, SLOTS, RegisterFile
 from millethead.storage.register_writer import RegisterWriter
@@ -18,8 +18,8 @@
 SEEDS = range(40)
 
 
-def kept(number: int) -> Kept:
-    return Kept((number, "a"), (number, "a"), b"view %d" % number)
+def kept(number: int) -> AcceptorState:
+    return AcceptorState((number, "a"), (number, "a"), b"view %d" % number)
 
 
 def made(disk: SimulatedDisk, numbers: int = 2) -> RegisterFile:
@@ -31,7 +31,7 @@
     return register
 
 
-def read(disk: SimulatedDisk) -> Kept:
+def read(disk: SimulatedDisk) -> AcceptorState:
     return RegisterFile(disk, PATH).read()
 
 
@@ -51,7 +51,7 @@
     for numbers in (1, 2, 3):
         disk = SimulatedDisk(1)
         made(disk, numbers)
-        disk.flip_bit(PATH, place * PLACE + at)
+        disk.flip_bit(PATH, place * STATE_COPY_BYTES + at)
         assert read(disk) == kept(numbers)
 
 
@@ -61,7 +61,7 @@
     disk = SimulatedDisk(1)
     made(disk)
     for copy in range(COPIES):
-        disk.flip_bit(PATH, (SLOTS * copy + slot) * PLACE + 9)
+        disk.flip_bit(PATH, (SLOTS * copy + slot) * STATE_COPY_BYTES + 9)
     with pytest.raises(CorruptLog):
         RegisterFile(disk, PATH).load()
 
@@ -71,7 +71,7 @@
     register = made(disk)
     assert not register.repair()
     for copy in range(COPIES):
-        disk.flip_bit(PATH, SLOTS * copy * PLACE + 20)  # the second save is in the first place
+        disk.flip_bit(PATH, SLOTS * copy * STATE_COPY_BYTES + 20)  # the second save is in the first place
         assert register.repair() and not register.repair()
     again = RegisterFile(disk, PATH)
     again.read()
@@ -136,19 +136,19 @@
 
 def test_a_file_of_an_earlier_version_is_read_and_gets_its_copies() -> None:
     disk = SimulatedDisk(1)
-    disk.put(PATH, encode_place(4, kept(4)) + encode_place(3, kept(3)))
+    disk.put(PATH, encode_copy(4, kept(4)) + encode_copy(3, kept(3)))
     register = RegisterFile(disk, PATH)
     assert register.load() == kept(4)
     assert not register.repair()
     torn = SimulatedDisk(1)
-    torn.put(PATH, bytes(PLACE) + encode_place(3, kept(3)))
+    torn.put(PATH, bytes(STATE_COPY_BYTES) + encode_copy(3, kept(3)))
     assert RegisterFile(torn, PATH).load() == kept(3)
 
 
 def test_what_an_earlier_version_stored_is_read(tmp_path: Path) -> None:
     from millethead.storage.files import OS_FILES
 
-    store = Store(tmp_path, "view")
+    store = AcceptorStore(tmp_path, "view")
     store.load()
     store.save(kept(1))
     register = RegisterFile(OS_FILES, store.path)
@@ -205,7 +205,7 @@
 def test_what_is_told_as_saved_is_on_the_disk() -> None:
     disk, thread = SimulatedDisk(1), DiskThread()
     writer = RegisterWriter(made(disk), thread)
-    seen: list[Kept] = []
+    seen: list[AcceptorState] = []
     for number in (3, 4):
         writer.save(kept(number), lambda: seen.append(read(disk)))
     thread.do()
--- a/tests/test_replication_model.py
+++ b/tests/test_replication_model.py
@@ -21,7 +21,7 @@
 from millethead.replication.joint import JointRound
 from millethead.replication.messages import PaxosMessage
 from millethead.replication.view import ChainMember, Member, View, next_view
-from millethead.rollout.register import Acceptor, Kept
+from millethead.rollout.register import Acceptor, AcceptorState
 from millethead.rpc.codec import encode
 
 DEPTH = int(os.environ.get("REPLICATION_DEPTH", "7"))  # steps of which every order is explored
@@ -57,13 +57,13 @@
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, PaxosMessage]] = []
-        self.saves: list[tuple[Kept, tuple[tuple[str, PaxosMessage], ...]]] = []
+        self.saves: list[tuple[AcceptorState, tuple[tuple[str, PaxosMessage], ...]]] = []
         self.register: ViewRegister | None = None
 
     def send(self, address: str, message: PaxosMessage) -> None:
         self.sent.append((address, message))
 
-    def save(self, kept: Kept, done) -> None:
+    def save(self, kept: AcceptorState, done) -> None:
         """What `done` sends is kept back until the save is over."""
         before, self.sent = self.sent, []
         done()
@@ -78,8 +78,8 @@
 
     me: Member
     incarnation: int
-    durable: Kept
-    kept: Kept
+    durable: AcceptorState
+    kept: AcceptorState
     saves: tuple = ()
     view: View = FIRST
     highest: int = 1
@@ -167,7 +167,7 @@
             view = max(view, found, key=lambda one: one.epoch)
         machine = replace(
             machine,
-            kept=self.register._acceptor.kept,
+            kept=self.register._acceptor.state,
             saves=machine.saves + tuple(self.ports.saves),
             view=view,
             highest=self.register._highest,
@@ -256,12 +256,12 @@
 
 def wiped(world: World) -> World:
     """The third member's disk is lost: another voter is at its address."""
-    fresh = Machine(FRESH, 9, Kept(), Kept())
+    fresh = Machine(FRESH, 9, AcceptorState(), AcceptorState())
     return replace(world, machines=(*world.machines[:2], fresh), wiped=True, steps=(*world.steps, ("wiped",)))
 
 
 def first_world(ends: int = 1) -> World:
-    kept = Kept((1, "a"), (1, "a"), encode(FIRST))
+    kept = AcceptorState((1, "a"), (1, "a"), encode(FIRST))
     return World(tuple(Machine(member, 1, kept, kept) for member in (A, B, C)), ends=ends)
 
 
--- a/tests/test_restoring.py
+++ b/tests/test_restoring.py
@@ -12,7 +12,7 @@
 from millethead.programs.command_line import ExitCode, app
 from millethead.programs.offline import read_disk, save_snapshot
 from millethead.programs.restoring import EPOCH_MARGIN, restore_snapshot
-from millethead.rollout.store import Store
+from millethead.rollout.store import AcceptorStore
 from millethead.storage.identity import load_identity
 from millethead.storage.log import LogFile
 from millethead.storage.records import CorruptLog
@@ -77,7 +77,7 @@
     empty = tmp_path / "empty"
     empty.mkdir()
     load_identity(empty, False, lambda: 5)
-    Store(empty, "view").load()
+    AcceptorStore(empty, "view").load()
     log = LogFile(empty)
     log.recover()
     log.close()
--- a/tests/test_rollout_processes.py
+++ b/tests/test_rollout_processes.py
@@ -1,4 +1,4 @@
-"""Drains and releases agreed across several processes of the program, on loopback, with faults between them."""
+"""Tests of drains and releases with several dispatcher processes on loopback and injected network faults."""
 
 import asyncio
 import os
@@ -15,12 +15,12 @@
 from millethead.rollout.state import DISPATCHERS
 
 SEED = int(os.environ.get("ROLLOUT_SEED", "0")) or int(time.time())
-BOX = "workers:newer-box"
+WORKER_GROUP = "workers:newer-box"
 
 
 class Releases(unittest.IsolatedAsyncioTestCase):
     async def pack(self, count=3, rollout="dispatchers = 1\npools = {newer-box = 1}\nback = 20000\nlease = 8000"):
-        # a traceback for each callback, as unittest has it, takes all of this process's time: the relay falls behind
+        # unittest's debug mode records a traceback for each callback, and the relay in this process falls behind
         asyncio.get_running_loop().set_debug(False)
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -35,7 +35,8 @@
         return pack
 
     async def ask(self, pack, name, path, body=None):
-        """A call of the staff; put again, as they would, where a busy machine let no majority answer in time."""
+        """Calls the console, and repeats the call while a busy machine lets no majority answer in time, as an operator
+        would."""
         unsure = False
         for _ in range(30):
             status, text = await pack.call(name, "POST", path, body)
@@ -43,13 +44,14 @@
                 break
             unsure = unsure or "may still come to be" in text
             await asyncio.sleep(0.3)
-        return (200 if unsure and status == 409 else status), text  # it came to be after all
+        return (200 if unsure and status == 409 else status), text  # the earlier call took effect after all
 
-    def holds(self, pack, dispatchers=1, workers=1):
-        """Whatever happened: never more out than may be, nothing done twice, no job without its answer."""
+    def check_invariants(self, pack, dispatchers=1, workers=1):
+        """Checks the invariants: the budget is never exceeded, no step is executed twice, every job is answered
+        once."""
         most = most_out(pack.said)
         self.assertLessEqual(most.get(DISPATCHERS, 0), dispatchers, SEED)
-        self.assertLessEqual(most.get(BOX, 0), workers, SEED)
+        self.assertLessEqual(most.get(WORKER_GROUP, 0), workers, SEED)
         self.assertLessEqual(gone_at_once(pack.said), dispatchers, SEED)
         self.assertEqual(done_twice(pack.said), [], SEED)
         self.assertEqual(pack.twice(), [], SEED)
@@ -59,7 +61,7 @@
     def versions(self, pack):
         return {name: node.version for name, node in pack.nodes.items()}
 
-    async def test_two_operators_ask_for_the_last_slot_at_once_and_calls_say_why_not(self):
+    async def test_two_operators_request_the_last_slot_at_once_and_refusals_state_the_reason(self):
         pack = await self.pack()
         asked = await asyncio.gather(
             *(self.ask(pack, f"d{n}", "/fleet/drain", {"worker": f"s-{n + 1:08x}"}) for n in range(3))
@@ -89,7 +91,7 @@
                 self.assertEqual((got, text.count("\n")), (status, 1), text)
                 self.assertIn(says, text)
         self.assertEqual((await pack.call("d1", "POST", "/fleet"))[0], 405)
-        # every dispatcher leaves it out, and uses it again once it has started anew and answers
+        # every dispatcher excludes the worker, and uses it again after it has restarted and answers
         for name in pack.nodes:
             text = (await pack.call(name, "GET", "/ops/stats"))[1]
             self.assertIn("dispatcher_hosts_down 1\n", text)
@@ -100,13 +102,13 @@
         await asyncio.sleep(0.5)
         for name in pack.nodes:
             self.assertIn("dispatcher_hosts_down 0\n", (await pack.call(name, "GET", "/ops/stats"))[1])
-        # a drain taken back by hand
+        # a drain cancelled by hand
         self.assertEqual((await self.ask(pack, "d2", "/fleet/drain", {"worker": out}))[0], 200)
         self.assertEqual((await self.ask(pack, "d0", "/fleet/undo", {"worker": out}))[0], 200)
         self.assertEqual((await pack.fleet("d0"))["out"], [])
-        self.holds(pack)
+        self.check_invariants(pack)
 
-    async def test_a_release_goes_step_by_step_under_load_and_a_bad_one_halts_and_goes_back(self):
+    async def test_a_release_runs_step_by_step_under_load_and_a_bad_one_halts_and_is_undone(self):
         pack = await self.pack()
         pack.load()
         await asyncio.sleep(1.5)
@@ -115,7 +117,7 @@
         self.assertEqual((await self.ask(pack, "d2", "/fleet/release", plan))[0], 409)
         await pack.reach("d2", "done")
         self.assertEqual(set(self.versions(pack).values()), {"2"})
-        self.assertEqual(len(pack.starts), 6)  # each process once more
+        self.assertEqual(len(pack.starts), 6)  # each process restarted once
         pack.bad.add("3")
         plan = {"version": "3", "steps": [["d2"], ["d0", "d1"]], "soak_s": 30, "health": {"least": 10}}
         self.assertEqual((await self.ask(pack, "d0", "/fleet/release", plan))[0], 200)
@@ -129,21 +131,21 @@
         self.assertEqual(set(self.versions(pack).values()), {"2"})
         self.assertEqual(pack.unanswered, [], pack.ends())
         self.assertGreater(pack.total(200), 300)
-        self.holds(pack)
+        self.check_invariants(pack)
 
-    async def test_a_release_of_booking_workers_under_load_with_a_third_worker_out_by_hand(self):
+    async def test_a_release_of_booking_workers_under_load_with_another_worker_drained_by_hand(self):
         pack = await self.pack()
         pack.load()
 
         async def runs_workers():
-            """Whoever runs the workers: one that is out is started anew."""
+            """Supervisor of the booking workers: restarts each one that is out."""
             started = set()
             while True:
                 await asyncio.sleep(0.1)
                 for slot in (await pack.fleet("d1")).get("out", []):
                     if slot["token"] not in started:
                         started.add(slot["token"])
-                        await asyncio.sleep(0.5)  # what stands there ends
+                        await asyncio.sleep(0.5)  # running jobs end
                         await pack.good_list.change(slot["member"], since_ms=int(time.time() * 1000))
 
         runner = asyncio.create_task(runs_workers())
@@ -158,17 +160,17 @@
         downs = [(await pack.call(name, "GET", "/ops/stats"))[1] for name in pack.nodes]
         self.assertEqual(["dispatcher_hosts_down 1\n" in text for text in downs], [False, False, True])
         self.assertEqual(pack.unanswered, [], pack.ends())
-        self.holds(pack)
+        self.check_invariants(pack)
 
-    async def test_a_cut_grants_nothing_and_halt_and_resume_reach_across_it(self):
+    async def test_a_partitioned_dispatcher_gets_nothing_and_halt_and_resume_apply_after_the_heal(self):
         pack = await self.pack()
         plan = {"version": "2", "steps": [["d0"], ["d1"], ["d2"]], "soak_s": 1.5}
         self.assertEqual((await self.ask(pack, "d1", "/fleet/release", plan))[0], 200)
         await pack.until(lambda: pack.nodes["d0"].version == "2", 30)
-        pack.faults.split({"d0"}, {"d1", "d2"})  # the one that drives is cut off, with a slot out
+        pack.faults.split({"d0"}, {"d1", "d2"})  # the driver is partitioned while a slot is out
         for call, body in (("/fleet/drain", {"worker": "s-00000001"}), ("/fleet/halt", {})):
             status, text = await pack.call("d0", "POST", call, body)
-            self.assertIn(status, (0, 503), text)  # 0: its process is just being replaced
+            self.assertIn(status, (0, 503), text)  # 0: its process is being replaced
         self.assertEqual((await self.ask(pack, "d2", "/fleet/halt"))[0], 200)
         status, text = await self.ask(pack, "d1", "/fleet/halt")
         self.assertEqual((status, "no release is under way" in text), (409, True))
@@ -179,22 +181,22 @@
         self.assertEqual((await self.ask(pack, "d0", "/fleet/resume"))[0], 200)
         await pack.reach("d2", "done", 60)
         self.assertEqual(set(self.versions(pack).values()), {"2"})
-        self.holds(pack)
+        self.check_invariants(pack)
 
-    async def test_the_driver_killed_in_the_middle_of_a_step_is_taken_over(self):
+    async def test_another_dispatcher_takes_over_when_the_driver_is_killed_in_a_step(self):
         pack = await self.pack()
         plan = {"version": "2", "steps": [["d1", "d2"], ["d0"]], "soak_s": 1.0}
         self.assertEqual((await self.ask(pack, "d1", "/fleet/release", plan))[0], 200)
         await pack.until(lambda: any(x.event == "rollout_goes" and x.node == "d1" for x in pack.said))
         pack.down.add("d0")
-        pack.kill("d0")  # it drove; d1 is out just now, and d2 alone is no majority until d1 is back
+        pack.kill("d0")  # d0 was the driver. d1 is out, and d2 alone is no majority until d1 is back.
         await pack.until(lambda: any(x.event == "rollout_goes" and x.node == "d2" for x in pack.said), 40)
         pack.down.clear()
         await pack.reach("d1", "done", 60)
         self.assertEqual(set(self.versions(pack).values()), {"2"})
-        self.holds(pack, dispatchers=1)
+        self.check_invariants(pack, dispatchers=1)
 
-    async def test_one_that_never_comes_back_halts_and_its_slot_returns_after_its_lease(self):
+    async def test_a_dispatcher_that_never_returns_halts_the_release_and_its_slot_is_freed_after_its_lease(self):
         pack = await self.pack()
         pack.down.add("d2")
         plan = {"version": "2", "steps": [["d2"], ["d0", "d1"]], "soak_s": 0.5, "back_s": 4}
@@ -209,11 +211,11 @@
             lambda: any(x.event == "rollout_step" and "lease of d2 is over" in x.fields["what"] for x in pack.said), 30
         )
         self.assertEqual((await pack.fleet("d0"))["out"], [])
-        self.holds(pack)
+        self.check_invariants(pack)
 
-    async def test_one_that_cannot_say_what_it_wants_stays_and_goes_after_a_resume(self):
+    async def test_a_dispatcher_that_cannot_store_its_version_keeps_running_and_restarts_after_a_resume(self):
         pack = await self.pack()
-        (pack.folder / "d1.wanted").mkdir()  # as a full disk would: the file cannot be written
+        (pack.folder / "d1.wanted").mkdir()  # stands for a full disk: the file cannot be written
         plan = {"version": "2", "steps": [["d1"], ["d0", "d2"]], "soak_s": 0.2, "back_s": 3}
         self.assertEqual((await self.ask(pack, "d0", "/fleet/release", plan))[0], 200)
         await pack.reach("d0", "halted", 30)
@@ -221,15 +223,15 @@
         (pack.folder / "d1.wanted").rmdir()
         self.assertEqual((await self.ask(pack, "d2", "/fleet/resume"))[0], 200)
         while (status := await pack.release("d0")) != "done":
-            if status == "halted":  # 3 s are short on a loaded machine
+            if status == "halted":  # 3 s may be too short on a loaded machine
                 await self.ask(pack, "d2", "/fleet/resume")
             await asyncio.sleep(0.2)
         self.assertEqual(self.versions(pack), dict.fromkeys(pack.nodes, "2"))
-        self.holds(pack)
+        self.check_invariants(pack)
 
-    async def test_voters_and_stewards_that_are_gone_for_good_are_replaced_without_a_stop(self):
+    async def test_lost_voters_and_stewards_are_replaced_in_service(self):
         pack = await self.pack(5, "dispatchers = 1\npools = {newer-box = 1}\nlease = 3000\noffice = 1500")
-        # d0 and d1, of the three voters and stewards, go for good, one after the other
+        # Two of the three voters and stewards, d0 and d1, go for good, one after the other.
         for gone, heir in (("d0", "d3"), ("d1", "d4")):
             pack.down.add(gone)
             pack.kill(gone)
@@ -238,7 +240,7 @@
             self.assertEqual((await self.ask(pack, "d2", "/fleet/voters", {"add": heir}))[0], 200)
         fleet = await pack.fleet("d3")
         self.assertEqual((sorted(fleet["voters"]), fleet["voters_there"]), (["d2", "d3", "d4"], fleet["voters"]))
-        # their parts go to those that are there, once all that they may have lent has run out
+        # Their parts go to live members, once all their grants have expired.
         await pack.until(
             lambda: any(
                 x.fields.get("units")
@@ -251,7 +253,7 @@
             ),
             40,
         )
-        # one that starts with the old file, whose first two voters are gone, finds those that decide now
+        # A restarted dispatcher with the old configuration, whose first two voters are gone, finds the current voters.
         pack.signal("d2", signal.SIGKILL)
         await pack.until(lambda: len(pack.starts) == 6, 30)
         self.assertEqual((await self.ask(pack, "d2", "/fleet/drain", {"worker": "s-00000001"}))[0], 200)
@@ -268,9 +270,9 @@
                 got, text = await self.ask(pack, "d4", call, body)
                 self.assertEqual((got, text.count("\n")), (status, 1), text)
                 self.assertIn(says, text)
-        self.holds(pack, dispatchers=0)
+        self.check_invariants(pack, dispatchers=0)
 
-    async def test_a_budget_of_none_and_a_drain_of_a_dispatcher(self):
+    async def test_a_budget_of_zero_and_the_drain_of_a_dispatcher(self):
         pack = await self.pack(rollout="dispatchers = 0\npools = {newer-box = 0}")
         for body in ({"member": "d1"}, {"worker": "s-00000001"}):
             status, text = await self.ask(pack, "d0", "/fleet/drain", body)
@@ -281,9 +283,9 @@
         pack = await self.pack(rollout='dispatchers = "50%"')
         self.assertEqual((await pack.fleet("d0"))["groups"][DISPATCHERS], {"out": 0, "max_out": 1})
         self.assertEqual((await self.ask(pack, "d0", "/fleet/drain", {"member": "d1"}))[0], 200)
-        await pack.until(lambda: len(pack.starts) == 4, 30)  # it went, and whoever looks after it started it anew
+        await pack.until(lambda: len(pack.starts) == 4, 30)  # it shut down, and the supervisor restarted it
         await pack.until(lambda: any(x.event == "rollout_step" and "d1 is back" in x.fields["what"] for x in pack.said))
-        # killed with what it had promised on disk: it starts, and the fleet's state is known to it
+        # A killed voter restarts with its stored promises and learns the fleet's state.
         pack.signal("d2", signal.SIGKILL)
         await pack.until(lambda: len(pack.starts) == 5, 30)
         await pack.until(
@@ -292,4 +294,4 @@
             ),
             30,
         )
-        self.holds(pack)
+        self.check_invariants(pack)
