--- a/millethead/members/shell.py
+++ b/millethead/members/shell.py
@@ -18,10 +18,10 @@
 from millethead.console.figures import More
 from millethead.logs import Sparing
 from millethead.members.messages import Record, State
-from millethead.members.offices import StewardAssignment
 from millethead.members.peers import SwimSettings
 from millethead.members.setup import MembersSetup
 from millethead.members.share import UNITS
+from millethead.members.steward_role import StewardAssignment
 from millethead.members.swim import Outgoing, Swim
 from millethead.members.wire import DROP_CAUSES, DatagramDropped, MemberCodec
 
--- a/millethead/members/swim.py
+++ b/millethead/members/swim.py
@@ -15,9 +15,9 @@
 
 from millethead.members.dissemination import Dissemination
 from millethead.members.messages import Message, Record, State, Update
-from millethead.members.offices import StewardRole
 from millethead.members.peers import Peer, Probe, SwimSettings
 from millethead.members.share import Share, Steward
+from millethead.members.steward_role import StewardRole
 
 Outgoing = tuple[str, Message]  # (address, message)
 
--- a/millethead/rollout/shell.py
+++ b/millethead/rollout/shell.py
@@ -18,8 +18,8 @@
 import structlog
 
 from millethead.config import ConfigError
-from millethead.members.offices import StewardAssignment
 from millethead.members.shell import Members
+from millethead.members.steward_role import StewardAssignment
 from millethead.members.wire import DatagramCodec
 from millethead.rollout import state as fleet_state
 from millethead.rollout.agreement import CHANGE_TIMEOUT_S, Agreement, NoMajority
--- a/millethead/rollout/state.py
+++ b/millethead/rollout/state.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from millethead.members.offices import StewardAssignment
+from millethead.members.steward_role import StewardAssignment
 from millethead.rollout.register import ChangeRefused
 
 SCHEMA_VERSION = 2  # version 1 had no voters and no stewards
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -15,7 +15,6 @@
 from millethead.lab.faults import Link
 from millethead.lab.world import TUNE, World
 from millethead.members.messages import Message, Record, State, Update
-from millethead.members.offices import StewardAssignment
 from millethead.members.peers import SwimSettings
 from millethead.members.share import (
     MAX_CLOCK_DRIFT,
@@ -26,6 +25,7 @@
     Steward,
     WindowMaximum,
 )
+from millethead.members.steward_role import StewardAssignment
 from millethead.members.wire import DatagramDropped, MemberCodec
 from millethead.operators import load_operator
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -16,9 +16,9 @@
 from hypothesis import strategies as st
 
 from millethead.config import ConfigError
-from millethead.members.offices import StewardAssignment
 from millethead.members.setup import MembersSetup
 from millethead.members.shell import Members
+from millethead.members.steward_role import StewardAssignment
 from millethead.operators import load_operator
 from millethead.rollout import state as fleet_state
 from millethead.rollout.driver import Driver, SubjectView
