--- a/millethead/rollout/agreement.py
+++ b/millethead/rollout/agreement.py
@@ -17,7 +17,7 @@
 
 from millethead.rollout import state as fleet_state
 from millethead.rollout.driver import Change
-from millethead.rollout.notes import RolloutMessage
+from millethead.rollout.messages import RolloutMessage
 from millethead.rollout.register import ZERO_BALLOT, Acceptor, ChangeRefused, RegisterMessage, Round
 from millethead.rollout.state import State
 from millethead.rollout.store import AcceptorStore
