--- a/millethead/rollout/shell.py
+++ b/millethead/rollout/shell.py
@@ -25,9 +25,9 @@
 from millethead.rollout.agreement import CHANGE_TIMEOUT_S, Agreement, NoMajority
 from millethead.rollout.driver import Change, Driver, SubjectView
 from millethead.rollout.health import Counts
-from millethead.rollout.judging import ReleaseHealth
 from millethead.rollout.messages import MAX_DATAGRAM_BYTES, PREFIX, RolloutMessage
 from millethead.rollout.register import ChangeRefused
+from millethead.rollout.release_health import ReleaseHealth
 from millethead.rollout.setup import RolloutSetup, max_out_of
 from millethead.rollout.state import DISPATCHERS, Release, State
 from millethead.rollout.store import AcceptorStore, write_durably
