--- a/millethead/members/peers.py
+++ b/millethead/members/peers.py
@@ -14,7 +14,7 @@
 
     period_s: float = 0.5
     probe_timeout_s: float = 0.2
-    indirect_probes: int = 3
+    indirect_probes: int = 3  # members that are asked to probe a target that did not answer
     max_health_score: int = 8
     suspicion_alpha: float = 4.0  # minimum suspicion timeout: suspicion_alpha * log10(n) probe periods
     suspicion_beta: float = 6.0  # maximum suspicion timeout, without confirmations: suspicion_beta times the minimum
@@ -22,13 +22,12 @@
     retransmit_factor: int = 4  # each update is sent retransmit_factor * log10(n + 1) times
     max_updates_per_message: int = 6  # also the number of updates in one part of a full state
     max_queued_updates: int = 256
-    max_members: int = 512
-    window_s: float = 10.0
+    max_members: int = 512  # members known at once, in any state
+    window_s: float = 10.0  # a smaller fleet is accepted only after this time
     lease_s: float = 3.0
     sync_interval_periods: int = 20  # a full state exchange every so many probe periods
-    dead_sync_interval_periods: int = (
-        4  # and one with a dead member, which may have been behind a network partition that has healed
-    )
+    # and one with a dead member, which may have been behind a network partition that has healed
+    dead_sync_interval_periods: int = 4
     stewards: tuple[str, ...] = ()
     steward_confirmation_s: float = math.inf  # a steward grants leases for this long after its assignment was confirmed
 
--- a/millethead/members/swim.py
+++ b/millethead/members/swim.py
@@ -372,10 +372,10 @@
         there is none."""
         if len(self.peers) < self.settings.max_members:
             return True
-        gone = [name for name, peer in self.peers.items() if peer.state in (State.DEAD, State.LEFT)]
-        if gone:
-            del self.peers[min(gone, key=lambda name: self.peers[name].state_since)]
-        return bool(gone)
+        departed = [name for name, peer in self.peers.items() if peer.state in (State.DEAD, State.LEFT)]
+        if departed:
+            del self.peers[min(departed, key=lambda name: self.peers[name].state_since)]
+        return bool(departed)
 
     def _queue_update(self, update: Update) -> None:
         self._updates.add(update, len(self.peers))
--- a/millethead/rollout/calls.py
+++ b/millethead/rollout/calls.py
@@ -97,7 +97,7 @@
     }
     return {
         "/fleet": ("GET", endpoints.page),
-        **{path: ("POST", partial(endpoints.post, do)) for path, do in posts.items()},
+        **{path: ("POST", partial(endpoints.post, handler)) for path, handler in posts.items()},
     }
 
 
@@ -110,7 +110,7 @@
     async def page(self, request: Request) -> Reply:
         return json_reply(200, fleet_page(self.rollout))
 
-    async def post(self, do: Callable[[Any], Awaitable[State]], request: Request) -> Reply:
+    async def post(self, handler: Callable[[Any], Awaitable[State]], request: Request) -> Reply:
         """Runs a call and maps its errors to a status. 409: the change was refused; 503: no majority answered; 400 and
         404: invalid call."""
         try:
@@ -118,7 +118,7 @@
         except (ValueError, RecursionError):
             return _refusal(400, "a JSON object is wanted")
         try:
-            state = await do(raw)
+            state = await handler(raw)
         except ConfigError as error:
             return _refusal(400, str(error))
         except UnknownName as error:
@@ -129,7 +129,7 @@
             return _refusal(503, str(error))
         return json_reply(200, {"agreed": True, "rev": state.rev, **fleet_page(self.rollout)})
 
-    # ---- the calls ---------------------------------------------------------------------------------------
+    # ---- handlers ---------------------------------------------------------------------------------------
 
     async def drain(self, raw: Any) -> State:
         named, rollout = read_table(raw, SubjectName, "drain"), self.rollout
--- a/millethead/rollout/host.py
+++ b/millethead/rollout/host.py
@@ -25,11 +25,11 @@
         self._next_finished, stage.finished = stage.finished, self._count_answer
         exchange.on_attempt, exchange.on_probe = self._count_attempt, self._record_probe
 
-    def _count_answer(self, order: Order, answer: Answer | None, came: float, ended: float) -> None:
+    def _count_answer(self, order: Order, answer: Answer | None, arrived_ms: float, ended_ms: float) -> None:
         if answer is not None and answer.final is Final.SERVED:
-            self._served_ms[order.job_class] += ended - came
+            self._served_ms[order.job_class] += ended_ms - arrived_ms
         if self._next_finished is not None:
-            self._next_finished(order, answer, came, ended)
+            self._next_finished(order, answer, arrived_ms, ended_ms)
 
     def _count_attempt(self, attempt: Attempt, outcome: Outcome, ms: float) -> None:
         if outcome is Outcome.CANCELLED:  # cancelled by the dispatcher, which says nothing about the worker
--- a/millethead/rollout/store.py
+++ b/millethead/rollout/store.py
@@ -98,7 +98,7 @@
     body = number.to_bytes(8, "big") + _encode(state)
     body = len(body).to_bytes(4, "big") + body
     if len(body) > STATE_COPY_BYTES - 8:
-        raise OSError(f"a state of {len(body)} bytes does not fit a copy of the file")
+        raise OSError(f"a state of {len(body)} bytes has no room")
     return (MAGIC + zlib.crc32(body).to_bytes(4, "big") + body).ljust(STATE_COPY_BYTES, b"\0")
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -420,9 +420,8 @@
             steward.request(0.0, (f"h{n}", 0.0), 1, 2 * MAX_HOLDERS)
         self.assertLessEqual(len(steward._grants_by_holder), MAX_HOLDERS)
         self.assertIsNone(steward.request(0.0, ("late", 0.0), 1, 1))
-        self.assertIsNotNone(
-            steward.request(2.0 * (1 + MAX_CLOCK_DRIFT), ("late", 0.0), 1, 1)
-        )  # expired holders make room
+        # expired holders make room
+        self.assertIsNotNone(steward.request(2.0 * (1 + MAX_CLOCK_DRIFT), ("late", 0.0), 1, 1))
         for n in range(3 * MAX_GRANTS_PER_HOLDER):
             steward.request(3.0, ("late", 0.0), 2 + n, 1)
         self.assertLessEqual(len(steward._grants_by_holder["late", 0.0].grants), MAX_GRANTS_PER_HOLDER)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -69,71 +69,81 @@
         self.names = sorted(name for group in alike for name in group)
         self.alike = [[self.names.index(name) for name in group] for group in alike]
         self.attempts, self.short = attempts, short  # (ballot, change) of each proposer, which may start at any time
-        kept = AcceptorState((1, ""), (1, ""), first) if first else AcceptorState()
-        voters = tuple(kept if name in VOTERS else AcceptorState() for name in self.names)
+        stored = AcceptorState((1, ""), (1, ""), first) if first else AcceptorState()
+        voters = tuple(stored if name in VOTERS else AcceptorState() for name in self.names)
         self.start = voters, (None,) * len(attempts), frozenset()
 
     def key(self, state):
         """Returns the same key for states that differ only by the names of `alike` voters: everything about a voter is
         one record, and a proposer only counts them."""
-        voters, rounds, post = state
+        voters, rounds, network = state
         about = [[] for _ in voters]
-        for n, v, word in post:
-            about[v].append((n, word))
+        for n, v, message in network:
+            about[v].append((n, message))
         records = [
             hash(
                 (
-                    kept,
+                    stored,
                     frozenset(about[v]),
-                    tuple(one and (self.names[v] in one._promised, self.names[v] in one._accepted) for one in rounds),
+                    tuple(
+                        paxos_round and (self.names[v] in paxos_round._promised, self.names[v] in paxos_round._accepted)
+                        for paxos_round in rounds
+                    ),
                 )
             )
-            for v, kept in enumerate(voters)
+            for v, stored in enumerate(voters)
         ]
         return hash(
             (
                 *(tuple(sorted(records[v] for v in group)) for group in self.alike),
                 *(
-                    one and (one.value, one._newest_accepted, one.superseded_by, one.refusal is None, one.voters)
-                    for one in rounds
+                    paxos_round
+                    and (
+                        paxos_round.value,
+                        paxos_round._newest_accepted,
+                        paxos_round.superseded_by,
+                        paxos_round.refusal is None,
+                        paxos_round.voters,
+                    )
+                    for paxos_round in rounds
                 ),
             )
         )
 
     def next(self, state):
-        voters, rounds, post = state
-        for n, one in enumerate(rounds):
-            if one is None:
+        voters, rounds, network = state
+        for n, paxos_round in enumerate(rounds):
+            if paxos_round is None:
                 made = Round(
                     self.attempts[n][0],
                     VOTERS,
                     on_bytes(self.attempts[n][1]),
                     lambda old: fleet_state.decode_state(old).voters,
                 )
-                yield voters, self._with(rounds, n, made), post | self.asks(n, made)
-        for n, v, word in post:
-            if word.kind in ("prepare", "accept"):
+                yield voters, self._with(rounds, n, made), network | self.asks(n, made)
+        for n, v, message in network:
+            if message.kind in ("prepare", "accept"):
                 acceptor = Acceptor(voters[v])
-                answer, _ = acceptor.handle(word)
+                answer, _ = acceptor.handle(message)
                 if self.short:
-                    left, moved = post - {(n, v, word)}, self._with(voters, v, acceptor.state)
+                    left, moved = network - {(n, v, message)}, self._with(voters, v, acceptor.state)
                     if answer.kind == "promise":
                         yield moved, rounds, left
                     if answer.kind != "nack":
-                        one = copy.copy(rounds[n])
-                        more = one.handle(self.names[v], answer)
-                        asked = self.asks(n, one) if more else set()
-                        yield moved, self._with(rounds, n, one), left | asked
+                        paxos_round = copy.copy(rounds[n])
+                        more = paxos_round.handle(self.names[v], answer)
+                        asked = self.asks(n, paxos_round) if more else set()
+                        yield moved, self._with(rounds, n, paxos_round), left | asked
                     continue
-                yield self._with(voters, v, acceptor.state), rounds, (post - {(n, v, word)}) | {(n, v, answer)}
+                yield self._with(voters, v, acceptor.state), rounds, (network - {(n, v, message)}) | {(n, v, answer)}
             else:
-                one = copy.copy(rounds[n])
-                more = one.handle(self.names[v], word)
-                asked = self.asks(n, one) if more else set()
-                yield voters, self._with(rounds, n, one), (post - {(n, v, word)}) | asked
+                paxos_round = copy.copy(rounds[n])
+                more = paxos_round.handle(self.names[v], message)
+                asked = self.asks(n, paxos_round) if more else set()
+                yield voters, self._with(rounds, n, paxos_round), (network - {(n, v, message)}) | asked
 
-    def asks(self, n, one):
-        return {(n, self.names.index(name), one.request()) for name in one.voters}
+    def asks(self, n, paxos_round):
+        return {(n, self.names.index(name), paxos_round.request()) for name in paxos_round.voters}
 
     @staticmethod
     def _with(entries, n, entry):
@@ -142,20 +152,20 @@
     @staticmethod
     def settle(state):
         """Drops messages that can have no effect any more. The possible futures stay the same with fewer states."""
-        voters, rounds, post = state
+        voters, rounds, network = state
         useful = set()
-        for n, v, word in post:
-            one = rounds[n]
-            over = one.is_chosen or one.superseded_by is not None
-            if over and word.kind not in ("prepare", "accept"):
+        for n, v, message in network:
+            paxos_round = rounds[n]
+            over = paxos_round.is_chosen or paxos_round.superseded_by is not None
+            if over and message.kind not in ("prepare", "accept"):
                 continue
             if (
-                (word.kind == "promise" or word.kind == "prepare")
-                and one.value is not None
-                and (word.kind == "promise" or word.ballot < voters[v].promised)
+                (message.kind == "promise" or message.kind == "prepare")
+                and paxos_round.value is not None
+                and (message.kind == "promise" or message.ballot < voters[v].promised)
             ):
                 continue
-            useful.add((n, v, word))
+            useful.add((n, v, message))
         return voters, rounds, frozenset(useful)
 
     def explore(self, check, most=10**6, enough=10**9):
@@ -292,7 +302,7 @@
         rng = random.Random(seed)
         names = tuple(f"v{n}" for n in range(5))
         voters = {name: Acceptor() for name in names}
-        post, rounds, top, history, begun_tokens = [], {}, 0, {}, []
+        network, rounds, top, history, begun_tokens = [], {}, 0, {}, []
         plan = Release(0, DISPATCHERS, "2", (("d0",), ("d1", "d2")), 1, 0.0, 9.0)
         most = 2
         for _ in range(rng.randrange(50, 300)):
@@ -323,33 +333,33 @@
                 top = max(1, top + rng.choice((0, 1, 1, 2)))
                 # each attempt is a process of its own, so ballots are never shared
                 ballot = (top, f"{who}@{len(rounds)}")
-                rounds[ballot] = one = Round(ballot, names, on_bytes(change)), change
-                post += [(ballot, v, one[0].request()) for v in names]
+                rounds[ballot] = paxos_round = Round(ballot, names, on_bytes(change)), change
+                network += [(ballot, v, paxos_round[0].request()) for v in names]
             elif what < 0.15 and rounds:
                 rounds.pop(rng.choice(sorted(rounds)))  # the proposer is killed and loses its state
-            elif post:
-                ballot, v, word = post[rng.randrange(len(post))]
+            elif network:
+                ballot, v, message = network[rng.randrange(len(network))]
                 if rng.random() < 0.8:
-                    post.remove((ballot, v, word))
+                    network.remove((ballot, v, message))
                 if rng.random() < 0.15 or ballot not in rounds:
                     continue
-                one, change = rounds[ballot]
-                if word.kind in ("prepare", "accept"):
-                    kept = Acceptor(voters[v].state)  # as loaded from its file
-                    post.append((ballot, v, kept.handle(word)[0]))
-                    voters[v] = kept
+                paxos_round, change = rounds[ballot]
+                if message.kind in ("prepare", "accept"):
+                    stored = Acceptor(voters[v].state)  # as loaded from its file
+                    network.append((ballot, v, stored.handle(message)[0]))
+                    voters[v] = stored
                     continue
-                before = one.is_chosen
-                if one.handle(v, word):
-                    post += [(ballot, w, one.request()) for w in names]
-                if one.is_chosen and not before:
-                    state = fleet_state.decode_state(one.value)
+                before = paxos_round.is_chosen
+                if paxos_round.handle(v, message):
+                    network += [(ballot, voter, paxos_round.request()) for voter in names]
+                if paxos_round.is_chosen and not before:
+                    state = fleet_state.decode_state(paxos_round.value)
                     self.assertEqual(history.setdefault(state.rev, state), state, seed)
                     self.assertLessEqual(state.out_count(DISPATCHERS), most)
                     if state.release is not None:
                         ours = [s for s in state.slots if abs(s.release) == state.release.id]
                         self.assertLessEqual(len(ours), plan.max_out)
-                    if one.refusal is None and getattr(change, "func", None) is fleet_state.begin_restart:
+                    if paxos_round.refusal is None and getattr(change, "func", None) is fleet_state.begin_restart:
                         begun_tokens.append(change.keywords["token"])
         self.assertEqual(len(begun_tokens), len(set(begun_tokens)), seed)
         tokens = [(s.token, s.subject) for state in history.values() for s in state.slots]
@@ -588,21 +598,22 @@
         has learned of."""
         now = ("v2", "v3", "v4")
         value = fleet_state.encode_state(State(rev=4, voters=now))
-        one = Round(
+        paxos_round = Round(
             (9, "d9"),
             VOTERS,
             on_bytes(partial(fleet_state.add_voter, name="v5")),
             lambda b: fleet_state.decode_state(b).voters,
         )
-        self.assertTrue(one.handle("v2", RegisterMessage("promise", (9, "d9"), (4, "d0"), value)))  # new voters to ask
-        self.assertEqual(one.voters, now)
-        self.assertFalse(one.handle("v1", RegisterMessage("promise", (9, "d9"))))  # no longer a voter
-        self.assertIsNone(one.value)
-        self.assertTrue(one.handle("v4", RegisterMessage("promise", (9, "d9"), (4, "d0"), value)))
-        self.assertFalse(one.handle("v1", RegisterMessage("accepted", (9, "d9"))) or one.is_chosen)
-        one.handle("v2", RegisterMessage("accepted", (9, "d9")))
-        one.handle("v3", RegisterMessage("accepted", (9, "d9")))
-        self.assertTrue(one.is_chosen)
+        # new voters to ask
+        self.assertTrue(paxos_round.handle("v2", RegisterMessage("promise", (9, "d9"), (4, "d0"), value)))
+        self.assertEqual(paxos_round.voters, now)
+        self.assertFalse(paxos_round.handle("v1", RegisterMessage("promise", (9, "d9"))))  # no longer a voter
+        self.assertIsNone(paxos_round.value)
+        self.assertTrue(paxos_round.handle("v4", RegisterMessage("promise", (9, "d9"), (4, "d0"), value)))
+        self.assertFalse(paxos_round.handle("v1", RegisterMessage("accepted", (9, "d9"))) or paxos_round.is_chosen)
+        paxos_round.handle("v2", RegisterMessage("accepted", (9, "d9")))
+        paxos_round.handle("v3", RegisterMessage("accepted", (9, "d9")))
+        self.assertTrue(paxos_round.is_chosen)
 
     def test_a_refused_first_change_keeps_the_configured_voters_and_stewards(self):
         """Guards against stewards that stop granting. A refused first change confirmed an empty value, and a steward
@@ -666,17 +677,17 @@
 
     def test_the_part_of_a_steward_absent_for_a_lease_goes_to_a_live_dispatcher(self):
         driver, state = Driver("d1", 10.0), State(stewards=tuple(StewardAssignment(f"d{n}") for n in range(3)))
-        there = {"d1", "d2", "d4", "d5"}
-        self.assertEqual(driver.replace_absent_steward(0.0, state, there), [])
-        self.assertEqual(driver.replace_absent_steward(9.0, state, there), [])
-        self.assertEqual(
-            driver.replace_absent_steward(9.5, state, there | {"d0"}), []
-        )  # present for a moment: measured from zero again
+        present = {"d1", "d2", "d4", "d5"}
+        self.assertEqual(driver.replace_absent_steward(0.0, state, present), [])
+        self.assertEqual(driver.replace_absent_steward(9.0, state, present), [])
+        # present for a moment: measured from zero again
+        self.assertEqual(driver.replace_absent_steward(9.5, state, present | {"d0"}), [])
         self.assertEqual(
-            driver.replace_absent_steward(10.5, state, there) + driver.replace_absent_steward(20.0, state, there), []
+            driver.replace_absent_steward(10.5, state, present) + driver.replace_absent_steward(20.0, state, present),
+            [],
         )
         self.assertEqual(driver.replace_absent_steward(30.0, state, {"d1", "d2"}), [])  # no successor
-        ((what, change),) = driver.replace_absent_steward(31.0, state, there)
+        ((what, change),) = driver.replace_absent_steward(31.0, state, present)
         self.assertEqual(what, "the part of d0 goes to d4")
         state = change(state)
         self.assertEqual(state.stewards, (StewardAssignment("d4", 1), StewardAssignment("d1"), StewardAssignment("d2")))
