--- a/millethead/members/calls.py
+++ b/millethead/members/calls.py
@@ -1,4 +1,4 @@
-"""The staff's call of membership: `GET /members`."""
+"""Console endpoint of membership: `GET /members`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,9 @@
 
 
 def members_call(members: Members) -> CallHandler:
-    async def page(request: Request) -> Reply:
-        return json_reply(200, members.page())
+    """Returns the handler of `GET /members`."""
 
-    return page
+    async def handle(request: Request) -> Reply:
+        return json_reply(200, members.status())
+
+    return handle
--- a/millethead/programs/control.py
+++ b/millethead/programs/control.py
@@ -33,7 +33,7 @@
 from millethead.replication.proposal import ViewProposal
 from millethead.replication.replica import Replica, ReplicaSettings
 from millethead.replication.view import Member, View
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.rpc.codec import CodecError, Record, decode_any, encode_any
 from millethead.rpc.connection import Connection, InputBudget
 from millethead.rpc.loop_budget import IterationBudget
@@ -88,7 +88,7 @@
         settings, disk = self._settings, self._disk
         tolerated = settings.tolerate.machines
         recovered = disk.recovered if disk is not None else Recovered(None, ())
-        acceptor_state = disk.acceptor_state if disk is not None else Kept()
+        acceptor_state = disk.acceptor_state if disk is not None else AcceptorState()
         member = Member(self._address, disk.identity.disk_id if disk is not None else 0)
         bootstrapping = disk is not None and disk.identity.bootstrapping
         return Replica(
@@ -255,7 +255,7 @@
     def soon(self, call: Callable[[], None]) -> None:
         self._clock.soon(call)
 
-    def _save(self, acceptor_state: Kept, done: Callable[[], None]) -> None:
+    def _save(self, acceptor_state: AcceptorState, done: Callable[[], None]) -> None:
         if self._disk is not None:
             self._disk.save(acceptor_state, done)
 
--- a/millethead/programs/core_disk.py
+++ b/millethead/programs/core_disk.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.storage.files import OS_FILE_SYSTEM
 from millethead.storage.identity import (
     DiskIdentity,
@@ -93,7 +93,7 @@
         self._log = LogFile(self._folder)
         self.recovered: Recovered = self._log.recover()
         self._register = RegisterFile(OS_FILE_SYSTEM, self._folder / ACCEPTOR_NAME)
-        self.acceptor_state: Kept = self._register.load()
+        self.acceptor_state: AcceptorState = self._register.load()
         self._rewrite_log()
 
     def _rewrite_log(self) -> None:
@@ -146,7 +146,7 @@
         """Replace the log by a file with only the snapshot."""
         self.writer.rewrite(snapshot, ())
 
-    def save(self, acceptor_state: Kept, done: Callable[[], None]) -> None:
+    def save(self, acceptor_state: AcceptorState, done: Callable[[], None]) -> None:
         assert self._register_writer is not None
         self._register_writer.save(acceptor_state, done)
 
--- a/millethead/programs/restoring.py
+++ b/millethead/programs/restoring.py
@@ -17,7 +17,7 @@
 from millethead.programs.core_disk import ACCEPTOR_NAME
 from millethead.programs.offline import LogReport
 from millethead.replication.view import ChainMember, Member, View
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.rpc.codec import encode
 from millethead.storage.files import OS_FILE_SYSTEM
 from millethead.storage.identity import DISK_ID_BITS, load_identity
@@ -58,7 +58,7 @@
     register = RegisterFile(OS_FILE_SYSTEM, folder / ACCEPTOR_NAME)
     register.load()  # creates the file
     ballot = (view.epoch, member.name)
-    register.save(Kept(ballot, ballot, encode(view)))
+    register.save(AcceptorState(ballot, ballot, encode(view)))
     register.save_copy()
     return RestoredDisk(member, view, snapshot)
 
--- a/millethead/replication/joint_round.py
+++ b/millethead/replication/joint_round.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Callable
 
-from millethead.rollout.register import ZERO, Ballot, Refused, Word
+from millethead.rollout.register import ZERO_BALLOT, Ballot, ChangeRefused, RegisterMessage
 
 Quorums = tuple[frozenset[str], ...]  # groups of voter names; a majority of each group is needed
 
@@ -25,8 +25,8 @@
     """One attempt of a proposer, under one ballot.
 
     `known_quorums`: the groups of the newest value that the proposer has seen. `change` computes the new value from the
-    old one; it is called once, after enough promises. If it raises Refused, the old value is proposed again, so that
-    the refusal is based on an agreed value. `quorums` returns the groups of each of which a majority is needed to
+    old one; it is called once, after enough promises. If it raises ChangeRefused, the old value is proposed again,
+    so that the refusal is based on an agreed value. `quorums` returns the groups of each of which a majority is needed to
     replace a value, `voters` the voters of a value.
     """
 
@@ -57,10 +57,10 @@
         self._previous_quorums = known_quorums
         self.value: bytes | None = None
         self.previous_value = b""
-        self.refused: Refused | None = None
+        self.refused: ChangeRefused | None = None
         self.competing_ballot: Ballot | None = None  # ballot of the competing proposer that an acceptor has promised
         self._promised, self._accepted = frozenset[str](), frozenset[str]()
-        self._highest_accepted: Ballot = ZERO
+        self._highest_accepted: Ballot = ZERO_BALLOT
 
     @property
     def required_quorums(self) -> Quorums:
@@ -79,11 +79,15 @@
         """Whether the value is agreed."""
         return self.value is not None and has_majorities(self._accepted, self.required_quorums)
 
-    def request(self) -> Word:
+    def request(self) -> RegisterMessage:
         """Returns the request of the current phase, for all recipients. It may be retransmitted."""
-        return Word("prepare", self.ballot) if self.value is None else Word("accept", self.ballot, ZERO, self.value)
+        return (
+            RegisterMessage("prepare", self.ballot)
+            if self.value is None
+            else RegisterMessage("accept", self.ballot, ZERO_BALLOT, self.value)
+        )
 
-    def handle_response(self, voter: str, response: Word) -> bool:
+    def handle_response(self, voter: str, response: RegisterMessage) -> bool:
         """Processes a voter's response. Returns whether the request or its recipients have changed."""
         if response.ballot != self.ballot or self.competing_ballot is not None:
             return False
@@ -95,7 +99,7 @@
             self._accepted |= {voter}
         return False
 
-    def _handle_promise(self, voter: str, response: Word) -> bool:
+    def _handle_promise(self, voter: str, response: RegisterMessage) -> bool:
         quorums_before = self._previous_quorums
         if response.accepted > self._highest_accepted:
             self._highest_accepted, self.previous_value = response.accepted, response.value
@@ -105,6 +109,6 @@
             return self._previous_quorums != quorums_before
         try:
             self.value = self._change(self.previous_value)
-        except Refused as why:
+        except ChangeRefused as why:
             self.value, self.refused = self.previous_value, why
         return True
--- a/millethead/replication/replica.py
+++ b/millethead/replication/replica.py
@@ -40,7 +40,7 @@
     takeover_rank,
 )
 from millethead.replication.view_register import AgreementPorts, KnownView, ViewRegister
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.rpc.codec import Record
 
 FIRST_PLAN_DELAY_S = 0.03  # delay from the start of a process until its first proposal
@@ -98,13 +98,13 @@
 
 
 class _RegisterPorts(AgreementPorts):
-    def __init__(self, replica: Replica, save: Callable[[Kept, Callable[[], None]], None]) -> None:
+    def __init__(self, replica: Replica, save: Callable[[AcceptorState, Callable[[], None]], None]) -> None:
         self._replica, self._save = replica, save
 
     def send(self, address: str, message: PaxosMessage) -> None:
         self._replica.send_datagram(address, message)
 
-    def save(self, kept: Kept, done: Callable[[], None]) -> None:
+    def save(self, kept: AcceptorState, done: Callable[[], None]) -> None:
         self._save(kept, done)
 
 
@@ -119,9 +119,9 @@
         settings: ReplicaSettings,
         ports: ReplicaPorts,
         chain_ports: ChainPorts,
-        save: Callable[[Kept, Callable[[], None]], None],
+        save: Callable[[AcceptorState, Callable[[], None]], None],
         log: ReplicatedLog,
-        kept: Kept,
+        kept: AcceptorState,
         seeds: tuple[str, ...],
         bootstrapping: bool,
         now: float,
--- a/millethead/replication/view_register.py
+++ b/millethead/replication/view_register.py
@@ -16,7 +16,7 @@
 from millethead.replication.joint_round import JointRound, Quorums
 from millethead.replication.messages import PaxosKind, PaxosMessage
 from millethead.replication.view import NO_VIEW, Member, View, ViewWithoutOutgoing
-from millethead.rollout.register import Acceptor, Ballot, Kept, Refused, Word
+from millethead.rollout.register import Acceptor, AcceptorState, Ballot, ChangeRefused, RegisterMessage
 from millethead.rpc.codec import CodecError, decode, encode
 
 RETRANSMIT_INTERVAL_S = 0.12
@@ -33,7 +33,7 @@
 
 
 def decode_view(value: bytes) -> View:
-    """Decodes a register value. An empty value is `NO_VIEW`. Raises Refused if the value is not a view."""
+    """Decodes a register value. An empty value is `NO_VIEW`. Raises ChangeRefused if the value is not a view."""
     if not value:
         return NO_VIEW
     try:
@@ -48,7 +48,7 @@
     try:
         earlier = decode(ViewWithoutOutgoing, value)
     except CodecError as error:
-        raise Refused(f"the register holds no view: {error}") from None
+        raise ChangeRefused(f"the register holds no view: {error}") from None
     return View(earlier.epoch, earlier.voters, earlier.chain)
 
 
@@ -80,7 +80,7 @@
 
     def change(old: bytes) -> bytes:
         if decode_view(old).epoch != expected:
-            raise Refused("the current view is not the expected one")
+            raise ChangeRefused("the current view is not the expected one")
         return encode(wanted)
 
     def quorums(value: bytes) -> Quorums:
@@ -99,7 +99,7 @@
 
     def send(self, address: str, message: PaxosMessage) -> None: ...
 
-    def save(self, kept: Kept, done: Callable[[], None]) -> None: ...
+    def save(self, kept: AcceptorState, done: Callable[[], None]) -> None: ...
 
 
 @dataclass(slots=True)
@@ -117,7 +117,7 @@
         member: Member,
         incarnation: int,
         ports: AgreementPorts,
-        kept: Kept,
+        kept: AcceptorState,
         random: Random,
         on_agreed: Callable[[View], None],
     ) -> None:
@@ -135,7 +135,7 @@
 
     def accepted_view(self) -> View:
         """Returns the newest view that this member's acceptor has accepted. It may not be agreed."""
-        return decode_view(self._acceptor.kept.value)
+        return decode_view(self._acceptor.state.value)
 
     def propose(self, now: float, expected: int, wanted: View, known: KnownView) -> bool:
         """Starts a round that replaces the view of epoch `expected` by `wanted`. The voters of the known view receive
@@ -176,8 +176,8 @@
             self._handle_response(now, message)
 
     def _handle_request(self, sender: str, message: PaxosMessage) -> None:
-        request = Word(_NAME_BY_KIND[message.kind], (message.number, message.owner), (0, ""), message.value)
-        answer, changed = self._acceptor.take(request)
+        request = RegisterMessage(_NAME_BY_KIND[message.kind], (message.number, message.owner), (0, ""), message.value)
+        answer, changed = self._acceptor.handle(request)
         reply = PaxosMessage(
             _KIND_BY_NAME[answer.kind],
             self._member.name,
@@ -196,13 +196,13 @@
             self._pending_saves -= 1
             self._ports.send(sender, reply)
 
-        self._ports.save(self._acceptor.kept, saved)
+        self._ports.save(self._acceptor.state, saved)
 
     def _handle_response(self, now: float, message: PaxosMessage) -> None:
         attempt = self._attempt
         if attempt is None:
             return
-        response = Word(
+        response = RegisterMessage(
             _NAME_BY_KIND[message.kind],
             (message.number, message.owner),
             (message.accepted_number, message.accepted_owner),
--- a/millethead/rollout/register.py
+++ b/millethead/rollout/register.py
@@ -1,8 +1,7 @@
-"""One value that the fleet agrees on: a register that is changed by compare and set, kept by a majority of voters.
+"""A replicated compare-and-set register: one value that a majority of the voters agrees on.
 
 Source: Rystsov, "CASPaxos: Replicated State Machines without logs", 2018; the two phases are those of Lamport's "Paxos
-made simple", 2001. No input or output here: messages and time come in, messages go out. An acceptor's state must be on
-disk before its answer leaves.
+made simple", 2001. The module does no input or output. An acceptor's state must be on disk before its answer is sent.
 """
 
 from __future__ import annotations
@@ -11,72 +10,76 @@
 
 import msgspec
 
-Ballot = tuple[int, str]  # a number, and who uses it: a name and the start of its process, so that none is used twice
-ZERO: Ballot = (0, "")
+# number and name of the proposing process; the name includes the process start, so that no ballot is used twice
+Ballot = tuple[int, str]
+ZERO_BALLOT: Ballot = (0, "")
 
 
-class Refused(Exception):
-    """The change is not to be made of this value; the text says why in one line."""
+class ChangeRefused(Exception):
+    """Raised if a change does not apply to the current value. The text gives the reason in one line."""
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True):
-    """What an acceptor must never forget."""
+class AcceptorState(msgspec.Struct, frozen=True, array_like=True):
+    """Durable state of an acceptor."""
 
-    promised: Ballot = ZERO
-    accepted: Ballot = ZERO
+    promised: Ballot = ZERO_BALLOT
+    accepted: Ballot = ZERO_BALLOT
     value: bytes = b""
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True):
-    """A message between a proposer and an acceptor. kind: prepare, promise, accept, accepted, nack."""
+class RegisterMessage(msgspec.Struct, frozen=True, array_like=True):
+    """A message between a proposer and an acceptor. `kind` is prepare, promise, accept, accepted or nack."""
 
     kind: str
     ballot: Ballot
-    accepted: Ballot = ZERO
+    accepted: Ballot = ZERO_BALLOT
     value: bytes = b""
 
 
 class Acceptor:
-    """One voter's part."""
+    """The acceptor of one voter."""
 
-    __slots__ = ("kept",)
+    __slots__ = ("state",)
 
-    def __init__(self, kept: Kept | None = None) -> None:
-        self.kept = kept or Kept()
+    def __init__(self, state: AcceptorState | None = None) -> None:
+        self.state = state or AcceptorState()
 
-    def take(self, word: Word) -> tuple[Word, bool]:
-        """(the answer, whether `kept` has changed and must be stored before the answer goes out)"""
-        kept, ballot = self.kept, word.ballot
-        if word.kind == "prepare":
-            if ballot < kept.promised:
-                return Word("nack", ballot, kept.promised), False
-            self.kept = Kept(ballot, kept.accepted, kept.value)
-            return Word("promise", ballot, kept.accepted, kept.value), ballot != kept.promised
-        if word.kind == "accept" and ballot >= kept.promised:
-            self.kept = Kept(ballot, ballot, word.value)
-            return Word("accepted", ballot), self.kept != kept
-        return Word("nack", ballot, kept.promised), False
+    def handle(self, message: RegisterMessage) -> tuple[RegisterMessage, bool]:
+        """Returns the answer, and whether `state` has changed and must be stored before the answer is sent."""
+        state, ballot = self.state, message.ballot
+        if message.kind == "prepare":
+            if ballot < state.promised:
+                return RegisterMessage("nack", ballot, state.promised), False
+            self.state = AcceptorState(ballot, state.accepted, state.value)
+            return RegisterMessage("promise", ballot, state.accepted, state.value), ballot != state.promised
+        if message.kind == "accept" and ballot >= state.promised:
+            self.state = AcceptorState(ballot, ballot, message.value)
+            return RegisterMessage("accepted", ballot), self.state != state
+        return RegisterMessage("nack", ballot, state.promised), False
 
 
 class Round:
-    """One try of a proposer, under one ballot. `change` makes the new value of the old one, once, when a majority has
-    promised; it may raise Refused, and then the old value is confirmed, so that the refusal rests on what is agreed.
+    """One attempt of a proposer, under one ballot.
 
-    A value may name the voters that decide on the next one (`named`; none: the first ones). So `voters` become those of
-    the newest value heard of, and a majority of these must have promised: whoever starts from an old list is led to the
-    present one. It is enough that each change adds or takes away one voter: a majority before it and one after it meet.
+    `change` computes the new value from the old one. It is called once, when a majority has promised. If it raises
+    ChangeRefused, the old value is proposed again, so that the refusal rests on an agreed value.
+
+    A value may name the voters that decide on the next value (`voters_in`; if none, the initial ones decide). `voters`
+    follows the newest accepted value that was received, and a majority of these voters must have promised. So a
+    proposer that starts from an outdated list finds the current voters. This is safe as long as each change adds or
+    removes one voter: any majority before it and any majority after it intersect.
     """
 
     __slots__ = (
         "_accepted",
         "_change",
-        "_found",
-        "_named",
+        "_newest_accepted",
         "_promised",
+        "_voters_in",
         "ballot",
-        "lost",
-        "old",
-        "refused",
+        "old_value",
+        "refusal",
+        "superseded_by",
         "value",
         "voters",
     )
@@ -86,43 +89,48 @@
         ballot: Ballot,
         voters: tuple[str, ...],
         change: Callable[[bytes], bytes],
-        named: Callable[[bytes], tuple[str, ...]] = lambda value: (),
+        voters_in: Callable[[bytes], tuple[str, ...]] = lambda value: (),
     ) -> None:
-        self.ballot, self.voters, self._change, self._named = ballot, voters, change, named
+        self.ballot, self.voters, self._change, self._voters_in = ballot, voters, change, voters_in
         self.value: bytes | None = None
-        self.old = b""
-        self.refused: Refused | None = None
-        self.lost: Ballot | None = None  # a higher ballot that an acceptor had promised
+        self.old_value = b""
+        self.refusal: ChangeRefused | None = None
+        self.superseded_by: Ballot | None = None  # a higher ballot that an acceptor had promised
         self._promised, self._accepted = frozenset[str](), frozenset[str]()
-        self._found: Ballot = ZERO
+        self._newest_accepted: Ballot = ZERO_BALLOT
 
     @property
-    def agreed(self) -> bool:
+    def is_chosen(self) -> bool:
+        """Whether a majority of the voters has accepted the value."""
         return 2 * len(self._accepted) > len(self.voters)
 
-    def ask(self) -> Word:
-        """What to send to every voter now, as often as need be."""
-        return Word("prepare", self.ballot) if self.value is None else Word("accept", self.ballot, ZERO, self.value)
-
-    def take(self, voter: str, word: Word) -> bool:
-        """A voter's answer; returns whether there is something new to ask, or somebody else."""
-        if word.ballot != self.ballot or self.lost is not None:
+    def request(self) -> RegisterMessage:
+        """Returns the request for every voter in the current phase. It may be sent repeatedly."""
+        return (
+            RegisterMessage("prepare", self.ballot)
+            if self.value is None
+            else RegisterMessage("accept", self.ballot, ZERO_BALLOT, self.value)
+        )
+
+    def handle(self, voter: str, message: RegisterMessage) -> bool:
+        """Handles a voter's answer. Returns whether there is a new request, or a new voter to send it to."""
+        if message.ballot != self.ballot or self.superseded_by is not None:
             return False
-        if word.kind == "nack":
-            self.lost = word.accepted
-        elif word.kind == "promise" and self.value is None:
-            before = self.voters
-            if word.accepted > self._found:
-                self._found, self.old = word.accepted, word.value
-                self.voters = self._named(self.old) or self.voters
+        if message.kind == "nack":
+            self.superseded_by = message.accepted
+        elif message.kind == "promise" and self.value is None:
+            previous_voters = self.voters
+            if message.accepted > self._newest_accepted:
+                self._newest_accepted, self.old_value = message.accepted, message.value
+                self.voters = self._voters_in(self.old_value) or self.voters
             self._promised |= {voter}
             if 2 * len(self._promised & set(self.voters)) > len(self.voters):
                 try:
-                    self.value = self._change(self.old)
-                except Refused as why:
-                    self.value, self.refused = self.old, why
+                    self.value = self._change(self.old_value)
+                except ChangeRefused as refusal:
+                    self.value, self.refusal = self.old_value, refusal
                 return True
-            return self.voters != before
-        elif word.kind == "accepted" and self.value is not None and voter in self.voters:
+            return self.voters != previous_voters
+        elif message.kind == "accepted" and self.value is not None and voter in self.voters:
             self._accepted |= {voter}
         return False
--- a/millethead/storage/register_file.py
+++ b/millethead/storage/register_file.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from millethead.rollout.register import Kept
-from millethead.rollout.store import PLACE, decode_place, encode_place
+from millethead.rollout.register import AcceptorState
+from millethead.rollout.store import STATE_COPY_BYTES, decode_copy, encode_copy
 from millethead.storage.files import FileSystem
 from millethead.storage.log import CorruptLog
 
@@ -28,10 +28,10 @@
     def __init__(self, file_system: FileSystem, path: Path) -> None:
         self._file_system, self.path = file_system, path
         self._number = 0
-        self._saved = Kept()
+        self._saved = AcceptorState()
         self._copy_written = True
 
-    def load(self) -> Kept:
+    def load(self) -> AcceptorState:
         """Reads the register and writes it again. Creates the file if there is none.
 
         It is written again because a killed process may have left it unsynced, and because data remains readable after
@@ -41,21 +41,21 @@
             kept = self.read()
         except FileNotFoundError:
             self._create()
-            return Kept()
+            return AcceptorState()
         self.save(kept)
         self.save_copy()
         return kept
 
-    def read(self) -> Kept:
+    def read(self) -> AcceptorState:
         """Returns the newest register. Raises FileNotFoundError, and CorruptLog if the newest register is unknown."""
         file = self._file_system.open(self.path)
         try:
-            self._number, self._saved = self._find_newest(file.read(0, SLOTS * COPIES * PLACE))
+            self._number, self._saved = self._find_newest(file.read(0, SLOTS * COPIES * STATE_COPY_BYTES))
         finally:
             file.close()
         return self._saved
 
-    def save(self, kept: Kept) -> None:
+    def save(self, kept: AcceptorState) -> None:
         """Writes the register durably. After an OSError the previous register remains valid."""
         previous = self._number, self._saved
         self._number, self._saved = self._number + 1, kept
@@ -76,10 +76,10 @@
         """Verifies both copies of the register saved last, and rewrites those that are damaged. Returns whether any
         was.
         """
-        expected = encode_place(self._number, self._saved)
+        expected = encode_copy(self._number, self._saved)
         file = self._file_system.open(self.path)
         try:
-            damaged = [copy for copy in range(COPIES) if file.read(self._offset(copy), PLACE) != expected]
+            damaged = [copy for copy in range(COPIES) if file.read(self._offset(copy), STATE_COPY_BYTES) != expected]
         finally:
             file.close()
         if damaged:
@@ -91,16 +91,16 @@
         new_path = self.path.with_name(f"{self.path.name}.new")
         file = self._file_system.create(new_path)
         try:
-            file.write(0, encode_place(0, Kept()) * (SLOTS * COPIES))
+            file.write(0, encode_copy(0, AcceptorState()) * (SLOTS * COPIES))
             file.fdatasync()
         finally:
             file.close()
         self._file_system.rename(new_path, self.path)
         self._file_system.sync_folder(self.path.parent)
 
-    def _find_newest(self, data: bytes) -> tuple[int, Kept]:
-        blocks = [data[offset : offset + PLACE] for offset in range(0, len(data), PLACE)]
-        decoded = [decode_place(block) for block in blocks]
+    def _find_newest(self, data: bytes) -> tuple[int, AcceptorState]:
+        blocks = [data[offset : offset + STATE_COPY_BYTES] for offset in range(0, len(data), STATE_COPY_BYTES)]
+        decoded = [decode_copy(block) for block in blocks]
         if len(decoded) < SLOTS:
             raise CorruptLog(f"{self.path.name}: cut short")
         for slot in range(SLOTS):
@@ -113,11 +113,11 @@
         return max(valid, key=lambda numbered: numbered[0])
 
     def _offset(self, copy: int) -> int:
-        return PLACE * (SLOTS * copy + self._number % SLOTS)
+        return STATE_COPY_BYTES * (SLOTS * copy + self._number % SLOTS)
 
     def _write_synced(self, copies: Iterable[int]) -> None:
         """Writes the given copies of the register saved last. Each is synced before the next is written."""
-        block = encode_place(self._number, self._saved)
+        block = encode_copy(self._number, self._saved)
         file = self._file_system.open(self.path)
         try:
             for copy in copies:
--- a/millethead/storage/register_writer.py
+++ b/millethead/storage/register_writer.py
@@ -12,7 +12,7 @@
 from threading import Lock
 from typing import Protocol
 
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.storage.register_file import RegisterFile
 
 Callback = Callable[[], None]
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Save:
-    kept: Kept
+    kept: AcceptorState
     done: Callback
 
 
@@ -40,7 +40,7 @@
         self._pending: list[_Save] = []
         self._written: deque[list[_Save]] = deque()  # callbacks not called yet
 
-    def save(self, kept: Kept, done: Callback) -> None:
+    def save(self, kept: AcceptorState, done: Callback) -> None:
         """Saves a register durably, then calls `done`."""
         with self._lock:
             self._pending.append(_Save(kept, done))
--- a/tests/test_joint.py
+++ b/tests/test_joint.py
@@ -11,7 +11,7 @@
 from millethead.replication.view import ChainMember, Member, View, ViewWithoutOutgoing, next_view
 from millethead.replication.view_planning import VOTER_REMOVAL_TIMEOUT_S, LocalMember, plan_as_head, plan_voters
 from millethead.replication.view_register import KnownView, decode_view, round_for
-from millethead.rollout.register import Refused, Word
+from millethead.rollout.register import ChangeRefused, RegisterMessage
 from millethead.rpc.codec import encode
 
 A, B, C, D, E, F, G = (Member(f"{name}:1", disk) for disk, name in enumerate("abcdefg", 1))
@@ -31,12 +31,12 @@
     joint_round: JointRound, *members: Member, view: View = FIRST, accepted: tuple[int, str] = ACCEPTED_FIRST
 ) -> None:
     for member in members:
-        joint_round.handle_response(member.name, Word("promise", BALLOT, accepted, encode(view)))
+        joint_round.handle_response(member.name, RegisterMessage("promise", BALLOT, accepted, encode(view)))
 
 
 def accept(joint_round: JointRound, *members: Member) -> None:
     for member in members:
-        joint_round.handle_response(member.name, Word("accepted", BALLOT))
+        joint_round.handle_response(member.name, RegisterMessage("accepted", BALLOT))
 
 
 def test_view_with_other_voters_needs_both_majorities() -> None:
@@ -111,7 +111,7 @@
 def test_view_in_the_earlier_format_is_decoded() -> None:
     written = encode(ViewWithoutOutgoing(FIRST.epoch, FIRST.voters, FIRST.chain))
     assert decode_view(written) == FIRST
-    with pytest.raises(Refused):
+    with pytest.raises(ChangeRefused):
         decode_view(b"\0" * 7)
 
 
--- a/tests/test_replication_model.py
+++ b/tests/test_replication_model.py
@@ -21,7 +21,7 @@
 from millethead.replication.messages import PaxosMessage
 from millethead.replication.view import ChainMember, Member, View, next_view
 from millethead.replication.view_register import KnownView, ViewRegister
-from millethead.rollout.register import Acceptor, Kept
+from millethead.rollout.register import Acceptor, AcceptorState
 from millethead.rpc.codec import encode
 
 DEPTH = int(os.environ.get("REPLICATION_DEPTH", "7"))  # number of steps explored exhaustively
@@ -57,13 +57,13 @@
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, PaxosMessage]] = []
-        self.saves: list[tuple[Kept, tuple[tuple[str, PaxosMessage], ...]]] = []
+        self.saves: list[tuple[AcceptorState, tuple[tuple[str, PaxosMessage], ...]]] = []
         self.register: ViewRegister | None = None
 
     def send(self, address: str, message: PaxosMessage) -> None:
         self.sent.append((address, message))
 
-    def save(self, kept: Kept, done) -> None:
+    def save(self, kept: AcceptorState, done) -> None:
         """Holds back the messages that `done` sends until the save is complete."""
         before, self.sent = self.sent, []
         done()
@@ -78,8 +78,8 @@
 
     identity: Member
     incarnation: int
-    durable: Kept
-    kept: Kept
+    durable: AcceptorState
+    kept: AcceptorState
     saves: tuple = ()
     view: View = FIRST
     highest: int = 1
@@ -183,7 +183,7 @@
             view = max(view, found, key=lambda one: one.epoch)
         member = replace(
             member,
-            kept=self.register._acceptor.kept,
+            kept=self.register._acceptor.state,
             saves=member.saves + tuple(self.ports.saves),
             view=view,
             highest=self.register._highest_ballot_number,
@@ -272,12 +272,12 @@
 
 def wiped(state: ModelState) -> ModelState:
     """The disk of the third member is lost, and another voter takes its address."""
-    fresh = ModelMember(FRESH, 9, Kept(), Kept())
+    fresh = ModelMember(FRESH, 9, AcceptorState(), AcceptorState())
     return replace(state, members=(*state.members[:2], fresh), wiped=True, steps=(*state.steps, ("wiped",)))
 
 
 def initial_state(remaining_ends: int = 1) -> ModelState:
-    kept = Kept((1, "a"), (1, "a"), encode(FIRST))
+    kept = AcceptorState((1, "a"), (1, "a"), encode(FIRST))
     return ModelState(tuple(ModelMember(member, 1, kept, kept) for member in (A, B, C)), remaining_ends=remaining_ends)
 
 
