--- a/millethead/replication/messages.py
+++ b/millethead/replication/messages.py
@@ -99,7 +99,7 @@
     entry_epoch: U64
     sequence: U64
     size: U64
-    check: U32
+    checksum: U32
     part_size: U32
 
     @property
--- a/millethead/replication/snapshot_transfer.py
+++ b/millethead/replication/snapshot_transfer.py
@@ -85,6 +85,6 @@
     def snapshot(self) -> Snapshot | None:
         """Returns the assembled snapshot, or None if its size or checksum is wrong."""
         payload = b"".join(self._parts)
-        if len(payload) != self.name.size or zlib.crc32(payload) != self.name.check:
+        if len(payload) != self.name.size or zlib.crc32(payload) != self.name.checksum:
             return None
         return Snapshot(self.name.entry_epoch, self.name.sequence, payload)
