--- a/millethead/replication/joint_round.py
+++ b/millethead/replication/joint_round.py
@@ -26,8 +26,8 @@
 
     `known_quorums`: the groups of the newest value that the proposer has seen. `change` computes the new value from the
     old one; it is called once, after enough promises. If it raises ChangeRefused, the old value is proposed again,
-    so that the refusal is based on an agreed value. `quorums` returns the groups of each of which a majority is needed to
-    replace a value, `voters` the voters of a value.
+    so that the refusal is based on an agreed value. `quorums` returns the groups of each of which a majority is needed
+    to replace a value, `voters` the voters of a value.
     """
 
     __slots__ = (
