--- a/millethead/lab/core_storage.py
+++ b/millethead/lab/core_storage.py
@@ -56,7 +56,7 @@
     return new.offset <= old.offset and old.offset + len(old.data) <= new.offset + len(new.data)
 
 
-def write_lasting(files: FileSystem, path: Path, data: bytes) -> None:
+def write_durably(files: FileSystem, path: Path, data: bytes) -> None:
     """Write a file whole, its name on the disk too; raises OSError."""
     new = path.with_name(f"{path.name}.new")
     file = files.create(new)
@@ -133,7 +133,7 @@
         if self._disk.exists(FOLDER / LOG_NAME):
             raise CorruptLog("no identity beside a log")
         identity = DiskIdentity(self._random.getrandbits(63) | 1, bootstrap)
-        write_lasting(self._disk, FOLDER / IDENTITY_NAME, identities.encode_identity(identity))
+        write_durably(self._disk, FOLDER / IDENTITY_NAME, identities.encode_identity(identity))
         return identity
 
     def _discard(self) -> None:
@@ -194,7 +194,7 @@
         if self.identity.bootstrapping:
             done = DiskIdentity(self.identity.disk_id, False)
             self.writer.run(
-                lambda: write_lasting(self._disk, FOLDER / IDENTITY_NAME, identities.encode_identity(done)),
+                lambda: write_durably(self._disk, FOLDER / IDENTITY_NAME, identities.encode_identity(done)),
                 lambda: None,
             )
             self._wake()
