--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Modules import each other in one direction only."""
+"""The modules of the package must not import each other in cycles."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import millethead
 
 PACKAGE = Path(millethead.__file__).parent
-# The scheduler's records refer to each other both ways; at run time nothing of this is imported in a circle.
-BY_TYPES_ALONE = {frozenset({"millethead.scheduling.placement", "millethead.scheduling.state"})}
+# Cycles of imports under TYPE_CHECKING, which do not occur at run time: the scheduler's records refer to each other.
+TYPE_CHECKING_ONLY_CYCLES = {frozenset({"millethead.scheduling.placement", "millethead.scheduling.state"})}
 
 
 def module_name(path: Path) -> str:
@@ -17,8 +17,8 @@
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
-def imported(source: str, modules: frozenset[str]) -> set[str]:
-    """The modules of the package that a source imports, also for types alone or inside of functions."""
+def imported_modules(source: str, modules: frozenset[str]) -> set[str]:
+    """Returns those of `modules` that the source imports, including imports under TYPE_CHECKING and in functions."""
     found = set()
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
@@ -30,39 +30,40 @@
     return found & modules
 
 
-def circles(graph: dict[str, set[str]]) -> set[frozenset[str]]:
-    """The strongly connected components of more than one module."""
-    reached = {module: _reachable(graph, module) for module in graph}
+def import_cycles(graph: dict[str, set[str]]) -> set[frozenset[str]]:
+    """Returns the strongly connected components that have more than one module."""
+    reachable = {module: _reachable(graph, module) for module in graph}
     return {
-        circle
+        cycle
         for module in graph
-        if len(circle := frozenset(other for other in reached[module] if module in reached[other])) > 1
+        if len(cycle := frozenset(other for other in reachable[module] if module in reachable[other])) > 1
     }
 
 
 def _reachable(graph: dict[str, set[str]], first: str) -> set[str]:
-    seen, waiting = {first}, [first]
-    while waiting:
-        for other in graph[waiting.pop()] - seen:
-            seen.add(other)
-            waiting.append(other)
-    return seen
+    """Returns the modules that `first` imports directly or indirectly, and `first` itself."""
+    reachable, pending = {first}, [first]
+    while pending:
+        for other in graph[pending.pop()] - reachable:
+            reachable.add(other)
+            pending.append(other)
+    return reachable
 
 
-def test_no_circle_of_imports_comes_back() -> None:
+def test_the_package_has_no_import_cycles_at_run_time() -> None:
     paths = {module_name(path): path for path in PACKAGE.rglob("*.py")}
     modules = frozenset(paths)
-    graph = {module: imported(path.read_text(), modules) - {module} for module, path in paths.items()}
+    graph = {module: imported_modules(path.read_text(), modules) - {module} for module, path in paths.items()}
     assert len(graph) > 250
-    assert circles(graph) == BY_TYPES_ALONE
+    assert import_cycles(graph) == TYPE_CHECKING_ONLY_CYCLES
 
 
-def test_circles_are_found_through_any_number_of_modules() -> None:
+def test_cycles_of_any_length_are_found() -> None:
     graph = {"a": {"b"}, "b": {"c"}, "c": {"a", "d"}, "d": set(), "e": {"a"}}
-    assert circles(graph) == {frozenset("abc")}
+    assert import_cycles(graph) == {frozenset("abc")}
 
 
-def test_imports_for_types_and_in_functions_count() -> None:
+def test_imports_under_type_checking_and_in_functions_are_included() -> None:
     source = """
 from typing import TYPE_CHECKING
 if TYPE_CHECKING:
@@ -71,4 +72,4 @@
     from p import b
     from p.c import x
 """
-    assert imported(source, frozenset({"p", "p.a", "p.b", "p.c", "p.d"})) == {"p.a", "p.b", "p.c"}
+    assert imported_modules(source, frozenset({"p", "p.a", "p.b", "p.c", "p.d"})) == {"p.a", "p.b", "p.c"}
