--- a/benchmarks/waiting/ageing.py
+++ b/benchmarks/waiting/ageing.py
@@ -2,11 +2,11 @@
 
 Usage: ageing.py [--seconds=N] [--seeds=N] [--out=FOLDER]
 
-The real exchange, module and waiting room on a virtual clock, before a modelled fleet (8 workers of 2 slots). Two
-tenants flood it with `paid-booking` at 1.5 and 3 times what it can do; `usage-report` comes at 0.4 a second, with a
-bound of 120 s. Ways: `none` (refused is refused), `paced` (offered again in its tenant's flow, oldest first), `worth`
-(the same, and a report's worth grows with its age), `reserved` (offered again in a flow of its own with 1 start a
-second).
+The real exchange, scheduling module and stage for delayed jobs on a virtual clock, before a modelled fleet (8 workers
+of 2 slots). Two tenants flood it with `paid-booking` at 1.5 and 3 times what it can do; `usage-report` comes at 0.4 a
+second, with a bound of 120 s. Ways: `none` (refused is refused), `paced` (offered again in its tenant's flow, oldest
+first), `worth` (the same, and a report's worth grows with its age), `reserved` (offered again in a flow of its own with
+1 start a second).
 
 Options:
   --seconds=N   simulated seconds of arrivals [default: 600]
--- a/benchmarks/waiting/hour.py
+++ b/benchmarks/waiting/hour.py
@@ -1,4 +1,4 @@
-"""An hour compressed to minutes: the real program, stand-in workers, both fronts (millethead/lab/hour.py).
+"""An hour compressed to minutes: the real program, stand-in workers, both protocols (millethead/lab/hour.py).
 
 Usage: hour.py [--seconds=N] [--speed=N] [--seed=N] [--out=FILE]
 
--- a/benchmarks/waiting/overhead.py
+++ b/benchmarks/waiting/overhead.py
@@ -1,4 +1,4 @@
-"""What the waiting room adds for jobs that need not wait: CPU a job, memory and start time of the real program.
+"""What the stage for delayed jobs adds for jobs without delay: CPU a job, memory and start time of the real program.
 
 Usage: overhead.py [--jobs=N] [--rounds=N] [--out=FILE]
 
--- a/benchmarks/waiting/scale.py
+++ b/benchmarks/waiting/scale.py
@@ -2,9 +2,9 @@
 
 Usage: scale.py [--out=FOLDER]
 
-Costs are CPU a job in the waiting room before a next stage that takes everything, on a virtual clock; each size in a
-process of its own. Memory is what tracemalloc counts for a job with a body of 200 bytes, body included. The second
-part runs on the real loop before the real exchange and module: 50 jobs a second go straight through, with and
+Costs are CPU a job in the stage for delayed jobs before a next stage that takes everything, on a virtual clock; each
+size in a process of its own. Memory is what tracemalloc counts for a job with a body of 200 bytes, body included. The
+second part runs on the real loop before the real exchange and module: 50 jobs a second go straight through, with and
 without 10,000 jobs that are due in the same second.
 
 Options:
--- a/millethead/lab/hour.py
+++ b/millethead/lab/hour.py
@@ -1,8 +1,8 @@
 """An hour at the branch desks, compressed: the real program on loopback, its clock running faster than time.
 
 Timed jobs, chains, diamonds, parents that fail, a flood of bookings with reports behind it, a worker that goes dark
-and one that drains, over both fronts. What each job was owed is written down as it is handed in, and held against
-what its client and the workers saw.
+and one that drains, over both protocols (HTTP and Faktory). The expected result of each job is recorded when it is
+submitted, and compared with what its client and the workers received.
 """
 
 from __future__ import annotations
--- a/tests/dispatcher_fixture.py
+++ b/tests/dispatcher_fixture.py
@@ -151,7 +151,7 @@
         timeout_ms = TIMEOUT_S * 1000
         self.patches.append(mock.patch("millethead.decide.balance.Balancer._report_lifetime", lambda _: timeout_ms))
         self.patches.append(mock.patch("millethead.decide.balance.CONFIRM_TIMEOUT_MS", timeout_ms))
-        # the waiting room does all its pending work before the next line of a recording is read
+        # the stage for delayed jobs does all its pending work before the next line of a recording is read
         self.patches.append(mock.patch("millethead.waiting.stage.SLICE_MS", timeout_ms))
         for patch in self.patches:
             patch.start()
--- a/tests/test_waiting_hour.py
+++ b/tests/test_waiting_hour.py
@@ -1,4 +1,4 @@
-"""A short version of the simulated hour: two and a half minutes of the real program with both fronts and all faults."""
+"""A short version of the simulated hour: 150 s of the real program with both protocols and all faults."""
 
 import unittest
 
