--- a/benchmarks/waiting/ageing.py
+++ b/benchmarks/waiting/ageing.py
@@ -2,11 +2,11 @@
 
 Usage: ageing.py [--seconds=N] [--seeds=N] [--out=FOLDER]
 
-The real exchange, module and waiting room on a virtual clock, before a modelled fleet (8 workers of 2 slots). Two
-tenants flood it with `paid-booking` at 1.5 and 3 times what it can do; `usage-report` comes at 0.4 a second, with a
-bound of 120 s. Ways: `none` (refused is refused), `paced` (offered again in its tenant's flow, oldest first), `worth`
-(the same, and a report's worth grows with its age), `reserved` (offered again in a flow of its own with 1 start a
-second).
+The real exchange, scheduling module and stage for delayed jobs on a virtual clock, before a modelled fleet (8 workers
+of 2 slots). Two tenants flood it with `paid-booking` at 1.5 and 3 times what it can do; `usage-report` comes at 0.4 a
+second, with a bound of 120 s. Ways: `none` (refused is refused), `paced` (offered again in its tenant's flow, oldest
+first), `worth` (the same, and a report's worth grows with its age), `reserved` (offered again in a flow of its own with
+1 start a second).
 
 Options:
   --seconds=N   simulated seconds of arrivals [default: 600]
@@ -33,8 +33,8 @@
 from millethead.lab.fleet import Fleet, poisson, twice
 from millethead.lab.table import keep
 from millethead.waiting.ageing import aged_flow
-from millethead.waiting.room import WaitingRoom
 from millethead.waiting.setup import ClassBound, WaitingSetup
+from millethead.waiting.stage import WaitingStage
 
 NAMES = ["paid-booking", "usage-report"]
 CLASSES = (
@@ -67,7 +67,7 @@
     bounds = {} if way == "none" else {"usage-report": ClassBound(bound_s=BOUND)}
     setup = WaitingSetup(classes=bounds, jobs=100_000)
     exchange = Exchange(settings(), seed, clock, (aged_flow(setup),) if way == "reserved" else ())
-    room = WaitingRoom(exchange, setup, NAMES, clock, ageing=way == "reserved")
+    room = WaitingStage(exchange, setup, NAMES, clock, ageing=way == "reserved")
     fleet = Fleet(exchange, clock, WORK, seed)
     start = clock.now()
     answers: dict[str, tuple[int, Final, float]] = {}
@@ -95,11 +95,15 @@
 
     def older(module: balance.Balancer, job: records.Job) -> float:
         # `worth`: what a report is worth doubles with each tenth of its bound
-        entry = room.book.find("lab", exchange._jobs[job.id].order.id)
-        age = (module.now - entry.came) / (BOUND * 100) if entry is not None and job.cls == 1 else 0.0
-        return (job.late - module.now + picking.SOON) * module.took[job.cls] / (CLASSES[job.cls].worth * 2.0**age)
-
-    with mock.patch.object(balance.Balancer, "_urgent", older) if way == "worth" else mock.MagicMock():
+        entry = room.delayed_jobs.find("lab", exchange._jobs[job.id].order.id)
+        age = (module.now - entry.arrived_at) / (BOUND * 100) if entry is not None and job.job_class == 1 else 0.0
+        return (
+            (job.latest_start - module.now + picking.URGENCY_SLACK_MS)
+            * module.mean_times[job.job_class]
+            / (CLASSES[job.job_class].worth * 2.0**age)
+        )
+
+    with mock.patch.object(balance.Balancer, "_urgency", older) if way == "worth" else mock.MagicMock():
         clock.run(start + (seconds + BOUND + 30) * 1000)
     row: dict[str, object] = {
         "way": way,
--- /dev/null
+++ b/millethead/control/retention.py
@@ -0,0 +1,32 @@
+"""Retention of ended jobs: which may be purged, and which may be trimmed to their final state."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from itertools import islice
+
+from millethead.jobs.commands import PurgeJobs, TrimJobs
+from millethead.jobs.state import Job
+
+PURGE_INTERVAL_S = 20.0  # between two purges
+TRIM_INTERVAL_S = 5.0  # between two trims
+RETENTION_MARGIN_S = 60.0  # added to the retention period of ended jobs, because the time of day may jump
+MAX_JOBS_PER_COMMAND = 1000
+
+
+def purge_command(jobs: Iterable[Job], wall_ms: int, job_retention_s: float) -> PurgeJobs | None:
+    """Return the command that purges jobs whose retention period is over; None if there are none."""
+    ended_before_ms = wall_ms - int((job_retention_s + RETENTION_MARGIN_S) * 1000)
+    names = (job.name for job in jobs if _has_ended(job) and job.ended_ms < ended_before_ms)
+    found = tuple(islice(names, MAX_JOBS_PER_COMMAND))
+    return PurgeJobs(found) if found else None
+
+
+def trim_command(jobs: Iterable[Job]) -> TrimJobs | None:
+    """Return the command that trims ended jobs to their final state; None if there are none."""
+    found = tuple(islice((job.name for job in jobs if _has_ended(job) and not job.trimmed), MAX_JOBS_PER_COMMAND))
+    return TrimJobs(found) if found else None
+
+
+def _has_ended(job: Job) -> bool:
+    return job.phase.is_final and not job.open_runs
--- a/millethead/flows/setup.py
+++ b/millethead/flows/setup.py
@@ -1,4 +1,4 @@
-"""The table [ipfix] of the operator's file."""
+"""The table [ipfix] of the operator's settings file."""
 
 from __future__ import annotations
 
@@ -6,13 +6,19 @@
 
 from msgspec import Meta
 
-from millethead.tables import Local, Table
+from millethead.tables import LoopbackAddress, Table
 
 
 class FlowSetup(Table, frozen=True, kw_only=True):
-    """Where the records go, the observation domain, seconds between templates, and records queued at most."""
+    """The settings of the flow export.
 
-    collector: Local
+    collector: the address that the records are sent to.
+    domain: the observation domain id.
+    template_s: seconds between two transmissions of the templates.
+    queue: the maximum number of queued records.
+    """
+
+    collector: LoopbackAddress
     domain: Annotated[int, Meta(ge=0, le=2**32 - 1)] = 1
     template_s: Annotated[float, Meta(ge=1, le=3600)] = 60.0
     queue: Annotated[int, Meta(ge=1, le=65536)] = 1024
--- a/millethead/lab/core_load.py
+++ b/millethead/lab/core_load.py
@@ -1,8 +1,8 @@
 """A core of any size in virtual time whose head has to welcome all agents: what one loss costs, by phase.
 
 The processes have processors: a new head hears from all agents within a fraction of a second, each record costs time,
-and heartbeats, timers and what the disk has done wait for their turn. The program's own `TurnSlices` decide how much of
-it is done at once.
+and heartbeats, timers and what the disk has done wait for their turn. The program's own `IterationBudget` decides how
+much of it is done at once.
 """
 
 from __future__ import annotations
@@ -74,7 +74,7 @@
             self._oracle, self._random, lambda: self._cluster.machines(), lambda: None, lambda: self._timeline.now
         )
         self._network = Network(self._timeline, self._random)
-        settings = ReplicaSettings(least_chain=core.tolerated + 1)
+        settings = ReplicaSettings(min_chain_length=core.tolerated + 1)
         surroundings = Surroundings(self._timeline, self._network, self._random, self._watch, settings, core.load)
         self._cluster = Cluster(surroundings, self._oracle)
         self._cluster.begin(core.members, relays=0)
--- a/millethead/lab/core_machine.py
+++ b/millethead/lab/core_machine.py
@@ -10,10 +10,10 @@
 from random import Random
 from typing import Protocol
 
-from millethead.control.callers import CallerEvents, Callers
+from millethead.control.call_handler import CallHandler, StateChangeCallbacks
 from millethead.control.calls import CallAnswer, CallerHello, ConfigurationCall, JobCall
 from millethead.control.commit import CommitGate, CommittedLink, HeadLink
-from millethead.control.configuration_stream import Caller, ConfigurationStream
+from millethead.control.configuration_stream import CallerSession, ConfigurationStream
 from millethead.control.state import ControlState
 from millethead.lab.core_network import LinkEnd, Network
 from millethead.lab.core_processor import Processor
@@ -24,13 +24,13 @@
 from millethead.replication.log import ReplicatedLog
 from millethead.replication.messages import ChainHello
 from millethead.replication.proposal import ViewProposal
-from millethead.replication.replica import START_OF_EPOCH, Replica, ReplicaSettings
+from millethead.replication.replica import EPOCH_START_PAYLOAD, Replica, ReplicaSettings
 from millethead.replication.view import ChainMember, Member, View
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.rpc.codec import Record
-from millethead.rpc.turns import TurnSlices
+from millethead.rpc.loop_budget import IterationBudget
 from millethead.storage.log import Entry, Recovered, Snapshot
-from millethead.storage.sync_times import HELD_UP_S
+from millethead.storage.sync_times import MIN_LOOP_DELAY_S
 
 LINK_RETRY_S = 0.05
 COMPACT_ENTRIES = 12  # entries after the snapshot that have the log rewritten: few, so that it comes about often
@@ -130,7 +130,7 @@
     def work(self) -> None:
         """Go on with what is left."""
         while self._left:
-            if self._process.slices.spent:
+            if self._process.slices.exhausted:
                 self._process.slices.defer(self.work)
                 return
             self._left -= 1
@@ -152,14 +152,14 @@
         self.state = ControlState()
         self.replica: Replica | None = None
         self.gate: CommitGate | None = None
-        self.callers: Callers | None = None
+        self.callers: CallHandler | None = None
         self.stream: ConfigurationStream | None = None
         self._links: dict[LinkEnd, None] = {}
         self._maintenance: DiskMaintenance | None = None
         self._reviving = False
         self._tick_due = 0.0
         self._processor = Processor(around.timeline) if around.load is not None else None
-        self.slices = TurnSlices(self.now, self.soon)
+        self.slices = IterationBudget(self.now, self.soon)
         self._open()
 
     # ---- time --------------------------------------------------------------------------------------------
@@ -214,7 +214,7 @@
     def _make_replica(self) -> Replica:
         storage = self.storage
         recovered = storage.recovered if storage is not None else Recovered(None, ())
-        kept = storage.kept if storage is not None else Kept()
+        kept = storage.kept if storage is not None else AcceptorState()
         member = Member(self.address, storage.identity.disk_id if storage is not None else 0)
         bootstrapping = storage is not None and storage.identity.bootstrapping
         self.state = ControlState()
@@ -242,7 +242,7 @@
         if self.replica is not replica:
             return
         now = self.now()
-        if self.storage is not None and self._tick_due and now - self._tick_due >= HELD_UP_S:
+        if self.storage is not None and self._tick_due and now - self._tick_due >= MIN_LOOP_DELAY_S:
             self.storage.held_up(self._tick_due)
         replica.tick(now)
         self._maintain_disk()
@@ -341,7 +341,7 @@
         assert self.storage is not None
         self.storage.install(snapshot, durable)
 
-    def _save(self, kept: Kept, done: Callable[[], None]) -> None:
+    def _save(self, kept: AcceptorState, done: Callable[[], None]) -> None:
         if self.storage is not None:
             self.storage.save(kept, done)
 
@@ -394,7 +394,7 @@
         if self.gate is not None:
             self.gate.barrier_passed(number)
 
-    def synced_to_head(self) -> None:
+    def reconciled(self) -> None:
         """Nothing to be done."""
 
     def proposing(self, proposal: ViewProposal) -> None:
@@ -408,15 +408,15 @@
     def serving(self, epoch: int) -> None:
         self.gate = CommitGate(self._running().chain, self.soon)
         self.stream = ConfigurationStream(epoch, self.state.configuration, self.gate)
-        events = CallerEvents(lambda job: None, lambda outcome: None, self.stream.publish)
-        self.callers = Callers(self.state, self.gate, events, self.wall_ms)
+        events = StateChangeCallbacks(lambda job: None, lambda outcome: None, self.stream.publish)
+        self.callers = CallHandler(self.state, self.gate, events, self.wall_ms)
         self._around.watcher.head_began(self)
         self._welcome_agents()
 
     def commit_nothing(self) -> None:
         """Append an entry that changes nothing, if this process still serves."""
         if self.is_serving:
-            self._running().chain.propose(START_OF_EPOCH)
+            self._running().chain.propose(EPOCH_START_PAYLOAD)
 
     def _welcome_agents(self) -> None:
         load, processor = self._around.load, self._processor
@@ -426,10 +426,10 @@
             agent = _ArrivingAgent(self, processor, load)
             self.later(self._random.uniform(0.0, load.spread_s), agent.work)
 
-    def leads_on(self, view: View) -> None:
+    def continue_in_view(self, view: View) -> None:
         assert self.gate is not None and self.stream is not None
-        self.gate.leads_on()
-        self.stream.leads_on(view.epoch)
+        self.gate.continue_in_view()
+        self.stream.continue_in_view(view.epoch)
 
     def deposed(self) -> None:
         if self.gate is not None:
@@ -475,8 +475,8 @@
             self.callers.configuration(record, lambda answer: reply(answer.value))
         return None
 
-    def follow(self, link: HeadLink, hello: CallerHello) -> Caller | None:
+    def follow(self, link: HeadLink, hello: CallerHello) -> CallerSession | None:
         """A follower of the configuration has connected; None where this process does not serve."""
         if self.stream is None:
             return None
-        return self.stream.join(CommittedLink(link, self._running().chain), hello)
+        return self.stream.add_caller(CommittedLink(link, self._running().chain), hello)
--- a/millethead/lab/core_oracle.py
+++ b/millethead/lab/core_oracle.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 
 from millethead.configuration.change import Verdict
-from millethead.control.state import ControlState, order_of
+from millethead.control.state import ControlState, configuration_order
 from millethead.jobs.commands import ChangeConfiguration, SubmitJob
 from millethead.jobs.state import JobPhase
 from millethead.lab.core_machine import CoreProcess
 from millethead.lab.streamed import StreamedConfigurations
-from millethead.replication.place import LogPlace
+from millethead.replication.log_position import LogPosition
 from millethead.replication.view import View
 from millethead.rpc.codec import decode_any
 from millethead.storage.log import Entry
@@ -116,11 +116,11 @@
         payload = self._known[number].payload
         self._committed.append(number[0])
         self._committed_in.append(view_epoch)
-        result = self.reference.apply(payload, LogPlace(*number))
+        result = self.reference.apply(payload, LogPosition(*number))
         self.streamed.committed(self.reference.configuration)
         command = decode_any(payload) if payload else None
         if isinstance(command, ChangeConfiguration):
-            digest = order_of(command).digest()
+            digest = configuration_order(command).digest()
             if getattr(result, "verdict", None) is Verdict.ACCEPTED and digest in self.refused_orders:
                 raise Violation("an order that was refused is in force")
         elif isinstance(command, SubmitJob) and command.job not in self.reference.jobs.jobs:
@@ -136,11 +136,11 @@
 
     def in_force(self, command: ChangeConfiguration) -> bool:
         """Whether an order has taken effect at some time."""
-        return order_of(command).digest() in self.reference.configuration._accepted
+        return configuration_order(command).digest() in self.reference.configuration._accepted
 
     def order_answered(self, command: ChangeConfiguration, status: int, known_acknowledged: bool) -> None:
         """`known_acknowledged`: it had been acknowledged when this call was made."""
-        digest = order_of(command).digest()
+        digest = configuration_order(command).digest()
         if status == OK:
             if not self.in_force(command):
                 raise Violation("an order is acknowledged that is not committed")
--- a/millethead/lab/core_storage.py
+++ b/millethead/lab/core_storage.py
@@ -14,9 +14,9 @@
 
 from millethead.lab.disk import Operation, SimulatedDisk, _SimulatedFile, _Write
 from millethead.programs.core_disk import ACCEPTOR_NAME
-from millethead.rollout.register import Kept
+from millethead.rollout.register import AcceptorState
 from millethead.storage import identity as identities
-from millethead.storage.files import Files
+from millethead.storage.files import FileSystem
 from millethead.storage.identity import IDENTITY_NAME, DiskIdentity
 from millethead.storage.log import LOG_NAME, CorruptLog, Entry, LogFile, Recovered, Snapshot
 from millethead.storage.register_file import RegisterFile
@@ -56,7 +56,7 @@
     return new.offset <= old.offset and old.offset + len(old.data) <= new.offset + len(new.data)
 
 
-def write_lasting(files: Files, path: Path, data: bytes) -> None:
+def write_durably(files: FileSystem, path: Path, data: bytes) -> None:
     """Write a file whole, its name on the disk too; raises OSError."""
     new = path.with_name(f"{path.name}.new")
     file = files.create(new)
@@ -67,7 +67,7 @@
     files.sync_folder(path.parent)
 
 
-def read_whole(files: Files, path: Path) -> bytes | None:
+def read_whole(files: FileSystem, path: Path) -> bytes | None:
     """The bytes of a file, or None where there is none."""
     try:
         file = files.open(path)
@@ -116,7 +116,7 @@
         self._log = LogFile(FOLDER, self._disk, generation=lambda: self._random.getrandbits(64))
         self.recovered: Recovered = self._log.recover()
         self._acceptor = RegisterFile(self._disk, FOLDER / ACCEPTOR_NAME)
-        self.kept: Kept = self._acceptor.load()
+        self.kept: AcceptorState = self._acceptor.load()
         self._write_anew()
 
     def _write_anew(self) -> None:
@@ -133,7 +133,7 @@
         if self._disk.exists(FOLDER / LOG_NAME):
             raise CorruptLog("no identity beside a log")
         identity = DiskIdentity(self._random.getrandbits(63) | 1, bootstrap)
-        write_lasting(self._disk, FOLDER / IDENTITY_NAME, identities.encode_identity(identity))
+        write_durably(self._disk, FOLDER / IDENTITY_NAME, identities.encode_identity(identity))
         return identity
 
     def _discard(self) -> None:
@@ -185,7 +185,7 @@
         self.writer.run(job, done)
         self._wake()
 
-    def save(self, kept: Kept, done: Callable[[], None]) -> None:
+    def save(self, kept: AcceptorState, done: Callable[[], None]) -> None:
         self._register_writer.save(kept, done)
         self._wake()
 
@@ -194,14 +194,14 @@
         if self.identity.bootstrapping:
             done = DiskIdentity(self.identity.disk_id, False)
             self.writer.run(
-                lambda: write_lasting(self._disk, FOLDER / IDENTITY_NAME, identities.encode_identity(done)),
+                lambda: write_durably(self._disk, FOLDER / IDENTITY_NAME, identities.encode_identity(done)),
                 lambda: None,
             )
             self._wake()
 
     def held_up(self, since: float) -> None:
         """The event loop should have gone on at `since`, and does so only now."""
-        self._sync_times.held_up(since)
+        self._sync_times.record_loop_delay(since)
 
     def latency_ms(self) -> int:
         """The longest sync lately, or how long the present one is pending if that is more."""
@@ -216,7 +216,7 @@
         waiting_since = self.writer.pending_since
         if not self._working and not self.writer.broken and waiting_since is not None:
             self._working = True
-            self._sync_times.started(waiting_since)
+            self._sync_times.record_start(waiting_since)
             sync_s = self._sync_s()
             self._stepped = sync_s < SHORT_S and self._random.random() < EARLY
             if self._stepped:
@@ -226,7 +226,7 @@
     def _synced(self) -> None:
         if not self._stepped:
             self.writer.step()
-        self._sync_times.finished()
+        self._sync_times.record_end()
         due, self._due = self._due, []
         self._working = False
         for call in due:
--- a/millethead/lab/hour.py
+++ b/millethead/lab/hour.py
@@ -1,8 +1,8 @@
 """An hour at the branch desks, compressed: the real program on loopback, its clock running faster than time.
 
 Timed jobs, chains, diamonds, parents that fail, a flood of bookings with reports behind it, a worker that goes dark
-and one that drains, over both fronts. What each job was owed is written down as it is handed in, and held against
-what its client and the workers saw.
+and one that drains, over both protocols (HTTP and Faktory). The expected result of each job is recorded when it is
+submitted, and compared with what its client and the workers received.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from millethead.lab.standins import Discovery, Faktory, HttpWorker, Ledger, fetch_loop, post
 from millethead.operators import load_operator
 from millethead.program import Program
-from millethead.waiting.room import WaitingRoom
+from millethead.waiting.stage import WaitingStage
 
 CLASSES: list[dict[str, Any]] = [
     {"name": "desk-search", "deadline": 7500.0, "goal_time": 2000.0, "effect": "retryable", "worth": 2.0},
@@ -141,7 +141,7 @@
                     task.cancel()
                 await asyncio.gather(*self.tasks, return_exceptions=True)
                 stage = self.program.stage
-                self.returned = stage.book.returned if isinstance(stage, WaitingRoom) else 0
+                self.returned = stage.delayed_jobs.retried if isinstance(stage, WaitingStage) else 0
                 self.program.finish()
                 await self.running
                 for worker in self.workers:
--- a/millethead/lab/system_core.py
+++ b/millethead/lab/system_core.py
@@ -13,14 +13,14 @@
 
 from millethead.control.agents import AgentSession
 from millethead.control.calls import CallerHello, CallerWelcome
-from millethead.control.configuration_stream import Caller
+from millethead.control.configuration_stream import CallerSession
 from millethead.control.head import Head
 from millethead.control.state import ControlState
 from millethead.execution.messages import AgentHello, AgentTurnedAway
 from millethead.lab.core_time import Timeline
 from millethead.lab.system_clock import MachineClock
 from millethead.lab.system_wire import WireEnd
-from millethead.replication.place import LogPlace
+from millethead.replication.log_position import LogPosition
 from millethead.replication.view import NO_VIEW, View
 from millethead.rpc.codec import Record
 from millethead.storage.log import Entry
@@ -36,7 +36,7 @@
 class CoreEvents(Protocol):
     """What the core tells the world."""
 
-    def committed(self, place: LogPlace, state: ControlState) -> None:
+    def committed(self, place: LogPosition, state: ControlState) -> None:
         """The entry at a place is at every member of the chain, and leads to this state."""
         ...
 
@@ -79,7 +79,7 @@
 
     def propose(self, payload: bytes) -> tuple[int, object]:
         sequence = len(self.log) + 1
-        result = self._process.state.apply(payload, LogPlace(self._epoch, sequence))
+        result = self._process.state.apply(payload, LogPosition(self._epoch, sequence))
         self.log.append(Entry(self._epoch, sequence, payload))
         self._sync(sequence)
         return sequence, result
@@ -150,7 +150,7 @@
         self.frozen = False
         self.retiring = False  # it is about to learn that it is not the head any more
         self._deferred: list[Callable[[], None]] = []
-        self._sessions: dict[WireEnd, Caller | AgentSession | None] = {}
+        self._sessions: dict[WireEnd, CallerSession | AgentSession | None] = {}
         self.chain = StandInChain(core, self, epoch, log)
         self.head = self._make_head(epoch)
 
@@ -217,7 +217,7 @@
         if end not in self._sessions:
             return
         session = self._sessions[end]
-        if isinstance(session, Caller):
+        if isinstance(session, CallerSession):
             self.head.caller_record(session, record)
         elif isinstance(session, AgentSession):
             self.head.agent_record(session, record)
@@ -228,10 +228,10 @@
 
     def _gone(self, end: WireEnd) -> None:
         session = self._sessions.pop(end, None)
-        if isinstance(session, Caller):
-            self.head.caller_gone(session)
+        if isinstance(session, CallerSession):
+            self.head.caller_disconnected(session)
         elif isinstance(session, AgentSession):
-            self.head.agent_gone(session)
+            self.head.agent_disconnected(session)
 
     # ---- ends --------------------------------------------------------------------------------------------
 
@@ -240,8 +240,8 @@
         self.head.close()
         self.head = self._make_head(epoch)
         for end, session in list(self._sessions.items()):
-            if isinstance(session, Caller):
-                self._sessions[end] = self.head.caller_hello(end, session.hello())
+            if isinstance(session, CallerSession):
+                self._sessions[end] = self.head.caller_hello(end, session.to_hello())
             elif isinstance(session, AgentSession):
                 self._sessions[end] = self.head.agent_hello(end, session.hello)
 
@@ -251,7 +251,7 @@
         for end, session in list(self._sessions.items()):
             if isinstance(session, AgentSession):
                 end.send(AgentTurnedAway(self._core.epoch, "", ()))
-            elif isinstance(session, Caller):
+            elif isinstance(session, CallerSession):
                 end.send(CallerWelcome(NO_VIEW, False))
             end.close()
         self.end()
@@ -290,7 +290,7 @@
 
     def commit(self, entry: Entry) -> None:
         """An entry is at every member."""
-        place = LogPlace(entry.epoch, entry.sequence)
+        place = LogPosition(entry.epoch, entry.sequence)
         self.log.append(entry)
         self.reference.apply(entry.payload, place)
         self._events.committed(place, self.reference)
@@ -367,7 +367,7 @@
         if self.epoch % MISSED != 0:
             self.epoch += 1
             process.chain.renew(self.epoch)
-            process.head.leads_on(View(self.epoch, (), ()))
+            process.head.continue_in_view(View(self.epoch, (), ()))
             return
         chain = process.chain
         chain.broken = True
--- a/millethead/rollout/state.py
+++ b/millethead/rollout/state.py
@@ -1,4 +1,8 @@
-"""What the fleet agrees on, and each change of it: pure functions of the old state, which raise Refused."""
+"""The state that the fleet agrees on, and its changes: pure functions of the old state that raise ChangeRefused.
+
+A member or booking worker that takes part is called a subject. A slot is the permission for one subject to be out of
+service.
+"""
 
 from __future__ import annotations
 
@@ -6,92 +10,100 @@
 
 import msgspec
 
-from millethead.members.offices import Office
-from millethead.rollout.register import Refused
+from millethead.members.steward_role import StewardAssignment
+from millethead.rollout.register import ChangeRefused
 
-SCHEMA = 2  # 1 had no voters and no offices
-MOST_BYTES = 12_000  # of the state: it travels in one datagram
-MOST_NAMED = 64  # members in one plan
-MOST_VOTERS = 15
+SCHEMA_VERSION = 2  # version 1 had no voters and no stewards
+MAX_STATE_BYTES = 12_000  # the state must fit one datagram
+MAX_SUBJECTS = 64  # members in one release plan
+MAX_VOTERS = 15
 DISPATCHERS = "dispatchers"
 RUNNING, HALTED, UNDOING, DONE, UNDONE = "running", "halted", "undoing", "done", "undone"
 
 
 class Slot(msgspec.Struct, frozen=True, array_like=True):
-    """Somebody is out, or about to be. `token`: never used twice; `begun`: it has been told to go, once; `start`: when
-    the process that goes had started (one that started later is back); `version`: the one it shall come back with, if
-    any; `release`: the number of the release that this is a step of, negative for its undoing, 0 for none."""
+    """A subject is out of service, or about to be.
+
+    `token` is never used twice. `restart_begun` is set once, when the subject begins its restart. `process_start` is
+    the start time of the process that leaves; a process with a later start is the returned subject. `version` is the
+    version it has to return with, if any. `release` is the id of the release that this slot belongs to, negative while
+    the release is undone, and 0 for a drain.
+    """
 
     group: str
     subject: str
     token: int
-    by: str = ""
-    begun: bool = False
-    start: float = 0.0
+    requested_by: str = ""
+    restart_begun: bool = False
+    process_start: float = 0.0
     version: str = ""
     release: int = 0
 
 
-class Health(msgspec.Struct, frozen=True, array_like=True):
-    """What is unhealthy: the part of answers failed, or refused, above that of those not yet moved; time to answer as a
-    multiple of theirs. `least`: answers of a class before it is judged."""
+class HealthLimits(msgspec.Struct, frozen=True, array_like=True):
+    """Health limits of a release: `error_margin` and `refusal_margin` are the excess of the failed and refused fraction
+    of answers over members that are not updated yet; `latency_factor` is the factor of their response time.
+    `min_answers`: answers of a class before it is judged."""
 
-    errors: float = 0.02
-    refusals: float = 0.10
-    slower: float = 2.0
-    least: int = 20
+    error_margin: float = 0.02
+    refusal_margin: float = 0.10
+    latency_factor: float = 2.0
+    min_answers: int = 20
 
 
-class Moved(msgspec.Struct, frozen=True, array_like=True):
-    """A member that a release has moved or is moving, and the version it had."""
+class UpdatedSubject(msgspec.Struct, frozen=True, array_like=True):
+    """A subject that a release has updated or is updating, and the version it had before."""
 
     subject: str
-    before: str
+    previous_version: str
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True):
-    """A plan and how far it is. Times are seconds."""
+    """A release plan and its progress. Times are seconds."""
 
     id: int
     group: str
     version: str
     steps: tuple[tuple[str, ...], ...]
     max_out: int
-    soak: float
-    back: float
-    health: Health = Health()
-    at: int = 0
-    moved: tuple[Moved, ...] = ()
+    soak_s: float
+    return_timeout_s: float
+    health: HealthLimits = HealthLimits()
+    step_index: int = 0
+    updated: tuple[UpdatedSubject, ...] = ()
     status: str = RUNNING
-    why: str = ""
-    resumes: str = RUNNING  # what `resume` goes on with
+    reason: str = ""
+    resume_status: str = RUNNING  # status that `resume_release` restores
 
 
 class State(msgspec.Struct, frozen=True, array_like=True):
-    """`rev` rises with every change, `tokens` with every slot and release; `voters` decide on the next change;
-    `offices`: the stewards of the fleet's limits, a part each."""
+    """`rev` increases with every change, `last_token` with every slot, release and steward replacement. `voters` decide
+    on the next change. `stewards` assigns the parts of the fleet-wide limits."""
 
-    schema: int = SCHEMA
+    schema: int = SCHEMA_VERSION
     rev: int = 0
-    tokens: int = 0
+    last_token: int = 0
     slots: tuple[Slot, ...] = ()
     release: Release | None = None
     voters: tuple[str, ...] = ()
-    offices: tuple[Office, ...] = ()
+    stewards: tuple[StewardAssignment, ...] = ()
 
     @property
-    def under_way(self) -> Release | None:
-        """The release, while it goes forth or back."""
-        r = self.release
-        return r if r is not None and r.status in (RUNNING, UNDOING) else None
+    def active_release(self) -> Release | None:
+        """The release if it is running or being undone, else None."""
+        release = self.release
+        return release if release is not None and release.status in (RUNNING, UNDOING) else None
 
-    def out(self, group: str) -> int:
+    def out_count(self, group: str) -> int:
+        """Returns the number of slots of a group in use."""
         return sum(slot.group == group for slot in self.slots)
 
-    def slot(self, token: int) -> Slot | None:
+    def slot_by_token(self, token: int) -> Slot | None:
+        """Returns the slot with the given token, if there is one."""
         return next((s for s in self.slots if s.token == token), None)
 
-    def of(self, subject: str) -> Slot | None:
+    def slot_of(self, subject: str) -> Slot | None:
+        """Returns the slot of a subject, if it has one."""
         return next((s for s in self.slots if s.subject == subject), None)
 
 
@@ -100,80 +112,99 @@
 _replace = msgspec.structs.replace
 
 
-def read(value: bytes) -> State:
-    """Raises ValueError where it is not a state of this version."""
+def decode_state(value: bytes) -> State:
+    """Decodes a state. Raises ValueError if it is not a state of a known version."""
     if not value:
         return State()
     try:
         state = _decoder.decode(value)
     except msgspec.MsgspecError as error:
         raise ValueError(f"not a state: {error}") from None
-    if state.schema not in (1, SCHEMA):
-        raise ValueError(f"a state of version {state.schema}, not {SCHEMA}")
-    return _replace(state, schema=SCHEMA)
+    if state.schema not in (1, SCHEMA_VERSION):
+        raise ValueError(f"a state of version {state.schema}, not {SCHEMA_VERSION}")
+    return _replace(state, schema=SCHEMA_VERSION)
 
 
-def write(state: State) -> bytes:
-    """Raises Refused where it has grown too large."""
+def encode_state(state: State) -> bytes:
+    """Encodes a state. Raises ChangeRefused if it is too large."""
     value = _encode(state)
-    if len(value) > MOST_BYTES:
-        raise Refused(f"the state would take {len(value)} bytes, more than {MOST_BYTES}")
+    if len(value) > MAX_STATE_BYTES:
+        raise ChangeRefused(f"the state would take {len(value)} bytes, more than {MAX_STATE_BYTES}")
     return value
 
 
-def _next(state: State, **changes: object) -> State:
+def _with_changes(state: State, **changes: object) -> State:
     return _replace(state, rev=state.rev + 1, **changes)
 
 
 # ---- slots ---------------------------------------------------------------------------------------------
 
 
-def take(
-    state: State, group: str, subject: str, most: int, by: str, start: float = 0.0, version: str = "", release: int = 0
+def take_slot(
+    state: State,
+    group: str,
+    subject: str,
+    max_out: int,
+    by: str,
+    process_start: float = 0.0,
+    version: str = "",
+    release: int = 0,
 ) -> State:
-    """A slot of `group`, of which `most` may be out."""
-    if state.of(subject) is not None:
-        raise Refused(f"{subject} is out already")
-    if state.out(group) >= most:
-        raise Refused(f"no slot: {state.out(group)} of {group} are out, and max_out is {most}")
-    # a booking worker is told nothing: with its slot it is out
-    slot = Slot(group, subject, state.tokens + 1, by, group != DISPATCHERS, start, version, release)
-    return _next(state, tokens=state.tokens + 1, slots=(*state.slots, slot))
-
-
-def begin(state: State, token: int, start: float) -> State:
-    """The subject goes now; nobody else may do this step again."""
-    slot = state.slot(token)
-    if slot is None or slot.begun:
-        raise Refused("this step was taken back, or is done already")
-    return _next(state, slots=tuple(_replace(s, begun=True, start=start) if s is slot else s for s in state.slots))
-
-
-def free(state: State, token: int) -> State:
-    """It is back, or its lease is over. What a release undoes counts as returned with its slot."""
-    slot = state.slot(token)
+    """Takes a slot for `subject`. At most `max_out` subjects of `group` may be out."""
+    if state.slot_of(subject) is not None:
+        raise ChangeRefused(f"{subject} is out already")
+    if state.out_count(group) >= max_out:
+        raise ChangeRefused(f"no slot: {state.out_count(group)} of {group} are out, and max_out is {max_out}")
+    # a booking worker is not informed: it is out as soon as it has the slot
+    slot = Slot(group, subject, state.last_token + 1, by, group != DISPATCHERS, process_start, version, release)
+    return _with_changes(state, last_token=state.last_token + 1, slots=(*state.slots, slot))
+
+
+def begin_restart(state: State, token: int, process_start: float) -> State:
+    """Marks the restart as begun. No other process may begin it again."""
+    slot = state.slot_by_token(token)
+    if slot is None or slot.restart_begun:
+        raise ChangeRefused("this step was taken back, or is done already")
+    return _with_changes(
+        state,
+        slots=tuple(
+            _replace(s, restart_begun=True, process_start=process_start) if s is slot else s for s in state.slots
+        ),
+    )
+
+
+def free_slot(state: State, token: int) -> State:
+    """Frees a slot whose subject is back or whose lease has expired. In an undo, the subject then counts as
+    restored."""
+    slot = state.slot_by_token(token)
     if slot is None:
-        raise Refused("no such slot")
-    state = _next(state, slots=tuple(s for s in state.slots if s is not slot))
+        raise ChangeRefused("no such slot")
+    state = _with_changes(state, slots=tuple(s for s in state.slots if s is not slot))
     release = state.release
     if release is not None and slot.release == -release.id:
-        left = tuple(m for m in release.moved if m.subject != slot.subject)
-        release = _replace(release, moved=left)
-        state = _replace(state, release=release if left else _replace(release, status=UNDONE, why="undone"))
+        remaining = tuple(update for update in release.updated if update.subject != slot.subject)
+        release = _replace(release, updated=remaining)
+        state = _replace(state, release=release if remaining else _replace(release, status=UNDONE, reason="undone"))
     return state
 
 
-def call_back(state: State, subject: str) -> State:
-    """An operator takes a drain back: that of a dispatcher which has not gone yet, or of a booking worker, where no
-    release asked for it, or one that is halted."""
-    slot, r = state.of(subject), state.release
-    if slot is None or (slot.release and (slot.group == DISPATCHERS or r is None or r.status != HALTED)):
-        raise Refused(f"{subject} is not out by a drain")
-    if slot.group == DISPATCHERS and slot.begun:
-        raise Refused(f"{subject} is going already")
-    state = free(state, slot.token)
-    if r is not None and slot.release == r.id:  # it was not moved after all
-        state = _replace(state, release=_replace(r, moved=tuple(m for m in r.moved if m.subject != subject)))
+def cancel_drain(state: State, subject: str) -> State:
+    """Cancels a drain on an operator's request.
+
+    This is possible for a dispatcher that has not begun its restart, and for a booking worker if no release took its
+    slot or that release is halted.
+    """
+    slot, release = state.slot_of(subject), state.release
+    if slot is None or (slot.release and (slot.group == DISPATCHERS or release is None or release.status != HALTED)):
+        raise ChangeRefused(f"{subject} is not out by a drain")
+    if slot.group == DISPATCHERS and slot.restart_begun:
+        raise ChangeRefused(f"{subject} is going already")
+    state = free_slot(state, slot.token)
+    if release is not None and slot.release == release.id:  # the subject was not updated after all
+        state = _replace(
+            state,
+            release=_replace(release, updated=tuple(update for update in release.updated if update.subject != subject)),
+        )
     return state
 
 
@@ -181,143 +212,185 @@
 
 
 def add_voter(state: State, name: str) -> State:
-    """One at a time, so that a majority before the change and one after it always meet."""
+    """Adds one voter. Voters change one at a time, so that any majority before the change and any majority after it
+    intersect."""
     if name in state.voters:
-        raise Refused(f"{name} is a voter already")
-    if len(state.voters) >= MOST_VOTERS:
-        raise Refused(f"there are {len(state.voters)} voters, and no more than {MOST_VOTERS} may be")
-    return _next(state, voters=(*state.voters, name))
+        raise ChangeRefused(f"{name} is a voter already")
+    if len(state.voters) >= MAX_VOTERS:
+        raise ChangeRefused(f"there are {len(state.voters)} voters, and no more than {MAX_VOTERS} may be")
+    return _with_changes(state, voters=(*state.voters, name))
 
 
-def drop_voter(state: State, name: str, there: Collection[str]) -> State:
-    """`there`: the dispatchers that are there, of whom a majority must be left: without one nothing is agreed again."""
+def remove_voter(state: State, name: str, present: Collection[str]) -> State:
+    """Removes one voter. A majority of the remaining voters must be in `present`, the live dispatchers, since without
+    one no further change could be agreed on."""
     if name not in state.voters:
-        raise Refused(f"{name} is no voter")
-    left = tuple(v for v in state.voters if v != name)
-    if 2 * sum(v in there for v in left) <= len(left):
-        raise Refused(f"of the voters left ({', '.join(left) or 'none'}) no majority would be there")
-    return _next(state, voters=left)
+        raise ChangeRefused(f"{name} is no voter")
+    remaining = tuple(v for v in state.voters if v != name)
+    if 2 * sum(v in present for v in remaining) <= len(remaining):
+        raise ChangeRefused(f"of the voters left ({', '.join(remaining) or 'none'}) no majority would be there")
+    return _with_changes(state, voters=remaining)
 
 
 def replace_steward(state: State, old: str, new: str) -> State:
-    """`new` has the part of `old` from now on, and lends when all that `old` may have lent has run out."""
-    names = [office.name for office in state.offices]
+    """Gives the part of the steward `old` to `new`. It grants shares once all grants that `old` may have made have
+    expired."""
+    names = [steward.name for steward in state.stewards]
     if old not in names:
-        raise Refused(f"{old} is no steward")
+        raise ChangeRefused(f"{old} is no steward")
     if new in names:
-        raise Refused(f"{new} is a steward already")
-    token = state.tokens + 1
-    return _next(
+        raise ChangeRefused(f"{new} is a steward already")
+    token = state.last_token + 1
+    return _with_changes(
         state,
-        tokens=token,
-        offices=tuple(Office(new, token) if office.name == old else office for office in state.offices),
+        last_token=token,
+        stewards=tuple(StewardAssignment(new, token) if steward.name == old else steward for steward in state.stewards),
     )
 
 
 # ---- releases ------------------------------------------------------------------------------------------
 
 
-def start(state: State, plan: Release) -> State:
+def start_release(state: State, plan: Release) -> State:
+    """Starts a release, unless an earlier one is unfinished."""
     old = state.release
     if old is not None and old.status not in (DONE, UNDONE):
-        raise Refused(f"a release to {old.version!r} is {old.status}: undo it or let it end")
-    return _next(state, tokens=state.tokens + 1, release=_replace(plan, id=state.tokens + 1))
-
+        raise ChangeRefused(f"a release to {old.version!r} is {old.status}: undo it or let it end")
+    return _with_changes(state, last_token=state.last_token + 1, release=_replace(plan, id=state.last_token + 1))
+
+
+def halt_release(state: State, reason: str, release_id: int = 0) -> State:
+    """Halts the active release: no further update begins, and subjects that are out return. `release_id`: halt only
+    this release."""
+    release = state.active_release
+    if release is None or release_id not in (0, release.id):
+        raise ChangeRefused("no release is under way")
+    slots, updated = _without_unbegun(state, release)
+    return _with_changes(
+        state,
+        slots=slots,
+        release=_replace(release, status=HALTED, resume_status=release.status, reason=reason, updated=updated),
+    )
 
-def halt(state: State, why: str, release: int = 0) -> State:
-    """Nothing new is begun; what is out comes back. `release`: only this one."""
-    r = state.under_way
-    if r is None or release not in (0, r.id):
-        raise Refused("no release is under way")
-    slots, moved = _without_idle(state, r)
-    return _next(state, slots=slots, release=_replace(r, status=HALTED, resumes=r.status, why=why, moved=moved))
 
+def _without_unbegun(state: State, release: Release) -> tuple[tuple[Slot, ...], tuple[UpdatedSubject, ...]]:
+    """Returns the slots and updated subjects without the updates that were agreed on but have not begun."""
+    unbegun_tokens = {s.token for s in state.slots if abs(s.release) == release.id and not s.restart_begun}
+    unbegun_subjects = {s.subject for s in state.slots if s.release == release.id and s.token in unbegun_tokens}
+    return (
+        tuple(s for s in state.slots if s.token not in unbegun_tokens),
+        tuple(update for update in release.updated if update.subject not in unbegun_subjects),
+    )
 
-def _without_idle(state: State, r: Release) -> tuple[tuple[Slot, ...], tuple[Moved, ...]]:
-    """Without the steps that were agreed on and have not begun: they need not happen."""
-    idle = {s.token for s in state.slots if abs(s.release) == r.id and not s.begun}
-    forward = {s.subject for s in state.slots if s.release == r.id and s.token in idle}
-    return (tuple(s for s in state.slots if s.token not in idle), tuple(m for m in r.moved if m.subject not in forward))
 
+def resume_release(state: State) -> State:
+    """Resumes a halted release.
 
-def resume(state: State) -> State:
-    """Go on. A dispatcher that had begun its step and is not back goes once more, under a new token: it may have been
-    killed before it said which version it wants, and come back as the one it was."""
-    r = state.release
-    if r is None or r.status != HALTED:
-        raise Refused("no release is halted")
-    slots, tokens = list[Slot](), state.tokens
+    A dispatcher that had begun its restart and is not back restarts again under a new token. It may have been killed
+    before it stored the version it wants, and come back with the old one.
+    """
+    release = state.release
+    if release is None or release.status != HALTED:
+        raise ChangeRefused("no release is halted")
+    slots, last_token = list[Slot](), state.last_token
     for slot in state.slots:
-        if abs(slot.release) == r.id and slot.group == DISPATCHERS:
-            tokens += 1
-            slot = _replace(slot, begun=False, token=tokens)
+        if abs(slot.release) == release.id and slot.group == DISPATCHERS:
+            last_token += 1
+            slot = _replace(slot, restart_begun=False, token=last_token)
         slots.append(slot)
-    return _next(state, tokens=tokens, slots=tuple(slots), release=_replace(r, status=r.resumes, why=""))
+    return _with_changes(
+        state,
+        last_token=last_token,
+        slots=tuple(slots),
+        release=_replace(release, status=release.resume_status, reason=""),
+    )
 
 
-def undo(state: State) -> State:
-    """Go back: the last moved first, within the same budget."""
-    r = state.release
-    if r is None or r.status not in (RUNNING, HALTED, DONE) or _way(r) == UNDOING:
-        raise Refused("there is no release to undo")
-    slots, moved = _without_idle(state, r)
-    # one that is just on its way to the new version comes back as that first; `moves` then sends it back
-    status = UNDOING if moved else UNDONE
-    release = _replace(r, status=status, resumes=UNDOING, moved=moved, why="undone by hand")
-    return _next(state, slots=slots, release=release)
+def undo_release(state: State) -> State:
+    """Undoes the release within the same budget, starting with the subject updated last."""
+    release = state.release
+    if release is None or release.status not in (RUNNING, HALTED, DONE) or _direction(release) == UNDOING:
+        raise ChangeRefused("there is no release to undo")
+    slots, updated = _without_unbegun(state, release)
+    # A subject that is being updated returns with the new version first. `next_subjects` then sends it back.
+    status = UNDOING if updated else UNDONE
+    release = _replace(release, status=status, resume_status=UNDOING, updated=updated, reason="undone by hand")
+    return _with_changes(state, slots=slots, release=release)
 
 
-def _way(release: Release) -> str:
-    """Which way it goes, though it may be halted."""
-    return release.resumes if release.status == HALTED else release.status
+def _direction(release: Release) -> str:
+    """Returns the direction of a release, even if it is halted."""
+    return release.resume_status if release.status == HALTED else release.status
 
 
-def moves(state: State) -> list[str]:
-    """Who may be moved next, in order: in undoing one at a time, the last moved first."""
-    r = state.under_way
-    if r is None:
+def next_subjects(state: State) -> list[str]:
+    """Returns the subjects that may be updated next, in order. An undo handles one at a time, the last updated
+    first."""
+    release = state.active_release
+    if release is None:
         return []
-    if r.status == UNDOING:
-        return [r.moved[-1].subject] if r.moved and state.of(r.moved[-1].subject) is None else []
-    done, step = {m.subject for m in r.moved}, r.steps[r.at] if r.at < len(r.steps) else ()
-    return [name for name in step if name not in done and state.of(name) is None]
-
-
-def move(state: State, subject: str, most: int, by: str, begun: float, before: str) -> State:
-    """Take a slot for the next move of the release; `before`: the version that `subject` has now."""
-    r = state.release
-    if r is None or subject not in moves(state):
-        raise Refused(f"{subject} is not to be moved now")
-    version = r.version if r.status == RUNNING else next(m.before for m in r.moved if m.subject == subject)
-    if r.group != DISPATCHERS:  # booking workers tell no version: one that has started anew is back
+    if release.status == UNDOING:
+        return (
+            [release.updated[-1].subject]
+            if release.updated and state.slot_of(release.updated[-1].subject) is None
+            else []
+        )
+    done = {update.subject for update in release.updated}
+    step = release.steps[release.step_index] if release.step_index < len(release.steps) else ()
+    return [name for name in step if name not in done and state.slot_of(name) is None]
+
+
+def take_update_slot(
+    state: State, subject: str, max_out: int, by: str, process_start: float, previous_version: str
+) -> State:
+    """Takes a slot for the next update of the release. `previous_version` is the version that `subject` runs now."""
+    release = state.release
+    if release is None or subject not in next_subjects(state):
+        raise ChangeRefused(f"{subject} is not to be moved now")
+    version = (
+        release.version
+        if release.status == RUNNING
+        else next(update.previous_version for update in release.updated if update.subject == subject)
+    )
+    if release.group != DISPATCHERS:  # booking workers report no version: a restarted one counts as updated
         version = ""
-    state = take(
-        state, r.group, subject, min(most, r.max_out), by, begun, version, r.id if r.status == RUNNING else -r.id
+    state = take_slot(
+        state,
+        release.group,
+        subject,
+        min(max_out, release.max_out),
+        by,
+        process_start,
+        version,
+        release.id if release.status == RUNNING else -release.id,
     )
-    if r.status == RUNNING:
-        state = _replace(state, release=_replace(r, moved=(*r.moved, Moved(subject, before))))
+    if release.status == RUNNING:
+        state = _replace(
+            state, release=_replace(release, updated=(*release.updated, UpdatedSubject(subject, previous_version)))
+        )
     return state
 
 
-def step_over(state: State) -> bool:
-    """Whether all of the present step are moved and back."""
-    r = state.release
+def is_step_finished(state: State) -> bool:
+    """Returns whether all subjects of the current step are updated and back."""
+    release = state.release
     return (
-        r is not None
-        and r.status == RUNNING
-        and not moves(state)
-        and not any(abs(s.release) == r.id for s in state.slots)
+        release is not None
+        and release.status == RUNNING
+        and not next_subjects(state)
+        and not any(abs(s.release) == release.id for s in state.slots)
     )
 
 
-def advance(state: State, at: int) -> State:
-    """The present step, number `at`, has been healthy for its soak."""
-    r = state.release
-    if r is None or r.at != at or not step_over(state):
-        raise Refused("this step is not over, or is done already")
-    status = DONE if at + 1 >= len(r.steps) else RUNNING
-    return _next(state, release=_replace(r, at=at + 1, status=status))
+def finish_step(state: State, step_index: int) -> State:
+    """Ends the current step, number `step_index`, after it was healthy for its soak time."""
+    release = state.release
+    if release is None or release.step_index != step_index or not is_step_finished(state):
+        raise ChangeRefused("this step is not over, or is done already")
+    status = DONE if step_index + 1 >= len(release.steps) else RUNNING
+    return _with_changes(state, release=_replace(release, step_index=step_index + 1, status=status))
 
 
-def named(steps: Iterable[Iterable[str]]) -> list[str]:
+def all_subjects(steps: Iterable[Iterable[str]]) -> list[str]:
+    """Returns the subjects of all steps, in order."""
     return [name for step in steps for name in step]
--- a/tests/test_configuration_scenarios.py
+++ b/tests/test_configuration_scenarios.py
@@ -10,7 +10,7 @@
 
 from millethead.configuration.change import ConfigurationState, Decision, Method, Order, Verdict
 from millethead.configuration.routing import RouteTable
-from millethead.replication.place import LogPlace
+from millethead.replication.log_position import LogPosition
 
 scenarios("features/configuration.feature")
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class Register:
-    """The register with the last order of the operator and what became of it."""
+    """The register, the last order of the operator and the decision on it."""
 
     state: ConfigurationState = field(default_factory=ConfigurationState)
     order: Order | None = None
@@ -29,7 +29,7 @@
     def send(self, order: Order) -> Decision:
         decision = self.state.decide(order)
         if decision.verdict is Verdict.ACCEPTED:
-            self.state.accept(order, decision, LogPlace(1, self.state.place.sequence + 1))
+            self.state.accept(order, decision, LogPosition(1, self.state.place.sequence + 1))
         return decision
 
     def send_own(self, order: Order) -> None:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -5,17 +5,17 @@
 import unittest
 from pathlib import Path
 
-from test_waiting import Inner
+from test_waiting import FakeNextStage
 
-from millethead.console.figures import Figures, render
-from millethead.door.door import Door
-from millethead.door.setup import DoorSetup
-from millethead.exchange.tally import Tally
-from millethead.fronts.platform import PlatformFront
+from millethead.admission.queue import AdmissionQueue
+from millethead.admission.setup import AdmissionSetup
+from millethead.console.metrics import MetricsSnapshot, render
+from millethead.exchange.counters import JobCounters
+from millethead.frontends.http import HttpFrontend
 from millethead.lab.clock import VirtualClock
 from millethead.members.setup import MembersSetup
 from millethead.members.shell import Members
-from millethead.tables import Local
+from millethead.tables import LoopbackAddress
 
 ROOT = Path(__file__).parent.parent
 SYSTEM_PACKAGES = (
@@ -52,10 +52,12 @@
         with tempfile.TemporaryDirectory() as folder:
             key = Path(folder, "key")
             key.write_bytes(b"k" * 16)
-            members = Members(MembersSetup(listen=Local(("127.0.0.1", 1)), key_file=str(key)), "n", "", 1, print)
-        door = Door(Inner(), DoorSetup(), VirtualClock(), 1)
-        front = PlatformFront(Inner(), [], [], print, print)
-        more = [*members.figures(), *door.figures(), *front.figures()]
-        page = render(Figures([], Tally(0), 0, 0, 0, more)).decode()
+            members = Members(
+                MembersSetup(listen=LoopbackAddress(("127.0.0.1", 1)), key_file=str(key)), "n", "", 1, print
+            )
+        admission = AdmissionQueue(FakeNextStage(), AdmissionSetup(), VirtualClock(), 1)
+        front = HttpFrontend(FakeNextStage(), [], [], print, print)
+        more = [*members.figures(), *admission.figures(), *front.figures()]
+        page = render(MetricsSnapshot([], JobCounters(0), 0, 0, 0, more)).decode()
         self.assertEqual(figures, set(re.findall(r"# TYPE (\S+)", page)))
         self.assertEqual({word for word in words if "_" in word} - said - outcomes - figures, set())
--- a/tests/test_system_world.py
+++ b/tests/test_system_world.py
@@ -10,18 +10,18 @@
 
 import pytest
 
-from millethead.control.agents import Agents, AgentSession, WorkerOrders
-from millethead.control.callers import Callers
+from millethead.control.agents import AgentRegistry, AgentSession, WorkerOrders
+from millethead.control.call_handler import CallHandler
 from millethead.control.commit import CommitGate, Committed
-from millethead.control.feeder import Feeder
 from millethead.control.head import Head
-from millethead.control.rounds import Rounds
+from millethead.control.scheduler_sync import SchedulerSync
+from millethead.control.scheduling_loop import SchedulingLoop
 from millethead.execution.actions import Action
 from millethead.execution.agent import Agent
-from millethead.execution.life import Life
+from millethead.execution.call_planner import CallPlanner
 from millethead.execution.messages import EndsNoted, RunEnd, RunOrder, WorkerInfo
 from millethead.execution.runs import Run, RunState
-from millethead.execution.worker_calls import WorkerCalls
+from millethead.execution.worker_instance import WorkerInstance
 from millethead.jobs.commands import AssignRuns, EndedRun, TaskRun
 from millethead.jobs.state import JobTable, Outcome
 from millethead.lab.system_clients import Operator
@@ -58,8 +58,12 @@
 
 def hold_without_lease(patch: Patch) -> None:
     """The hold is renewed though the lease is over."""
-    real = Life.deadline
-    patch.setattr(Life, "deadline", lambda life, lease_end, hold_max_ms, now: real(life, now + 1e3, hold_max_ms, now))
+    real = WorkerInstance.renewal_deadline
+    patch.setattr(
+        WorkerInstance,
+        "renewal_deadline",
+        lambda worker, lease_end, hold_max_ms, now: real(worker, now + 1e3, hold_max_ms, now),
+    )
 
 
 def noted_before_commit(patch: Patch) -> None:
@@ -70,16 +74,16 @@
             session.link.send(Committed(EndsNoted(record.instance, record.sequence), 0))
         real(head, session, record)
 
-    real = Head._report
-    patch.setattr(Head, "_report", report)
+    real = Head._runs_reported
+    patch.setattr(Head, "_runs_reported", report)
 
 
 def run_number_reused(patch: Patch) -> None:
     """A task's next run has the number of its last one."""
 
-    def number(feeder: Feeder, placement: Any, gangs: Any) -> int:
+    def number(scheduler_sync: SchedulerSync, placement: Any, gangs: Any) -> int:
         key = placement.key
-        step = feeder._jobs.jobs[key.job].at_time(key.time).steps[key.step]
+        step = scheduler_sync._jobs.jobs[key.job].at_time(key.time).steps[key.step]
         return max(1, step.tasks[placement.index].run)
 
     def assign(table: JobTable, command: AssignRuns) -> Outcome:
@@ -90,7 +94,7 @@
         return real(table, command)
 
     real = JobTable.assign
-    patch.setattr(Feeder, "_run_number", number)
+    patch.setattr(SchedulerSync, "_run_number", number)
     patch.setattr(JobTable, "assign", assign)
 
 
@@ -128,25 +132,25 @@
 
 def fence_not_raised(patch: Patch) -> None:
     """Orders carry the fence of the first epoch for ever."""
-    patch.setattr(WorkerCalls, "fence", property(lambda calls: min(1, calls._session.epoch)))
+    patch.setattr(CallPlanner, "fence", property(lambda calls: min(1, calls._session.epoch)))
 
 
 def gang_in_part(patch: Patch) -> None:
     """One member of a gang is left out."""
 
-    def send(agents: Agents, orders: Committed[WorkerOrders]) -> None:
+    def send(agents: AgentRegistry, orders: Committed[WorkerOrders]) -> None:
         real(agents, orders.derive(lambda value: replace(value, orders=all_but_last(agents, value))))
 
-    def all_but_last(agents: Agents, value: WorkerOrders) -> tuple[RunOrder, ...]:
+    def all_but_last(agents: AgentRegistry, value: WorkerOrders) -> tuple[RunOrder, ...]:
         return tuple(order for order in value.orders if not last_of_gang(agents, order))
 
-    def last_of_gang(agents: Agents, order: Any) -> bool:
+    def last_of_gang(agents: AgentRegistry, order: Any) -> bool:
         job, _, step, index = order.key.task.split(".")
         description = agents._jobs.jobs[job].description.steps[int(step)]
         return description.gang and int(index) == description.count - 1
 
-    real = Agents.send_orders
-    patch.setattr(Agents, "send_orders", send)
+    real = AgentRegistry.send_orders
+    patch.setattr(AgentRegistry, "send_orders", send)
 
 
 def lost_with_session(patch: Patch) -> None:
@@ -154,29 +158,29 @@
 
     def gone(head: Head, session: AgentSession) -> None:
         real(head, session)
-        head._end(
+        head._end_runs(
             tuple(
                 EndedRun(run, RunEnd.LOST, "") for run, task in head.state.jobs.open_runs() if task.node == session.node
             )
         )
 
-    real = Head.agent_gone
-    patch.setattr(Head, "agent_gone", gone)
+    real = Head.agent_disconnected
+    patch.setattr(Head, "agent_disconnected", gone)
 
 
 def earlier_leases_forgotten(patch: Patch) -> None:
     """A new head does not wait for the leases of earlier heads."""
-    patch.setattr(Agents, "lapsed", lambda agents, node, now: now > agents._lease_ends.get(node, 0.0))
+    patch.setattr(AgentRegistry, "lease_expired", lambda agents, node, now: now > agents._lease_ends.get(node, 0.0))
 
 
 def leave_ends_all(patch: Patch) -> None:
     """A life counts as over once it has said that it ends, whatever runs there."""
 
     def left(agent: Agent, instance: str, now: float) -> list[Action]:
-        life = agent.life
-        if life is not None and life.instance == instance:
-            agent._end_life(life, now)
-            agent._tell_worker()
+        worker = agent.worker
+        if worker is not None and worker.instance == instance:
+            agent._end_instance(worker, now)
+            agent._send_worker_update()
         return agent._advance(now)
 
     patch.setattr(Agent, "worker_left", left)
@@ -184,12 +188,12 @@
 
 def sent_before_commit(patch: Patch) -> None:
     """Orders are sent before the assignment is committed."""
-    real = Rounds._round
+    real = SchedulingLoop._run_pass
 
     def at_once(value: Any, then: Callable[[Committed[Any]], None]) -> None:
         then(Committed(value, 0))
 
-    def round_(rounds: Rounds) -> None:
+    def round_(rounds: SchedulingLoop) -> None:
         gate = rounds.gate
         early = SimpleNamespace(propose=gate.propose, after_commit=at_once, closed=gate.closed)
         patch.setattr(rounds, "gate", early)
@@ -198,23 +202,23 @@
         finally:
             patch.setattr(rounds, "gate", gate)
 
-    patch.setattr(Rounds, "_round", round_)
+    patch.setattr(SchedulingLoop, "_run_pass", round_)
 
 
 def drained_gets_starts(patch: Patch) -> None:
     """A draining worker is taken for any other."""
 
-    def state(agents: Agents, session: AgentSession, info: WorkerInfo) -> WorkerState:
+    def state(agents: AgentRegistry, session: AgentSession, info: WorkerInfo) -> WorkerState:
         return real(agents, session, replace(info, draining=False))
 
-    real = Agents.worker_state
-    patch.setattr(Agents, "worker_state", state)
-    patch.setattr(Life, "draining", property(lambda life: life.leaves_at < math.inf))
+    real = AgentRegistry.update_worker
+    patch.setattr(AgentRegistry, "update_worker", state)
+    patch.setattr(WorkerInstance, "draining", property(lambda worker: worker.leave_deadline < math.inf))
 
 
 def shown_before_commit(patch: Patch) -> None:
     """States are shown before they are committed."""
-    patch.setattr(Callers, "_confirmed", lambda callers, reply, answer: reply(Committed(answer, 0)))
+    patch.setattr(CallHandler, "_reply_when_confirmed", lambda callers, reply, answer: reply(Committed(answer, 0)))
 
 
 def taken_before_commit(patch: Patch) -> None:
@@ -242,12 +246,12 @@
 
 def cancel_stops_nothing(patch: Patch) -> None:
     """What runs of a cancelled job runs on."""
-    patch.setattr(Feeder, "job_over", lambda feeder, job: None)
+    patch.setattr(SchedulerSync, "job_ended", lambda scheduler_sync, job: None)
 
 
 def leases_in_stale_sessions(patch: Patch) -> None:
     """A session outlives the end of its lease."""
-    patch.setattr(Agents, "end_session", lambda agents, node: None)
+    patch.setattr(AgentRegistry, "end_session", lambda agents, node: None)
 
 
 LONG = (14.0, 20.0)  # troubles that last longer than a lease
