--- a/millethead/execution/agent.py
+++ b/millethead/execution/agent.py
@@ -46,7 +46,7 @@
 from millethead.execution.worker_instance import AbandonedRun, WorkerInstance
 from millethead.rpc.codec import Record
 
-SUSPICION_DELAY_S = 0.7  # measured from the first of the unanswered calls
+SUSPICION_DELAY_S = 0.7  # counted from the first of the unanswered calls
 SUSPICION_INTERVAL_S = 0.5
 LEAVE_GRACE_PERIOD_S = 0.2  # time from a worker's DELETE to its assumed end, if no run may be left on it
 MAX_ENDED_INSTANCES = 64  # number of ended instances that are remembered
--- a/millethead/scheduling/state.py
+++ b/millethead/scheduling/state.py
@@ -35,7 +35,7 @@
 OVERLOAD_SIZE_DELAY_FACTOR = 3.0  # the same under overload
 OVERLOAD_SLACK_FRACTION = 0.5  # backlog, as a fraction of the slack, that counts as overload
 MIN_RATE = 0.1  # slots per second
-INITIAL_RATE = 1.0  # slots per second that a queue is assumed to bring before any are measured
+INITIAL_RATE = 1.0  # slots per second that a queue is assumed to bring before any arrive
 
 
 @dataclass(frozen=True, slots=True)
